--- a/packages/lovagepond-router/src/__tests__/fakes/request_world.ts
+++ b/packages/lovagepond-router/src/__tests__/fakes/request_world.ts
@@ -63,7 +63,7 @@
   finals: RequestAction[] = [];
   dispatches = 0;
   readonly #sidecars = ['a', 'b', 'c'].map(name => new WorldSidecar(name));
-  #underWay: Message[] = [];
+  #inTransit: Message[] = [];
   #streams = 0;
   #openStream = -1;
 
@@ -87,11 +87,11 @@
 
   advance(byMs: number): void {
     this.now += byMs;
-    this.#tell({kind: 'tick'});
+    this.#notify({kind: 'tick'});
   }
 
   /** No more faults for a while; the answer gets a chance to become whole. */
-  calm(): void {
+  runWithoutFaults(): void {
     for (let round = 0; round < 80; round += 1) {
       this.#deliver(round);
       this.#progress(round);
@@ -103,12 +103,12 @@
   settle(): void {
     while (this.now <= DEADLINE) this.advance(500);
     for (let round = 0; round < 30; round += 1) {
-      while (this.#underWay.length > 0) this.#deliver(0);
+      while (this.#inTransit.length > 0) this.#deliver(0);
       for (let detail = 0; detail < 3; detail += 1) this.#progress(detail);
     }
   }
 
-  #tell(event: RequestEvent): void {
+  #notify(event: RequestEvent): void {
     this.#perform(this.machine.receive(event, this.now));
   }
 
@@ -132,20 +132,20 @@
 
   #place(action: Extract<RequestAction, {kind: 'place'}>): void {
     const free = this.#sidecars.filter(({name}) => !action.excluded.has(name));
-    const wanted = free.find(({name}) => name === action.wanted);
-    const sidecar = wanted ?? free[0];
+    const preferred = free.find(({name}) => name === action.preferred);
+    const sidecar = preferred ?? free[0];
     if (!sidecar) {
       const failure = {
         kind: 'overloaded',
         message: '',
         retryAfterMs: 1,
       } as const;
-      this.#tell({kind: 'notPlaced', failure: action.after ?? failure});
+      this.#notify({kind: 'notPlaced', failure: action.after ?? failure});
       return;
     }
     const {name, incarnation} = sidecar;
     const target = {backendServer: name, incarnation, address: name};
-    this.#tell({kind: 'placed', target, nonRepeatable: false});
+    this.#notify({kind: 'placed', target, nonRepeatable: false});
   }
 
   #find(attempt: Attempt): WorldSidecar {
@@ -157,9 +157,9 @@
     const {attempt, resumeFrom} = action;
     const stream = ++this.#streams;
     this.#openStream = stream;
-    this.#tell({kind: 'sent', attemptId: attempt.attemptId});
+    this.#notify({kind: 'sent', attemptId: attempt.attemptId});
     const arrive = (): void => this.#onAttempt(attempt, stream, resumeFrom);
-    this.#underWay.push({stream, arrive});
+    this.#inTransit.push({stream, arrive});
   }
 
   #onAttempt(attempt: Attempt, stream: number, resumeFrom: number): void {
@@ -182,13 +182,13 @@
     }
   }
 
-  #revoke(attempt: Attempt, wantsAnswer: boolean): void {
+  #revoke(attempt: Attempt, expectsResponse: boolean): void {
     const {attemptId, target} = attempt;
     const stream = ++this.#streams;
     const answer = (outcome: 'revoked' | 'dispatched' | 'unknown'): void => {
       const arrive = (): void =>
-        this.#tell({kind: 'revoked', attemptId, outcome});
-      if (wantsAnswer) this.#underWay.push({stream, arrive});
+        this.#notify({kind: 'revoked', attemptId, outcome});
+      if (expectsResponse) this.#inTransit.push({stream, arrive});
     };
     const arrive = (): void => {
       const sidecar = this.#find(attempt);
@@ -210,7 +210,7 @@
       sidecar.attempts.set(attemptId, notRun);
       answer('revoked');
     };
-    this.#underWay.push({stream, arrive});
+    this.#inTransit.push({stream, arrive});
   }
 
   #send(
@@ -224,17 +224,17 @@
     const frame = {attemptId, incarnation, body, ...load};
     const arrive = (): void => {
       // Frames of a stream that the router has replaced still arrive: crossed.
-      this.#tell({kind: 'frame', frame});
+      this.#notify({kind: 'frame', frame});
     };
-    this.#underWay.push({stream, arrive});
+    this.#inTransit.push({stream, arrive});
   }
 
   /** Order holds within a stream only. */
   #deliver(detail: number): void {
-    const streams = [...new Set(this.#underWay.map(({stream}) => stream))];
+    const streams = [...new Set(this.#inTransit.map(({stream}) => stream))];
     const stream = streams[detail % Math.max(1, streams.length)];
-    const index = this.#underWay.findIndex(item => item.stream === stream);
-    const [message] = index < 0 ? [] : this.#underWay.splice(index, 1);
+    const index = this.#inTransit.findIndex(item => item.stream === stream);
+    const [message] = index < 0 ? [] : this.#inTransit.splice(index, 1);
     message?.arrive();
   }
 
@@ -259,18 +259,18 @@
   }
 
   /** A lost stream's messages vanish; the router hears of it, or doesn't. */
-  #loseStream(heard: boolean): void {
+  #loseStream(detected: boolean): void {
     const stream = this.#openStream;
     if (stream < 0) return;
     const {attempt} = this.machine;
-    this.#underWay = this.#underWay.filter(item => item.stream !== stream);
+    this.#inTransit = this.#inTransit.filter(item => item.stream !== stream);
     for (const {attempts} of this.#sidecars) {
       for (const held of attempts.values()) {
         if (held.stream === stream) held.stream = -1;
       }
     }
-    if (!heard || !attempt) return;
-    this.#tell({kind: 'broken', attemptId: attempt.attemptId});
+    if (!detected || !attempt) return;
+    this.#notify({kind: 'broken', attemptId: attempt.attemptId});
   }
 
   #refuse(detail: number): void {
--- a/packages/lovagepond-router/src/__tests__/fakes/router_fakes.ts
+++ b/packages/lovagepond-router/src/__tests__/fakes/router_fakes.ts
@@ -83,7 +83,7 @@
 }
 
 /** One attempt as a fake sidecar got it, with the means to answer it. */
-export interface GotAttempt {
+export interface ReceivedAttempt {
   readonly request: WireAttempt;
   send(frame: WireFrame): void;
   end(): void;
@@ -96,13 +96,13 @@
   readonly installed: Uint8Array[] = [];
   revokeOutcome = 'unknown';
   revision = 1;
-  onAttempt: (attempt: GotAttempt) => void;
+  onAttempt: (attempt: ReceivedAttempt) => void;
   address = '';
   readonly #server = new Server();
 
   constructor(
     incarnation: string,
-    onAttempt: (attempt: GotAttempt) => void = answerWhole,
+    onAttempt: (attempt: ReceivedAttempt) => void = answerWhole,
   ) {
     this.incarnation = incarnation;
     this.onAttempt = onAttempt;
@@ -162,7 +162,7 @@
 }
 
 /** The whole answer `hello` in two pieces. */
-export function answerWhole(attempt: GotAttempt): void {
+export function answerWhole(attempt: ReceivedAttempt): void {
   attempt.send({accepted: {expectedWaitMs: 0}});
   attempt.send({started: {warm: true}});
   const head = {status: 200, contentType: 'text/event-stream'};
@@ -220,7 +220,7 @@
  * Stands between router and sidecar like a device that forgets connections:
  * those open when it is told so carry nothing any more, and new ones work.
  */
-export class ForgetfulProxy {
+export class BlackholeProxy {
   address = '';
   #sockets: Socket[] = [];
   readonly #server: TcpServer;
@@ -245,7 +245,7 @@
     this.address = `127.0.0.1:${port}`;
   }
 
-  forget(): void {
+  blackhole(): void {
     for (const socket of this.#sockets) {
       socket.unpipe();
       socket.resume();
--- a/packages/lovagepond-router/src/__tests__/unit/router_control_link.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_control_link.test.ts
@@ -27,7 +27,7 @@
 });
 
 /** Connections to it never come to anything, as at a host without power. */
-async function startMute(): Promise<string> {
+async function startUnresponsiveServer(): Promise<string> {
   const server = createServer().listen(0, '127.0.0.1');
   await once(server, 'listening');
   const sockets = new Set<{destroy(): unknown}>();
@@ -39,22 +39,22 @@
   return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-interface Behaviour {
-  readonly leaves?: boolean;
+interface MemberBehavior {
+  readonly endsStream?: boolean;
   readonly goOn?: boolean;
 }
 
 /** A member that names others, if any. */
 async function startMember(
   named: readonly string[] = [],
-  {leaves = false, goOn = false}: Behaviour = {},
+  {endsStream = false, goOn = false}: MemberBehavior = {},
 ): Promise<string> {
   const server = new Server();
   const addresses = [...named];
   server.addService(CONTROL_SERVICE, {
     subscribe: (call: Stream) => {
       call.write(new v1.ControlUpdate({controlMembers: {addresses, goOn}}));
-      if (leaves) call.end();
+      if (endsStream) call.end();
     },
   });
   cleanups.push(() => server.forceShutdown());
@@ -68,7 +68,7 @@
 }
 
 /** Starts a link, and resolves once it has heard from the wanted member. */
-function untilHeard(
+function untilUpdateFrom(
   controlAddresses: readonly string[],
   wanted: string,
 ): Promise<void> {
@@ -100,8 +100,8 @@
 // tries again only after a second. It must go on to another member meanwhile,
 // though members that are merely silent are left much later.
 test('leaves a member to which there is no connection', async () => {
-  const addresses = [await startMute(), await startMember()];
-  await untilHeard(addresses, addresses[1]!);
+  const addresses = [await startUnresponsiveServer(), await startMember()];
+  await untilUpdateFrom(addresses, addresses[1]!);
 });
 
 // Each host that the settings name has been replaced. The last of them names its
@@ -109,8 +109,8 @@
 // further change.
 test('goes on to members that its settings do not name', async () => {
   const successor = await startMember();
-  const seed = await startMember([successor], {leaves: true});
-  await untilHeard([seed], successor);
+  const seed = await startMember([successor], {endsStream: true});
+  await untilUpdateFrom([seed], successor);
 });
 
 // Each address that the settings name is of a host without a log, which knows the
@@ -118,5 +118,5 @@
 test('goes on when the member sends it on', async () => {
   const leader = await startMember();
   const seed = await startMember([leader], {goOn: true});
-  await untilHeard([seed], leader);
+  await untilUpdateFrom([seed], leader);
 });
--- a/packages/lovagepond-router/src/__tests__/unit/router_deciders.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_decisions.test.ts
@@ -132,7 +132,7 @@
   // 1: serving by it, it would send requests where revision 2 forbids them.
   test('nothing is served before a majority-confirmed revision is held', () => {
     const held = new RouterRevisions(settings);
-    held.noteControl(0);
+    held.noteControlMessage(0);
     held.install(encodeConfiguration(makeConfiguration(1)));
     expect(held.mayServe(0)).toBe(false);
     held.confirm(2);
@@ -164,13 +164,13 @@
       evidence.note(target, 'silent', round);
       evidence.note(target, 'silent', round);
       expect(evidence.isSuspect('i0', round)).toBe(false);
-      evidence.noteHeard('i0', round);
+      evidence.noteResponse('i0', round);
     }
     for (let round = 0; round < 3; round += 1) {
       evidence.note(target, 'silent', 15);
     }
     expect(evidence.isSuspect('i0', 15)).toBe(true);
-    evidence.noteHeard('i0', 16);
+    evidence.noteResponse('i0', 16);
     expect(evidence.isSuspect('i0', 16)).toBe(false);
     evidence.note(target, 'unreachable', 20);
     expect(evidence.isSuspect('i0', 20)).toBe(true);
@@ -184,8 +184,8 @@
       DEFAULT_EVIDENCE_SETTINGS,
       new Random(1),
     );
-    evidence.note(target, 'away', 0);
-    evidence.noteHeard('i0', 1);
+    evidence.note(target, 'unavailable', 0);
+    evidence.noteResponse('i0', 1);
     expect(evidence.isSuspect('i0', 1)).toBe(true);
     expect(evidence.isSuspect('i0', 2_001)).toBe(false);
   });
@@ -205,7 +205,7 @@
       const start = now;
       while (evidence.takeDueProbes(now).length === 0) now += 50;
       gaps.push(now - start);
-      evidence.noteHeard('i0', now);
+      evidence.noteResponse('i0', now);
       expect(evidence.isSuspect('i0', now)).toBe(false);
       now += 200;
     }
@@ -301,7 +301,7 @@
     choice: ServerChoice,
     servers: readonly BackendServer[],
     chat: string,
-    change: {wanted?: string; excluded?: ReadonlySet<string>} = {},
+    change: {preferred?: string; excluded?: ReadonlySet<string>} = {},
   ): string | undefined => {
     const pools = makeConfiguration(1).content.pools;
     const request = {
@@ -311,9 +311,9 @@
       promptTokens: 50,
       returning: true,
     };
-    const {wanted, excluded = new Set<string>()} = change;
+    const {preferred, excluded = new Set<string>()} = change;
     const set = {selector: 'all', pools, servers};
-    return choice.choose({request, set, wanted, excluded}, 0)?.server.name;
+    return choice.choose({request, set, preferred, excluded}, 0)?.server.name;
   };
 
   // Two routers hold lists that differ by one server for some seconds. Chats
@@ -332,10 +332,10 @@
   test('pointers are followed only where selectors and evidence allow', () => {
     const servers = listServers(4);
     const first = choose(makeChoice(), servers, 'c');
-    expect(choose(makeChoice(), servers, 'c', {wanted: 's3'})).toBe('s3');
-    expect(choose(makeChoice(), servers, 'c', {wanted: 'gone'})).toBe(first);
+    expect(choose(makeChoice(), servers, 'c', {preferred: 's3'})).toBe('s3');
+    expect(choose(makeChoice(), servers, 'c', {preferred: 'gone'})).toBe(first);
     const doubting = makeChoice(['s3']);
-    expect(choose(doubting, servers, 'c', {wanted: 's3'})).not.toBe('s3');
+    expect(choose(doubting, servers, 'c', {preferred: 's3'})).not.toBe('s3');
     const distrustful = makeChoice(servers.map(({name}) => name));
     expect(choose(distrustful, servers, 'c')).toBeDefined();
     const excluded = new Set(servers.map(({name}) => name));
--- a/packages/lovagepond-router/src/__tests__/unit/router_request.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_request.test.ts
@@ -7,7 +7,7 @@
 const SEED = 20261202;
 
 /** @returns the kind of the request's only final answer */
-function checkTruth(world: RequestWorld, nonRepeatable: boolean): string {
+function checkFinalAnswer(world: RequestWorld, nonRepeatable: boolean): string {
   expect(world.finals).toHaveLength(1);
   const final = world.finals[0]!;
   const texts = Array.from({length: world.dispatches}, (_, index) =>
@@ -42,9 +42,9 @@
     (nonRepeatable, calm, choices) => {
       const world = new RequestWorld(nonRepeatable);
       for (const [choice, detail] of choices) world.step(choice, detail);
-      if (calm) world.calm();
+      if (calm) world.runWithoutFaults();
       world.settle();
-      const name = checkTruth(world, nonRepeatable);
+      const name = checkFinalAnswer(world, nonRepeatable);
       finals.set(name, (finals.get(name) ?? 0) + 1);
     },
   );
--- a/packages/lovagepond-router/src/__tests__/unit/router_request_runner.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_request_runner.test.ts
@@ -1,5 +1,5 @@
 import {expect, test} from 'vitest';
-import {type RunnerHost} from '../../router_request_host.js';
+import {type RunnerContext} from '../../router_request_context.js';
 import {RequestRunner} from '../../router_request_runner.js';
 import {LIMITS} from '../fakes/request_world.js';
 import {
@@ -26,7 +26,7 @@
     noteFault: (_runner: RequestRunner, err: unknown) => faults.push(err),
     completeFailure: (failure: unknown) => failure,
     noteDone: () => {},
-  } as unknown as RunnerHost;
+  } as unknown as RunnerContext;
   const sink = new FakeSink();
   const request = makeRequest({deadline: 1_000});
   const runner = new RequestRunner(host, request, eligible, sink);
--- a/packages/lovagepond-router/src/__tests__/unit/router_role.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_role.test.ts
@@ -7,7 +7,7 @@
 } from '@lovagepond/core';
 import {setTimeout as wait} from 'node:timers/promises';
 import {afterEach, expect, test} from 'vitest';
-import {type RouterParts, RouterRole} from '../../router_role.js';
+import {type RouterDependencies, RouterRole} from '../../router_role.js';
 import {
   DEFAULT_ROUTER_SETTINGS,
   type RouterSettings,
@@ -18,8 +18,8 @@
   FakeFront,
   FakeSidecar,
   FakeSink,
-  ForgetfulProxy,
-  type GotAttempt,
+  BlackholeProxy,
+  type ReceivedAttempt,
   makeConfiguration,
   makeRequest,
   QUIET_LOG,
@@ -44,7 +44,7 @@
 
 async function startRouter(
   members: WireMember[],
-  createFront: RouterParts['createFront'],
+  createFront: RouterDependencies['createFront'],
   change: Partial<RouterSettings> = {},
 ): Promise<RouterRole> {
   const control = new FakeControl(makeConfiguration(2), members);
@@ -69,21 +69,21 @@
   return role;
 }
 
-interface Started {
+interface StartedRouter {
   readonly role: RouterRole;
   ask(change?: Parameters<typeof makeRequest>[0]): FakeSink;
 }
 
 /** A router whose callers need no HTTP. */
-async function startAsked(
+async function startWithoutHttp(
   members: WireMember[],
   change: Partial<RouterSettings> = {},
-): Promise<Started> {
+): Promise<StartedRouter> {
   let front: FakeFront | undefined;
-  const createFront: RouterParts['createFront'] = handler =>
+  const createFront: RouterDependencies['createFront'] = handler =>
     (front = new FakeFront(handler));
   const role = await startRouter(members, createFront, change);
-  const ask: Started['ask'] = request => {
+  const ask: StartedRouter['ask'] = request => {
     const sink = new FakeSink();
     const now = SYSTEM_CLOCK.now();
     void front?.handler.handle(makeRequest(request), sink, now);
@@ -94,7 +94,7 @@
 
 test('a request goes through a sidecar and its answer comes back whole', async () => {
   const sidecar = await startSidecar(new FakeSidecar('i1'));
-  const {role, ask} = await startAsked([sidecar.member('s1')]);
+  const {role, ask} = await startWithoutHttp([sidecar.member('s1')]);
   const sink = ask();
   await sink.done;
   expect(sink).toMatchObject({text: 'hello', status: 200, ended: true});
@@ -106,7 +106,7 @@
 // nothing. New connections work, so both answers become whole over one, the
 // first from where it stopped, and the server is not blamed.
 test('a connection that goes silent is replaced and cuts no answer', async () => {
-  const seen: GotAttempt[] = [];
+  const seen: ReceivedAttempt[] = [];
   const sidecar = new FakeSidecar('i1', attempt => {
     seen.push(attempt);
     attempt.send({started: {}});
@@ -118,16 +118,19 @@
   });
   await startSidecar(sidecar);
   sidecar.revokeOutcome = 'revoked';
-  const proxy = new ForgetfulProxy(sidecar.address);
+  const proxy = new BlackholeProxy(sidecar.address);
   await proxy.start();
   closers.push(() => proxy.stop());
-  const {role, ask} = await startAsked([sidecar.member('s1', proxy.address)], {
-    attemptSilentAfterMs: 100,
-    firstFrameAfterMs: 100,
-  });
+  const {role, ask} = await startWithoutHttp(
+    [sidecar.member('s1', proxy.address)],
+    {
+      attemptSilentAfterMs: 100,
+      firstFrameAfterMs: 100,
+    },
+  );
   const first = ask({requestId: 'r1'});
   await expect.poll(() => first.text).toBe('hel');
-  proxy.forget();
+  proxy.blackhole();
   const second = ask({requestId: 'r2'});
   await Promise.all([first.done, second.done]);
   expect(first).toMatchObject({text: 'hello', ended: true});
@@ -141,7 +144,7 @@
 // he gets all of it, though the balancer hears at once that the router isn't
 // ready, and no new connection is taken.
 test('a draining router is not ready, takes nothing new and cuts nothing', async () => {
-  const held: GotAttempt[] = [];
+  const held: ReceivedAttempt[] = [];
   const sidecar = new FakeSidecar('i1', attempt => {
     const body = JSON.stringify({id: 1});
     attempt.send({started: {}});
@@ -189,7 +192,7 @@
 test('whichever side holds the older configuration is handed the newer', async () => {
   const revisions: number[] = [];
   const refuseOnce = (
-    attempt: GotAttempt,
+    attempt: ReceivedAttempt,
     configuration?: Uint8Array,
   ): void => {
     revisions.push(attempt.request.revision ?? 0);
@@ -209,7 +212,7 @@
   });
   ahead.revision = 9;
   await startSidecar(ahead);
-  const {role, ask} = await startAsked([ahead.member('s1')]);
+  const {role, ask} = await startWithoutHttp([ahead.member('s1')]);
   const sink = ask();
   await sink.done;
   expect(sink.text).toBe('hello');
@@ -219,7 +222,7 @@
 
   revisions.length = 0;
   const behind = await startSidecar(new FakeSidecar('i2', refuseOnce));
-  const other = await startAsked([behind.member('s1')]);
+  const other = await startWithoutHttp([behind.member('s1')]);
   const later = other.ask();
   await later.done;
   expect(later.text).toBe('hello');
@@ -230,13 +233,13 @@
 // A caller hangs up while his request is held. Its stream's end looks to the
 // sidecar like a lost connection, so that the engine would work for nobody.
 test('a request whose caller went away is taken back at its sidecar', async () => {
-  const held: GotAttempt[] = [];
+  const held: ReceivedAttempt[] = [];
   const sidecar = new FakeSidecar('i1', attempt => {
     held.push(attempt);
     attempt.send({accepted: {expectedWaitMs: 10}});
   });
   await startSidecar(sidecar);
-  const {role, ask} = await startAsked([sidecar.member('s1')]);
+  const {role, ask} = await startWithoutHttp([sidecar.member('s1')]);
   const sink = ask();
   await expect.poll(() => held.length).toBe(1);
   sink.cancel(makeFailure('callerGone'));
@@ -252,7 +255,7 @@
   const dead = await startSidecar(new FakeSidecar('i2'));
   const members = [alive.member('s1'), dead.member('s2')];
   dead.stop();
-  const {role, ask} = await startAsked(members);
+  const {role, ask} = await startWithoutHttp(members);
   const chats = Array.from({length: 20}, (_, index) => `c${index}`);
   for (const chat of chats) {
     const sink = ask({requestId: chat, chat});
@@ -287,7 +290,7 @@
     await startSidecar(sidecar);
     members.push(sidecar.member(name));
   }
-  const {ask} = await startAsked(members);
+  const {ask} = await startWithoutHttp(members);
   const bad = {body: BAD_BODY, bodyDigest: BAD_BODY};
   for (let turn = 0; turn < 5; turn += 1) {
     const sink = ask(bad);
--- a/packages/lovagepond-router/src/index.ts
+++ b/packages/lovagepond-router/src/index.ts
@@ -36,7 +36,11 @@
   ServerChoice,
 } from './router_server_choice.js';
 export {RouterState} from './router_state.js';
-export {type CallerFront, type RouterParts, RouterRole} from './router_role.js';
+export {
+  type CallerFront,
+  type RouterDependencies,
+  RouterRole,
+} from './router_role.js';
 export {
   DEFAULT_ROUTER_SETTINGS,
   ISLAND_POLICY,
--- a/packages/lovagepond-router/src/router_attempt_watch.ts
+++ b/packages/lovagepond-router/src/router_attempt_watch.ts
@@ -14,7 +14,7 @@
   readonly #limits: WatchLimits;
   #sends = 0;
   #reconnects = 0;
-  #heardAt = 0;
+  #lastFrameAt = 0;
   #blocked = false;
 
   constructor(limits: WatchLimits) {
@@ -29,12 +29,12 @@
   /** @param now when the attempt was sent, monotonic milliseconds */
   noteSent(now: number): void {
     this.#sends += 1;
-    this.#heardAt = now;
+    this.#lastFrameAt = now;
   }
 
   /** @param now when a frame came, monotonic milliseconds */
-  noteHeard(now: number): void {
-    this.#heardAt = now;
+  noteFrame(now: number): void {
+    this.#lastFrameAt = now;
   }
 
   /**
@@ -46,7 +46,7 @@
    */
   setBlocked(blocked: boolean, now: number): void {
     this.#blocked = blocked;
-    this.#heardAt = now;
+    this.#lastFrameAt = now;
   }
 
   /**
@@ -59,7 +59,7 @@
     const limit = answered
       ? this.#limits.attemptSilentAfterMs
       : this.#limits.firstFrameAfterMs;
-    return now - this.#heardAt >= limit;
+    return now - this.#lastFrameAt >= limit;
   }
 
   /**
@@ -69,7 +69,7 @@
   tryReconnect(now: number): boolean {
     if (this.#reconnects >= this.#limits.maxReattaches) return false;
     this.#reconnects += 1;
-    this.#heardAt = now;
+    this.#lastFrameAt = now;
     return true;
   }
 }
--- a/packages/lovagepond-router/src/router_control_link.ts
+++ b/packages/lovagepond-router/src/router_control_link.ts
@@ -47,7 +47,7 @@
 }
 
 /** What the link needs besides its settings. */
-export interface ControlLinkParts {
+export interface ControlLinkDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly random: Random;
@@ -87,13 +87,13 @@
 export class ControlLink {
   readonly #settings: ControlLinkSettings;
   readonly #facts: SubscriberFacts;
-  readonly #parts: ControlLinkParts;
+  readonly #dependencies: ControlLinkDependencies;
   readonly #addresses: ControlAddresses;
   #client: Client | undefined;
   #call: ClientReadableStream<ControlUpdate> | undefined;
-  #heardAt = 0;
+  #lastUpdateAt = 0;
   /** The present subscription has brought something. */
-  #isHeard = false;
+  #hasReceivedUpdate = false;
   #failures = 0;
   #retryTimer: NodeJS.Timeout | undefined;
   #stopped = false;
@@ -104,13 +104,16 @@
   constructor(
     settings: ControlLinkSettings,
     facts: SubscriberFacts,
-    parts: ControlLinkParts,
+    dependencies: ControlLinkDependencies,
   ) {
     this.#settings = settings;
     this.#facts = facts;
-    this.#parts = parts;
+    this.#dependencies = dependencies;
     const {controlAddresses} = settings;
-    this.#addresses = new ControlAddresses(controlAddresses, parts.random);
+    this.#addresses = new ControlAddresses(
+      controlAddresses,
+      dependencies.random,
+    );
   }
 
   /** @returns bytes of control updates received since the start */
@@ -136,10 +139,10 @@
   /** @param now present time, monotonic ms; call it a few times a second */
   tick(now: number): void {
     if (!this.#call) return;
-    const silence = now - this.#heardAt;
-    if (silence > this.#settings.controlSilentAfterMs) this.#onLost('silent');
+    const silentMs = now - this.#lastUpdateAt;
+    if (silentMs > this.#settings.controlSilentAfterMs) this.#onLost('silent');
     if (now - this.#reportedAt < REPORT_INTERVAL_MS) return;
-    this.reportRevision(this.#parts.listener.heldRevision());
+    this.reportRevision(this.#dependencies.listener.heldRevision());
   }
 
   /**
@@ -165,10 +168,10 @@
     revision: number,
     atOnce = false,
   ): Promise<number | undefined> {
-    this.#reportedAt = this.#parts.clock.now();
+    this.#reportedAt = this.#dependencies.clock.now();
     const {node} = this.#facts;
     const report = {node, role: ROLE, revision, atOnce};
-    const res = await this.#ask(
+    const res = await this.#callControl(
       CONTROL_SERVICE.reportConvergence,
       new v1.ConvergenceReport(report),
     );
@@ -198,7 +201,9 @@
       {deadline: Date.now() + REPORT_TIMEOUT_MS},
       err => {
         if (!err) return;
-        this.#parts.log.debug('readings not reported', {reason: err.message});
+        this.#dependencies.log.debug('readings not reported', {
+          reason: err.message,
+        });
       },
     );
   }
@@ -211,7 +216,7 @@
    */
   async reportCrashes(report: CrashReport): Promise<boolean> {
     const {node} = this.#facts;
-    const res = await this.#ask(
+    const res = await this.#callControl(
       CONTROL_SERVICE.reportCrashes,
       new v1.CrashReport({...report, node}),
     );
@@ -231,7 +236,7 @@
   }
 
   /** @returns the member's answer; undefined when there was none in time */
-  #ask<Req, Res>(
+  #callControl<Req, Res>(
     method: MethodDefinition<Req, Res>,
     message: Req,
   ): Promise<Res | undefined> {
@@ -254,8 +259,8 @@
 
   #subscribe(): void {
     if (this.#stopped || this.address === '') return;
-    this.#heardAt = this.#parts.clock.now();
-    this.#isHeard = false;
+    this.#lastUpdateAt = this.#dependencies.clock.now();
+    this.#hasReceivedUpdate = false;
     this.#client = new Client(
       this.address,
       credentials.createInsecure(),
@@ -272,13 +277,13 @@
       new v1.SubscribeRequest({
         ...this.#facts,
         role: ROLE,
-        revision: this.#parts.listener.heldRevision(),
+        revision: this.#dependencies.listener.heldRevision(),
       }),
       new Metadata(),
       {},
     );
     this.#call = call;
-    this.#listen(call);
+    this.#handleUpdates(call);
     this.#watchConnection(this.#client, call);
   }
 
@@ -291,10 +296,12 @@
     });
   }
 
-  #noteHeard(): void {
-    this.#isHeard = true;
+  #noteFirstUpdate(): void {
+    this.#hasReceivedUpdate = true;
     this.#addresses.noteHeard();
-    this.#parts.log.info('control subscription holds', {address: this.address});
+    this.#dependencies.log.info('control subscription holds', {
+      address: this.address,
+    });
   }
 
   #countSent(bytes: Buffer): Buffer {
@@ -302,14 +309,14 @@
     return bytes;
   }
 
-  #listen(call: ClientReadableStream<ControlUpdate>): void {
+  #handleUpdates(call: ClientReadableStream<ControlUpdate>): void {
     call.on('data', (update: ControlUpdate) => {
       if (this.#call !== call) return;
-      if (!this.#isHeard) this.#noteHeard();
+      if (!this.#hasReceivedUpdate) this.#noteFirstUpdate();
       this.#failures = 0;
-      this.#heardAt = this.#parts.clock.now();
-      this.#parts.listener.onUpdate(update, this.#heardAt);
-      this.#learnMembers(update);
+      this.#lastUpdateAt = this.#dependencies.clock.now();
+      this.#dependencies.listener.onUpdate(update, this.#lastUpdateAt);
+      this.#updateMembers(update);
     });
     call.on('error', err => {
       if (this.#call === call) this.#onLost(err.message);
@@ -319,11 +326,11 @@
     });
   }
 
-  #learnMembers({controlMembers}: ControlUpdate): void {
+  #updateMembers({controlMembers}: ControlUpdate): void {
     const addresses = controlMembers?.addresses;
     if (!addresses) return;
     this.#addresses.learn(addresses);
-    this.#parts.log.info('control members known', {
+    this.#dependencies.log.info('control members known', {
       addresses: addresses.join(' '),
     });
     if (controlMembers.goOn) this.restart('it has no log yet');
@@ -331,7 +338,7 @@
 
   #onLost(reason: string): void {
     const address = this.address;
-    this.#parts.log.info('control subscription lost', {address, reason});
+    this.#dependencies.log.info('control subscription lost', {address, reason});
     this.#close();
     this.#addresses.moveOn();
     this.#failures += 1;
@@ -345,7 +352,7 @@
   #nextDelay(): number {
     const doublings = Math.min(this.#failures - 1, MAX_BACKOFF_DOUBLINGS);
     const ceiling = this.#settings.controlRetryMs * 2 ** doublings;
-    return ceiling * (0.5 + this.#parts.random.next() / 2);
+    return ceiling * (0.5 + this.#dependencies.random.next() / 2);
   }
 
   #close(): void {
--- a/packages/lovagepond-router/src/router_crash_reporter.ts
+++ b/packages/lovagepond-router/src/router_crash_reporter.ts
@@ -5,7 +5,7 @@
 import {type CrashReport, type RequestQuarantine} from './router_quarantine.js';
 
 /** What reports are made with. */
-export interface CrashReporterParts {
+export interface CrashReporterDependencies {
   readonly clock: Clock;
   readonly quarantine: RequestQuarantine;
   /** @returns whether control has recorded the report */
@@ -14,11 +14,11 @@
 
 /** Reports for one router, one report at a time. */
 export class CrashReporter {
-  readonly #parts: CrashReporterParts;
+  readonly #dependencies: CrashReporterDependencies;
 
-  /** @param parts what reports are made with */
-  constructor(parts: CrashReporterParts) {
-    this.#parts = parts;
+  /** @param dependencies what reports are made with */
+  constructor(dependencies: CrashReporterDependencies) {
+    this.#dependencies = dependencies;
   }
 
   /**
@@ -26,16 +26,16 @@
    * @param now present time, monotonic milliseconds
    */
   noteCrash(crash: ServerCrash, now: number): void {
-    this.#parts.quarantine.noteCrash(crash, now);
+    this.#dependencies.quarantine.noteCrash(crash, now);
     this.tick(now);
   }
 
   /** @param now present time, monotonic milliseconds; call it often */
   tick(now: number): void {
-    const {quarantine, report, clock} = this.#parts;
-    const untold = quarantine.takeReport(now);
-    if (!untold) return;
-    void report(untold).then(isRecorded => {
+    const {quarantine, report, clock} = this.#dependencies;
+    const pendingReport = quarantine.takeReport(now);
+    if (!pendingReport) return;
+    void report(pendingReport).then(isRecorded => {
       quarantine.endReport(isRecorded);
       if (isRecorded) this.tick(clock.now());
     });
--- a/packages/lovagepond-router/src/router_dispatcher.ts
+++ b/packages/lovagepond-router/src/router_dispatcher.ts
@@ -25,8 +25,8 @@
 import {
   type Placed,
   type PlacementQuery,
-  type RunnerHost,
-} from './router_request_host.js';
+  type RunnerContext,
+} from './router_request_context.js';
 import {RequestRunner} from './router_request_runner.js';
 import {
   type AttemptTarget,
@@ -40,7 +40,7 @@
 import {type RouterState} from './router_state.js';
 
 /** What the dispatcher works with. */
-export interface DispatcherParts {
+export interface DispatcherDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly state: RouterState;
@@ -56,7 +56,7 @@
 }
 
 /** Frames that come once or seldom; a load with each chunk costs too much. */
-const LOAD_BEARERS: ReadonlySet<FrameBody['kind']> = new Set([
+const FRAMES_WITH_LOAD: ReadonlySet<FrameBody['kind']> = new Set([
   'accepted',
   'refused',
   'started',
@@ -65,18 +65,18 @@
 ]);
 
 /** Handles callers' requests by the state that the router holds. */
-export class RouterDispatcher implements CallerHandler, RunnerHost {
+export class RouterDispatcher implements CallerHandler, RunnerContext {
   readonly clock: Clock;
   readonly connections: SidecarConnections;
   readonly limits: RequestLimits;
   readonly revokeTimeoutMs: number;
-  readonly #parts: DispatcherParts;
+  readonly #dependencies: DispatcherDependencies;
   readonly #runners = new Set<RequestRunner>();
 
-  constructor(settings: RouterSettings, parts: DispatcherParts) {
-    this.#parts = parts;
-    this.clock = parts.clock;
-    this.connections = parts.connections;
+  constructor(settings: RouterSettings, dependencies: DispatcherDependencies) {
+    this.#dependencies = dependencies;
+    this.clock = dependencies.clock;
+    this.connections = dependencies.connections;
     this.limits = settings;
     this.revokeTimeoutMs = settings.revokeTimeoutMs;
   }
@@ -110,21 +110,21 @@
   ): RequestRunner | undefined {
     const admitted = this.#admit(request, now);
     if ('kind' in admitted) {
-      this.#parts.counters.noteFailed(admitted.kind);
+      this.#dependencies.counters.noteFailed(admitted.kind);
       sink.fail(this.completeFailure(admitted));
       return undefined;
     }
     return new RequestRunner(this, request, admitted, sink);
   }
 
-  /** See {@link RunnerHost.place}. */
+  /** See {@link RunnerContext.place}. */
   place(query: PlacementQuery, now: number): Placed | Failure {
-    const {runner, excluded, wanted, after} = query;
-    const {choice, load, state} = this.#parts;
+    const {runner, excluded, preferred, after} = query;
+    const {choice, load, state} = this.#dependencies;
     const {request, returning} = runner;
-    const refusal = this.#quarantined(runner.fingerprint, now);
+    const refusal = this.#findQuarantineFailure(runner.fingerprint, now);
     if (refusal) return after ?? refusal;
-    if (after && query.costsBudget && this.#isSuspect(runner, now)) {
+    if (after && query.costsBudget && this.#isSuspectedRequest(runner, now)) {
       return after;
     }
     // By the configuration in force now: it may have changed since the
@@ -132,12 +132,12 @@
     const verdict = state.findEligible(request);
     if (!verdict.ok) return verdict.failure;
     const {eligible} = verdict;
-    const unpaid = this.#pay(query, eligible);
-    if (unpaid) return unpaid;
+    const budgetFailure = this.#chargeBudget(query, eligible);
+    if (budgetFailure) return budgetFailure;
     const described = describeForPlacement(request, returning);
     const {set} = eligible;
     const chosen = choice.choose(
-      {request: described, set, excluded, wanted},
+      {request: described, set, excluded, preferred},
       now,
     );
     if (!chosen) return after ?? makeFailure('noBackendServer');
@@ -145,34 +145,34 @@
     return {...chosen, eligible};
   }
 
-  /** See {@link RunnerHost.heldRevision}. */
+  /** See {@link RunnerContext.heldRevision}. */
   heldRevision(): number {
-    return this.#parts.state.revision;
+    return this.#dependencies.state.revision;
   }
 
-  /** See {@link RunnerHost.configurationFor}. */
+  /** See {@link RunnerContext.configurationFor}. */
   configurationFor(target: AttemptTarget): Uint8Array | undefined {
-    const {revisions} = this.#parts.state;
+    const {revisions} = this.#dependencies.state;
     return revisions.isBehind(target.incarnation)
       ? revisions.encoded
       : undefined;
   }
 
-  /** See {@link RunnerHost.install}. */
+  /** See {@link RunnerContext.install}. */
   install(configuration: Uint8Array): void {
-    this.#parts.state.install(configuration);
+    this.#dependencies.state.install(configuration);
   }
 
-  /** See {@link RunnerHost.noteFrame}. */
+  /** See {@link RunnerContext.noteFrame}. */
   noteFrame(runner: RequestRunner, frame: Frame, now: number): void {
-    const {load, state, evidence, counters} = this.#parts;
+    const {load, state, evidence, counters} = this.#dependencies;
     const {body, incarnation} = frame;
     if (body.kind === 'failed') this.#noteCrash(runner, body, now);
-    if (!LOAD_BEARERS.has(body.kind)) return;
-    state.revisions.noteSidecar(incarnation, frame.revision);
-    evidence.noteHeard(incarnation, now);
+    if (!FRAMES_WITH_LOAD.has(body.kind)) return;
+    state.revisions.noteSidecarRevision(incarnation, frame.revision);
+    evidence.noteResponse(incarnation, now);
     if (body.kind === 'end') {
-      this.#parts.quarantine.noteAnswered(runner.fingerprint, now);
+      this.#dependencies.quarantine.noteAnswered(runner.fingerprint, now);
     }
     if (body.kind === 'started') counters.noteStarted(runner.returning, body);
     const server = runner.placed?.server;
@@ -181,40 +181,40 @@
     load.recordObserved(server.slot, tokens, now);
   }
 
-  /** See {@link RunnerHost.noteEvidence}. */
+  /** See {@link RunnerContext.noteEvidence}. */
   noteEvidence(
     target: AttemptTarget,
     evidence: EvidenceKind,
     now: number,
   ): void {
-    this.#parts.evidence.note(target, evidence, now);
+    this.#dependencies.evidence.note(target, evidence, now);
   }
 
-  /** See {@link RunnerHost.noteDrop}. */
+  /** See {@link RunnerContext.noteDrop}. */
   noteDrop(reason: DropReason): void {
-    this.#parts.counters.noteDropped(reason);
+    this.#dependencies.counters.noteDropped(reason);
   }
 
-  /** See {@link RunnerHost.completeFailure}. */
+  /** See {@link RunnerContext.completeFailure}. */
   completeFailure(failure: Failure): Failure {
-    return this.#parts.refusal.complete(failure);
+    return this.#dependencies.refusal.complete(failure);
   }
 
-  /** See {@link RunnerHost.noteFault}. */
+  /** See {@link RunnerContext.noteFault}. */
   noteFault(runner: RequestRunner, err: unknown): void {
     const {requestId} = runner.request;
-    this.#parts.log.error('a request met a fault of the program', {
+    this.#dependencies.log.error('a request met a fault of the program', {
       requestId,
       error: err instanceof Error ? err.message : String(err),
     });
   }
 
-  /** See {@link RunnerHost.noteDone}. */
+  /** See {@link RunnerContext.noteDone}. */
   noteDone(runner: RequestRunner, failure: Failure | undefined): void {
     if (!this.#runners.delete(runner)) return;
     runner.close();
-    if (failure) this.#parts.counters.noteFailed(failure.kind);
-    else this.#parts.counters.noteAnswered();
+    if (failure) this.#dependencies.counters.noteFailed(failure.kind);
+    else this.#dependencies.counters.noteAnswered();
   }
 
   /** @param now present time, monotonic milliseconds */
@@ -223,11 +223,11 @@
   }
 
   /** @param fingerprint of requests that must not run any longer */
-  takeBack(fingerprint: string, now: number): void {
-    const failure = this.#quarantined(fingerprint, now);
+  abortQuarantined(fingerprint: string, now: number): void {
+    const failure = this.#findQuarantineFailure(fingerprint, now);
     if (!failure) return;
     for (const runner of [...this.#runners]) {
-      if (runner.fingerprint === fingerprint) runner.takeBack(failure);
+      if (runner.fingerprint === fingerprint) runner.abortQuarantined(failure);
     }
   }
 
@@ -238,16 +238,23 @@
   ): void {
     if (server === '') return;
     const requests = [fingerprint];
-    this.#parts.crashes.noteCrash({server, requests, crashedAt: now}, now);
+    this.#dependencies.crashes.noteCrash(
+      {server, requests, crashedAt: now},
+      now,
+    );
   }
 
-  #isSuspect({fingerprint}: RequestRunner, now: number): boolean {
-    const crashes = this.#parts.quarantine.find(fingerprint, now)?.crashes ?? 0;
+  #isSuspectedRequest({fingerprint}: RequestRunner, now: number): boolean {
+    const crashes =
+      this.#dependencies.quarantine.find(fingerprint, now)?.crashes ?? 0;
     return crashes >= SUSPECT_CRASHES;
   }
 
-  #quarantined(fingerprint: string, now: number): Failure | undefined {
-    const {quarantine} = this.#parts;
+  #findQuarantineFailure(
+    fingerprint: string,
+    now: number,
+  ): Failure | undefined {
+    const {quarantine} = this.#dependencies;
     const retryAfterMs = quarantine.quarantinedForMs(fingerprint, now);
     if (retryAfterMs === undefined) return undefined;
     return makeFailure('quarantined', {retryAfterMs});
@@ -255,7 +262,7 @@
 
   /** @returns where the request may go, or its final answer */
   #admit(request: CallerRequest, now: number): Eligible | Failure {
-    const {state, choice, refusal} = this.#parts;
+    const {state, choice, refusal} = this.#dependencies;
     if (!state.mayServe(now)) return makeFailure('notReady');
     const verdict = state.findEligible(request);
     if (!verdict.ok) return verdict.failure;
@@ -269,8 +276,11 @@
   }
 
   /** Takes a retry from the pool's budget; counts a first attempt into it. */
-  #pay(query: PlacementQuery, eligible: Eligible): Failure | undefined {
-    const {budget, counters} = this.#parts;
+  #chargeBudget(
+    query: PlacementQuery,
+    eligible: Eligible,
+  ): Failure | undefined {
+    const {budget, counters} = this.#dependencies;
     const pool = eligible.set.pools[0]?.name ?? '';
     const {after, costsBudget} = query;
     if (!after) {
--- a/packages/lovagepond-router/src/router_early_refusal.ts
+++ b/packages/lovagepond-router/src/router_early_refusal.ts
@@ -17,14 +17,14 @@
 const MIN_RETRY_MS = 500;
 
 /** Longest base, and longest spread, of the time to come back. */
-const MAX_PART_MS = 30_000;
+const MAX_DELAY_PART_MS = 30_000;
 
 /**
  * The load view counts work that runs beside a new request as if it went
  * before it, and is about a second old. The sidecar knows the wait; a router
  * refuses only what is hopeless by this factor.
  */
-const CERTAINTY = 2;
+const REFUSAL_FACTOR = 2;
 
 /** Work refused here and not yet due to return, for one pool. */
 interface Backlog {
@@ -65,10 +65,10 @@
     const leftMs = Math.max(0, deadline - now);
     if (leftMs === 0) return this.complete(makeFailure('deadlineUnreachable'));
     if (this.#load.isStale(now)) return undefined;
-    const waitMs = this.#shortestWait(servers, CERTAINTY * leftMs);
-    if (waitMs <= CERTAINTY * leftMs) return undefined;
+    const waitMs = this.#shortestWait(servers, REFUSAL_FACTOR * leftMs);
+    if (waitMs <= REFUSAL_FACTOR * leftMs) return undefined;
     const backlogMs = this.#addToBacklog(servers, estimatedTokens, now);
-    const retryAfterMs = this.#spread(waitMs - leftMs, backlogMs);
+    const retryAfterMs = this.#randomizeDelay(waitMs - leftMs, backlogMs);
     return makeFailure('deadlineUnreachable', {retryAfterMs});
   }
 
@@ -79,7 +79,7 @@
   complete(failure: Failure): Failure {
     if (failure.retryAfterMs > 0) return failure;
     if (!answerFor(failure.kind).retryable) return failure;
-    return {...failure, retryAfterMs: this.#spread(MIN_RETRY_MS, 0)};
+    return {...failure, retryAfterMs: this.#randomizeDelay(MIN_RETRY_MS, 0)};
   }
 
   /** The mean bounds the least, and costs less than a look at every server. */
@@ -108,9 +108,9 @@
    * bring them back together; so each draws its own, over a span as long as
    * the work that was refused takes.
    */
-  #spread(missingMs: number, backlogMs: number): number {
-    const base = Math.min(MAX_PART_MS, Math.max(MIN_RETRY_MS, missingMs));
-    const span = Math.min(MAX_PART_MS, Math.max(base, backlogMs));
+  #randomizeDelay(overrunMs: number, backlogMs: number): number {
+    const base = Math.min(MAX_DELAY_PART_MS, Math.max(MIN_RETRY_MS, overrunMs));
+    const span = Math.min(MAX_DELAY_PART_MS, Math.max(base, backlogMs));
     return Math.round(base + this.#random.next() * span);
   }
 }
--- a/packages/lovagepond-router/src/router_evidence.ts
+++ b/packages/lovagepond-router/src/router_evidence.ts
@@ -17,7 +17,7 @@
   /** So many silent connections without one answer count as a failure. */
   readonly silentConnections: number;
   /** A server that said it takes nothing is left alone for so long. */
-  readonly awayMs: number;
+  readonly unavailableMs: number;
   /** A server that failed again within this time after it came back flaps. */
   readonly flapWindowMs: number;
 }
@@ -27,7 +27,7 @@
   suspicionMs: 500,
   maxSuspicionMs: 30_000,
   silentConnections: 3,
-  awayMs: 2_000,
+  unavailableMs: 2_000,
   flapWindowMs: 60_000,
 });
 
@@ -41,21 +41,22 @@
   failures: number;
   probeAt: number;
   probing: boolean;
-  awayUntil: number;
+  unavailableUntil: number;
   /** When it came back last; a failure soon after is a flap. */
   clearedAt: number;
 }
 
 /** Suspicions by sidecar incarnation; a restarted server starts clean. */
 export class RouterEvidence {
-  static readonly #noters: Readonly<
+  static readonly #evidenceHandlers: Readonly<
     Record<
       EvidenceKind,
       (evidence: RouterEvidence, record: Suspicion, now: number) => void
     >
   > = {
     silent: (evidence, record, now) => evidence.#noteSilent(record, now),
-    away: (evidence, record, now) => evidence.#noteAway(record, now),
+    unavailable: (evidence, record, now) =>
+      evidence.#noteUnavailable(record, now),
     unreachable: (evidence, record, now) => evidence.#fail(record, now),
   };
 
@@ -85,7 +86,7 @@
   isSuspect(incarnation: string, now: number): boolean {
     const record = this.#byIncarnation.get(incarnation);
     if (!record) return false;
-    return record.suspect || now < record.awayUntil;
+    return record.suspect || now < record.unavailableUntil;
   }
 
   /**
@@ -94,7 +95,11 @@
    * @param now present time, monotonic milliseconds
    */
   note(target: AttemptTarget, evidence: EvidenceKind, now: number): void {
-    RouterEvidence.#noters[evidence](this, this.#recordOf(target), now);
+    RouterEvidence.#evidenceHandlers[evidence](
+      this,
+      this.#recordOf(target),
+      now,
+    );
   }
 
   #noteSilent(record: Suspicion, now: number): void {
@@ -108,8 +113,8 @@
    * A server that leaves still finishes streams here, so that it is heard;
    * only time, or the next list from control, ends this.
    */
-  #noteAway(record: Suspicion, now: number): void {
-    record.awayUntil = now + this.#settings.awayMs;
+  #noteUnavailable(record: Suspicion, now: number): void {
+    record.unavailableUntil = now + this.#settings.unavailableMs;
   }
 
   /**
@@ -118,7 +123,7 @@
    * @param incarnation who was heard
    * @param now present time, monotonic milliseconds
    */
-  noteHeard(incarnation: string, now: number): void {
+  noteResponse(incarnation: string, now: number): void {
     const record = this.#byIncarnation.get(incarnation);
     if (!record) return;
     record.silent = 0;
@@ -129,7 +134,7 @@
       return;
     }
     const flapEnd = record.clearedAt + this.#settings.flapWindowMs;
-    const kept = now <= flapEnd || now < record.awayUntil;
+    const kept = now <= flapEnd || now < record.unavailableUntil;
     if (!kept) this.#byIncarnation.delete(incarnation);
   }
 
@@ -181,7 +186,7 @@
       failures: 0,
       probeAt: 0,
       probing: false,
-      awayUntil: 0,
+      unavailableUntil: 0,
       clearedAt: Number.NEGATIVE_INFINITY,
     };
     this.#byIncarnation.set(target.incarnation, made);
@@ -194,8 +199,8 @@
     // Many requests fail in the same moment: that is one failure.
     if (wasSuspect && now < record.probeAt) return;
     const flapped = now - record.clearedAt <= flapWindowMs;
-    const goesOn = wasSuspect || flapped;
-    record.failures = goesOn ? record.failures + 1 : 0;
+    const isRepeated = wasSuspect || flapped;
+    record.failures = isRepeated ? record.failures + 1 : 0;
     record.suspect = true;
     record.silent = 0;
     const doublings = Math.min(record.failures, MAX_DOUBLINGS);
--- a/packages/lovagepond-router/src/router_execution_record.ts
+++ b/packages/lovagepond-router/src/router_execution_record.ts
@@ -14,7 +14,7 @@
   | {
       readonly kind: 'place';
       /** A server named by a pointer or hand-over, or undefined. */
-      readonly wanted: string | undefined;
+      readonly preferred: string | undefined;
       /** Why the former attempt came to nothing; undefined for the first. */
       readonly after: Failure | undefined;
       /** The retry is paid from the pool's budget. */
@@ -25,7 +25,7 @@
 /** The step that a request starts with. */
 export const FIRST_PLACEMENT: NextStep = Object.freeze({
   kind: 'place',
-  wanted: undefined,
+  preferred: undefined,
   after: undefined,
   costsBudget: false,
 });
@@ -47,7 +47,7 @@
  * Refusals by a server that has left or not come yet. They put no load on it,
  * and during a planned leave there are more of them than a budget allows.
  */
-const FREE_KINDS: ReadonlySet<ErrorKind> = new Set([
+const BUDGET_EXEMPT_KINDS: ReadonlySet<ErrorKind> = new Set([
   'draining',
   'notReady',
   'wrongIncarnation',
@@ -109,31 +109,32 @@
     }
     this.#excluded.add(server);
     const {anotherAttempt} = answerFor(failure.kind);
-    if (!anotherAttempt || !this.#hasAttempts()) return this.afterAll(failure);
-    const costsBudget = !FREE_KINDS.has(failure.kind);
-    return {kind: 'place', wanted: undefined, after: failure, costsBudget};
+    if (!anotherAttempt || !this.#hasAttempts()) return this.finalStep(failure);
+    const costsBudget = !BUDGET_EXEMPT_KINDS.has(failure.kind);
+    return {kind: 'place', preferred: undefined, after: failure, costsBudget};
   }
 
   /**
    * @param server where the attempt was
    * @param failure why it is not known whether it has run
-   * @param untouched no byte of an answer has gone to the caller
+   * @param nothingDelivered no byte of an answer has gone to the caller
    * @returns the next step; another attempt only for a repeatable call
    */
   afterMayHaveRun(
     server: string,
     failure: Failure,
-    untouched: boolean,
+    nothingDelivered: boolean,
   ): NextStep {
     this.#uncertain = failure;
     this.#excluded.add(server);
-    const allowed = !this.#nonRepeatable && untouched && this.#hasAttempts();
+    const allowed =
+      !this.#nonRepeatable && nothingDelivered && this.#hasAttempts();
     if (!allowed || !SERVER_FAULTS.has(failure.kind)) {
-      return this.afterAll(failure);
+      return this.finalStep(failure);
     }
     return {
       kind: 'place',
-      wanted: undefined,
+      preferred: undefined,
       after: failure,
       costsBudget: true,
     };
@@ -147,10 +148,10 @@
   afterReconnect(server: string): NextStep {
     this.#hops += 1;
     if (this.#hops > this.#limits.maxHops) {
-      return this.afterAll(makeFailure('unreachable'));
+      return this.finalStep(makeFailure('unreachable'));
     }
     const after = makeFailure('unreachable');
-    return {kind: 'place', wanted: server, after, costsBudget: false};
+    return {kind: 'place', preferred: server, after, costsBudget: false};
   }
 
   /**
@@ -160,7 +161,7 @@
    * @param failure why there is no further attempt
    * @returns the final answer
    */
-  afterAll(failure: Failure): NextStep {
+  finalStep(failure: Failure): NextStep {
     return {kind: 'fail', failure: this.#uncertain ?? failure};
   }
 
@@ -178,17 +179,17 @@
     if (this.#hops > this.#limits.maxHops) {
       const {message, retryAfterMs} = failure;
       const details = {message, retryAfterMs};
-      return this.afterAll(makeFailure('overloaded', details));
+      return this.finalStep(makeFailure('overloaded', details));
     }
     if (failure.kind === 'handedOver') {
       this.#handOvers += 1;
       this.#excluded.add(server);
     }
-    const wanted = failure.kind === 'staleRevision' ? server : pointer;
-    this.#excluded.delete(wanted);
+    const preferred = failure.kind === 'staleRevision' ? server : pointer;
+    this.#excluded.delete(preferred);
     return {
       kind: 'place',
-      wanted: wanted || undefined,
+      preferred: preferred || undefined,
       after: failure,
       costsBudget: false,
     };
--- a/packages/lovagepond-router/src/router_frame_check.ts
+++ b/packages/lovagepond-router/src/router_frame_check.ts
@@ -11,12 +11,12 @@
 
 /** What to do with a frame. */
 export type FrameVerdict =
-  | {readonly kind: 'believe'}
+  | {readonly kind: 'accept'}
   | {readonly kind: 'drop'; readonly reason: DropReason}
   /** The sidecar refuses an attempt that was meant for its former self. */
   | {readonly kind: 'restarted'};
 
-const BELIEVE: FrameVerdict = Object.freeze({kind: 'believe'});
+const ACCEPT: FrameVerdict = Object.freeze({kind: 'accept'});
 
 function drop(reason: DropReason): FrameVerdict {
   return {kind: 'drop', reason};
@@ -57,5 +57,5 @@
   const meant = attempt.target.incarnation;
   if (frame.incarnation !== meant) return checkIncarnation(frame);
   if (contradictsStart(frame.body, state)) return drop('refusedAfterStart');
-  return BELIEVE;
+  return ACCEPT;
 }
--- a/packages/lovagepond-router/src/router_frame_failures.ts
+++ b/packages/lovagepond-router/src/router_frame_failures.ts
@@ -11,14 +11,17 @@
 import {type FailedBody, type RefusedBody} from './router_frames.js';
 
 /** Refusals of a server that takes nothing for now. */
-const AWAY_KINDS: ReadonlySet<ErrorKind> = new Set(['draining', 'notReady']);
+const UNAVAILABLE_KINDS: ReadonlySet<ErrorKind> = new Set([
+  'draining',
+  'notReady',
+]);
 
 /**
  * @param body a refusal
  * @returns true when the server would refuse the next request as well
  */
-export function saysAway(body: RefusedBody): boolean {
-  return AWAY_KINDS.has(body.errorKind);
+export function isUnavailableRefusal(body: RefusedBody): boolean {
+  return UNAVAILABLE_KINDS.has(body.errorKind);
 }
 
 /**
@@ -40,7 +43,7 @@
  */
 export function failureOfFailed(body: FailedBody): Failure {
   const {errorKind, retryAfterMs, message} = body;
-  const untrue = answerFor(errorKind).disposition === DISPOSITION.NOT_RUN;
+  const claimsNotRun = answerFor(errorKind).disposition === DISPOSITION.NOT_RUN;
   const details = message ? {retryAfterMs, message} : {retryAfterMs};
-  return makeFailure(untrue ? 'backendFailed' : errorKind, details);
+  return makeFailure(claimsNotRun ? 'backendFailed' : errorKind, details);
 }
--- a/packages/lovagepond-router/src/router_load_view.ts
+++ b/packages/lovagepond-router/src/router_load_view.ts
@@ -58,7 +58,7 @@
       this.#base[slot] = decodeLoad(loads[slot] as number);
     }
     this.#digestMeasuredAt = measuredAt;
-    this.#forgetSentBefore(measuredAt);
+    this.#expireSentBefore(measuredAt);
     this.#revision++;
   }
 
@@ -72,7 +72,7 @@
     this.#sent[slot] = (this.#sent[slot] as number) + tokens;
     const generation = this.#generations[slot] as number;
     this.#recent.push({slot, tokens, at: now, generation});
-    this.#forgetSentBefore(now - SENT_EXPIRY_MS);
+    this.#expireSentBefore(now - SENT_EXPIRY_MS);
     this.#revision++;
   }
 
@@ -131,7 +131,7 @@
     this.#generations = extend(this.#generations, size);
   }
 
-  #forgetSentBefore(time: number): void {
+  #expireSentBefore(time: number): void {
     let sent = this.#recent[this.#recentHead];
     while (sent && sent.at < time) {
       if (sent.generation === this.#generations[sent.slot]) {
--- a/packages/lovagepond-router/src/router_placement_rendezvous.ts
+++ b/packages/lovagepond-router/src/router_placement_rendezvous.ts
@@ -17,7 +17,7 @@
  * A server that became ready less long ago than this is young: chats that
  * return may have been served before it came, by the next of their order.
  */
-const YOUNG_MS = 3_600_000;
+const NEW_SERVER_MS = 3_600_000;
 
 function orderServers<Server extends PlacementServer>(
   hasher: KeyHasher,
@@ -180,18 +180,18 @@
     return {
       candidates: moveToFront(order, chosen),
       firstChoice,
-      warmCandidates: this.#findFormerHome(input, order),
+      warmCandidates: this.#findPreviousServer(input, order),
     };
   }
 
   /** Where a chat was at home just before its young first choice came. */
-  #findFormerHome<Server extends PlacementServer>(
+  #findPreviousServer<Server extends PlacementServer>(
     {request, now}: PlacementInput<Server>,
     order: readonly Server[],
   ): readonly Server[] {
     const {readySince} = serverAt(order, 0);
-    if (!request.returning || now - readySince >= YOUNG_MS) return [];
-    const home = order.find(server => server.readySince < readySince);
-    return home ? [home] : [];
+    if (!request.returning || now - readySince >= NEW_SERVER_MS) return [];
+    const previous = order.find(server => server.readySince < readySince);
+    return previous ? [previous] : [];
   }
 }
--- a/packages/lovagepond-router/src/router_prober.ts
+++ b/packages/lovagepond-router/src/router_prober.ts
@@ -8,7 +8,7 @@
 import {probeSidecar} from './router_sidecar_calls.js';
 
 /** What the prober needs. */
-export interface ProberParts {
+export interface ProberDependencies {
   readonly clock: Clock;
   readonly connections: SidecarConnections;
   readonly evidence: RouterEvidence;
@@ -19,10 +19,10 @@
 
 /** Sends the probes that the evidence asks for. */
 export class SidecarProber {
-  readonly #parts: ProberParts;
+  readonly #dependencies: ProberDependencies;
 
-  constructor(parts: ProberParts) {
-    this.#parts = parts;
+  constructor(dependencies: ProberDependencies) {
+    this.#dependencies = dependencies;
   }
 
   /**
@@ -30,20 +30,20 @@
    * @param revision the revision that this router holds
    */
   tick(now: number, revision: number): void {
-    for (const target of this.#parts.evidence.takeDueProbes(now)) {
-      this.#parts.onProbe();
+    for (const target of this.#dependencies.evidence.takeDueProbes(now)) {
+      this.#dependencies.onProbe();
       void this.#probe(target, revision);
     }
   }
 
   async #probe(target: AttemptTarget, revision: number): Promise<void> {
-    const {clock, connections, evidence, timeoutMs} = this.#parts;
+    const {clock, connections, evidence, timeoutMs} = this.#dependencies;
     const connection = await connections.openFresh(target.address);
     const answer =
       connection && (await probeSidecar(connection, revision, timeoutMs));
     const now = clock.now();
     if (answer?.incarnation === target.incarnation) {
-      evidence.noteHeard(target.incarnation, now);
+      evidence.noteResponse(target.incarnation, now);
     } else {
       evidence.noteProbeFailed(target, now);
     }
--- a/packages/lovagepond-router/src/router_quarantine.ts
+++ b/packages/lovagepond-router/src/router_quarantine.ts
@@ -59,13 +59,13 @@
 
 /** Knows suspected requests, and what control has to be told. */
 export class RequestQuarantine {
-  readonly #own = new CrashEvidence();
-  #told = new Map<string, Suspect>();
+  readonly #localEvidence = new CrashEvidence();
+  #suspectsFromControl = new Map<string, Suspect>();
   #unreported: ServerCrash[] = [];
   #answered = new Set<string>();
   /** The last answers; the oldest first. */
   readonly #answeredAt = new Map<string, number>();
-  #underWay: {crashes: ServerCrash[]; answered: Set<string>} | undefined;
+  #pendingReport: {crashes: ServerCrash[]; answered: Set<string>} | undefined;
 
   /**
    * @param crash a server that ended and this router's requests there
@@ -76,7 +76,7 @@
       request => !this.#wasAnswered(request, now),
     );
     const counted = {...crash, requests};
-    this.#own.noteCrash(counted, now);
+    this.#localEvidence.noteCrash(counted, now);
     this.#unreported.push(counted);
     if (this.#unreported.length > MAX_UNREPORTED) this.#unreported.shift();
   }
@@ -92,9 +92,9 @@
       if (this.#answeredAt.size <= MAX_ANSWERED) break;
       this.#answeredAt.delete(oldest);
     }
-    const isOwn = this.#own.forget(request);
-    const isTold = this.#told.delete(request);
-    if (isOwn || isTold) this.#answered.add(request);
+    const isLocal = this.#localEvidence.forget(request);
+    const isFromControl = this.#suspectsFromControl.delete(request);
+    if (isLocal || isFromControl) this.#answered.add(request);
   }
 
   /**
@@ -103,16 +103,16 @@
    * @returns what is known of it here
    */
   find(request: string, now: number): Suspect | undefined {
-    const own = this.#own.find(request, now);
-    const told = this.#told.get(request);
-    if (!own || !told) return own ?? told;
+    const local = this.#localEvidence.find(request, now);
+    const fromControl = this.#suspectsFromControl.get(request);
+    if (!local || !fromControl) return local ?? fromControl;
     const until = Math.max(
-      own.quarantinedUntil ?? 0,
-      told.quarantinedUntil ?? 0,
+      local.quarantinedUntil ?? 0,
+      fromControl.quarantinedUntil ?? 0,
     );
     return {
       request,
-      crashes: Math.max(own.crashes, told.crashes),
+      crashes: Math.max(local.crashes, fromControl.crashes),
       quarantinedUntil: until === 0 ? undefined : until,
     };
   }
@@ -129,7 +129,7 @@
 
   /** @returns known suspects, for the state dump */
   get size(): number {
-    return this.#told.size;
+    return this.#suspectsFromControl.size;
   }
 
   /**
@@ -138,14 +138,14 @@
    *     report is under way
    */
   takeReport(now: number): CrashReport | undefined {
-    if (this.#underWay) return undefined;
+    if (this.#pendingReport) return undefined;
     if (this.#unreported.length === 0 && this.#answered.size === 0) {
       return undefined;
     }
     const next = this.#unreported.splice(0, MAX_REPORTED);
-    this.#underWay = {crashes: next, answered: this.#answered};
+    this.#pendingReport = {crashes: next, answered: this.#answered};
     this.#answered = new Set();
-    const {crashes, answered} = this.#underWay;
+    const {crashes, answered} = this.#pendingReport;
     return {
       crashes: crashes.map(crash => ({
         backendServer: crash.server,
@@ -158,11 +158,11 @@
 
   /** @param isRecorded false when the report has to be told again */
   endReport(isRecorded: boolean): void {
-    const underWay = this.#underWay;
-    this.#underWay = undefined;
-    if (isRecorded || !underWay) return;
-    this.#unreported = [...underWay.crashes, ...this.#unreported];
-    for (const request of underWay.answered) this.#answered.add(request);
+    const pendingReport = this.#pendingReport;
+    this.#pendingReport = undefined;
+    if (isRecorded || !pendingReport) return;
+    this.#unreported = [...pendingReport.crashes, ...this.#unreported];
+    for (const request of pendingReport.answered) this.#answered.add(request);
   }
 
   /**
@@ -171,8 +171,8 @@
    * @returns requests that it newly puts into quarantine
    */
   apply({suspects}: WireUpdate, now: number): readonly string[] {
-    const former = this.#told;
-    this.#told = new Map();
+    const former = this.#suspectsFromControl;
+    this.#suspectsFromControl = new Map();
     const quarantined: string[] = [];
     for (const {request: bytes, crashes, quarantinedForMs} of suspects ?? []) {
       const request = Buffer.from(bytes ?? []).toString('hex');
@@ -182,7 +182,7 @@
       }
       const forMs = quarantinedForMs ?? 0;
       const quarantinedUntil = forMs > 0 ? now + forMs : undefined;
-      this.#told.set(request, {
+      this.#suspectsFromControl.set(request, {
         request,
         crashes: crashes ?? 0,
         quarantinedUntil,
@@ -201,9 +201,12 @@
 
   /** Control counts what it has recorded, and may have lifted it since. */
   #dropRecorded(now: number): void {
-    const waiting = [...this.#unreported, ...(this.#underWay?.crashes ?? [])];
-    this.#own.restore(undefined);
-    for (const crash of waiting) this.#own.noteCrash(crash, now);
+    const waiting = [
+      ...this.#unreported,
+      ...(this.#pendingReport?.crashes ?? []),
+    ];
+    this.#localEvidence.restore(undefined);
+    for (const crash of waiting) this.#localEvidence.noteCrash(crash, now);
   }
 }
 
--- a/packages/lovagepond-router/src/router_rendezvous.ts
+++ b/packages/lovagepond-router/src/router_rendezvous.ts
@@ -40,7 +40,7 @@
   /** Made at the first walk: a quarter of a megabyte. */
   #occupants: Int32Array | undefined;
   /** Next server at the same position, or NONE; filled with the occupants. */
-  readonly #nextSharers: Int32Array;
+  readonly #nextAtPosition: Int32Array;
 
   /**
    * @param servers distinct names, fewer than 65,536
@@ -52,7 +52,7 @@
     const keys = servers.map(server => hasher.hash(server.name));
     this.#positions = Uint16Array.from(keys, key => key.low % POSITION_COUNT);
     this.#tieBreakers = Int32Array.from(keys, key => key.high);
-    this.#nextSharers = new Int32Array(servers.length).fill(NONE);
+    this.#nextAtPosition = new Int32Array(servers.length).fill(NONE);
   }
 
   /**
@@ -62,16 +62,20 @@
    */
   order(chatKey: HashKey, count: number): number[] {
     const size = this.servers.length;
-    const wanted = Math.min(count, size);
+    const resultCount = Math.min(count, size);
     const key = makePermutationKey(chatKey);
-    const walkLength = (wanted * POSITION_COUNT) / (size + 1);
+    const walkLength = (resultCount * POSITION_COUNT) / (size + 1);
     return walkLength < size
-      ? this.#walk(key, chatKey, wanted)
-      : this.#compare(key, chatKey, wanted);
+      ? this.#orderByWalking(key, chatKey, resultCount)
+      : this.#orderByRanking(key, chatKey, resultCount);
   }
 
   /** Few servers: ranks each one and keeps the lowest ranks. */
-  #compare(key: PermutationKey, chatKey: HashKey, wanted: number): number[] {
+  #orderByRanking(
+    key: PermutationKey,
+    chatKey: HashKey,
+    resultCount: number,
+  ): number[] {
     const best: number[] = [];
     const ranks: number[] = [];
     for (let index = 0; index < this.servers.length; index++) {
@@ -83,10 +87,10 @@
       ) {
         place--;
       }
-      if (place >= wanted) continue;
+      if (place >= resultCount) continue;
       best.splice(place, 0, index);
       ranks.splice(place, 0, rank);
-      if (best.length > wanted) {
+      if (best.length > resultCount) {
         best.pop();
         ranks.pop();
       }
@@ -109,36 +113,40 @@
   }
 
   /** Many servers: walks the chat's permutation over occupied positions. */
-  #walk(key: PermutationKey, chatKey: HashKey, wanted: number): number[] {
+  #orderByWalking(
+    key: PermutationKey,
+    chatKey: HashKey,
+    resultCount: number,
+  ): number[] {
     const occupants = (this.#occupants ??= this.#makeOccupants());
     const best: number[] = [];
-    for (let rank = 0; best.length < wanted; rank++) {
+    for (let rank = 0; best.length < resultCount; rank++) {
       const occupant = occupants[positionOfRank(rank, key)] as number;
       if (occupant === NONE) continue;
-      const next = this.#nextSharers[occupant] as number;
+      const next = this.#nextAtPosition[occupant] as number;
       if (next === NONE) best.push(occupant);
-      else best.push(...this.#orderSharers(occupant, chatKey));
+      else best.push(...this.#orderAtPosition(occupant, chatKey));
     }
-    best.length = wanted;
+    best.length = resultCount;
     return best;
   }
 
   /** The servers that share a position, in the chat's order. */
-  #orderSharers(occupant: number, chatKey: HashKey): number[] {
-    const sharers: number[] = [];
+  #orderAtPosition(occupant: number, chatKey: HashKey): number[] {
+    const atPosition: number[] = [];
     let index = occupant;
     while (index !== NONE) {
-      sharers.push(index);
-      index = this.#nextSharers[index] as number;
+      atPosition.push(index);
+      index = this.#nextAtPosition[index] as number;
     }
-    return sharers.sort((a, b) => this.#compareTie(a, b, chatKey));
+    return atPosition.sort((a, b) => this.#compareTie(a, b, chatKey));
   }
 
   /** Position to the last server there, or NONE; chains those that share it. */
   #makeOccupants(): Int32Array {
     const occupants = new Int32Array(POSITION_COUNT).fill(NONE);
     this.#positions.forEach((position, index) => {
-      this.#nextSharers[index] = occupants[position] as number;
+      this.#nextAtPosition[index] = occupants[position] as number;
       occupants[position] = index;
     });
     return occupants;
--- a/packages/lovagepond-router/src/router_request.ts
+++ b/packages/lovagepond-router/src/router_request.ts
@@ -18,7 +18,7 @@
 import {
   failureOfFailed,
   failureOfRefusal,
-  saysAway,
+  isUnavailableRefusal,
 } from './router_frame_failures.js';
 import {
   type AcceptedBody,
@@ -52,7 +52,7 @@
   // One table for all requests: a request in flight should cost little.
   static readonly #eventHandlers: EventHandlers<RequestMachine> = {
     placed: (machine, event) => machine.#onPlaced(event),
-    notPlaced: (machine, event) => machine.#giveUp(event.failure),
+    notPlaced: (machine, event) => machine.#failRequest(event.failure),
     connectFailed: (machine, event) => machine.#onConnectFailed(event),
     sent: (machine, event, now) => machine.#onSent(event, now),
     frame: (machine, event, now) => machine.#onFrame(event.frame, now),
@@ -109,7 +109,7 @@
   start(): RequestAction[] {
     invariant(this.#state === REQUEST_STATE.RECEIVED, 500, 'started twice');
     this.#follow(FIRST_PLACEMENT, CLOSING.CONCLUDED);
-    return this.#take();
+    return this.#takeActions();
   }
 
   /**
@@ -120,13 +120,13 @@
   receive(event: RequestEvent, now: number): RequestAction[] {
     if (this.#state === REQUEST_STATE.DONE) {
       if (event.kind === 'frame') this.#drop('afterEnd');
-      return this.#take();
+      return this.#takeActions();
     }
     RequestMachine.#eventHandlers[event.kind](this, event as never, now);
-    return this.#take();
+    return this.#takeActions();
   }
 
-  #take(): RequestAction[] {
+  #takeActions(): RequestAction[] {
     const actions = this.#actions;
     this.#actions = [];
     return actions;
@@ -147,8 +147,8 @@
     this.#actions.push({...step, excluded: this.#record.excluded});
   }
 
-  #giveUp(failure: Failure): void {
-    this.#follow(this.#record.afterAll(failure), CLOSING.ABANDONED);
+  #failRequest(failure: Failure): void {
+    this.#follow(this.#record.finalStep(failure), CLOSING.ABANDONED);
   }
 
   #closeAttempt(closing: Closing): void {
@@ -211,8 +211,8 @@
     const verdict = checkFrame(frame, this.#attempt, this.#state);
     if (verdict.kind === 'drop') this.#drop(verdict.reason);
     if (verdict.kind === 'restarted') this.#onRestarted();
-    if (verdict.kind !== 'believe') return;
-    this.#watch.noteHeard(now);
+    if (verdict.kind !== 'accept') return;
+    this.#watch.noteFrame(now);
     const {body} = frame;
     RequestMachine.#bodyHandlers[body.kind](this, body as never, now);
   }
@@ -223,7 +223,7 @@
    * incarnation and run there.
    */
   #onRestarted(): void {
-    this.#addEvidence('away');
+    this.#addEvidence('unavailable');
     if (this.#watch.sends === 1) this.#notRun(makeFailure('wrongIncarnation'));
     else this.#mayHaveRun(makeFailure('backendFailed'), CLOSING.CONCLUDED);
   }
@@ -247,10 +247,10 @@
       this.#actions.push({kind: 'install', configuration});
     }
     if (body.errorKind === 'revoked' && this.#revoking) {
-      this.#onTakenBack(this.#revoking);
+      this.#onRevocationConfirmed(this.#revoking);
       return;
     }
-    if (saysAway(body)) this.#addEvidence('away');
+    if (isUnavailableRefusal(body)) this.#addEvidence('unavailable');
     this.#notRun(failureOfRefusal(body), body.pointer);
   }
 
@@ -298,9 +298,13 @@
   /** The open attempt may have run, perhaps in part. */
   #mayHaveRun(failure: Failure, closing: Closing): void {
     const {backendServer} = (this.#attempt as Attempt).target;
-    const untouched = !this.#relay.begun;
+    const nothingDelivered = !this.#relay.begun;
     const record = this.#record;
-    const step = record.afterMayHaveRun(backendServer, failure, untouched);
+    const step = record.afterMayHaveRun(
+      backendServer,
+      failure,
+      nothingDelivered,
+    );
     this.#follow(step, closing);
   }
 
@@ -317,7 +321,7 @@
     const reason = this.#revoking;
     if (attempt?.attemptId !== event.attemptId || !reason) return;
     if (event.outcome === 'revoked') {
-      this.#onTakenBack(reason);
+      this.#onRevocationConfirmed(reason);
       return;
     }
     this.#revoking = undefined;
@@ -328,14 +332,14 @@
   }
 
   /** The sidecar confirmed that the attempt was not dispatched. */
-  #onTakenBack(reason: RevokeReason): void {
+  #onRevocationConfirmed(reason: RevokeReason): void {
     const {backendServer} = (this.#attempt as Attempt).target;
     const failure = makeFailure('deadlineUnreachable');
     if (reason === REVOKE_REASON.CONNECTION_LOST) {
       const step = this.#record.afterReconnect(backendServer);
       this.#follow(step, CLOSING.CONCLUDED);
     } else if (this.#timing.nearDeadline) {
-      this.#follow(this.#record.afterAll(failure), CLOSING.CONCLUDED);
+      this.#follow(this.#record.finalStep(failure), CLOSING.CONCLUDED);
     } else {
       this.#notRun(failure);
     }
@@ -344,7 +348,7 @@
   #onTick(now: number): void {
     const due = this.#timing.findDue(this.#state, this.#watch, now);
     if (due === 'deadline') this.#onDeadline();
-    if (due === 'takeBack') this.#revoke(REVOKE_REASON.DEADLINE);
+    if (due === 'revoke') this.#revoke(REVOKE_REASON.DEADLINE);
     if (due !== 'silent') return;
     this.#addEvidence('silent');
     this.#reconnect(now);
@@ -354,7 +358,7 @@
     if (this.#watch.sends > 0 && this.#attempt) {
       this.#record.markUncertain(makeFailure('deadlineExceeded'));
     }
-    this.#giveUp(makeFailure('deadlineUnreachable'));
+    this.#failRequest(makeFailure('deadlineUnreachable'));
   }
 
   #finish(closing: Closing): void {
--- a/packages/lovagepond-router/src/router_request_host.ts
+++ b/packages/lovagepond-router/src/router_request_context.ts
@@ -23,14 +23,14 @@
 export interface PlacementQuery {
   readonly runner: RequestRunner;
   readonly excluded: ReadonlySet<string>;
-  readonly wanted: string | undefined;
+  readonly preferred: string | undefined;
   /** See the action of the same fields. */
   readonly after: Failure | undefined;
   readonly costsBudget: boolean;
 }
 
 /** The shared parts, as one request sees them. */
-export interface RunnerHost {
+export interface RunnerContext {
   readonly clock: Clock;
   readonly connections: SidecarConnections;
   readonly limits: RequestLimits;
--- a/packages/lovagepond-router/src/router_request_runner.ts
+++ b/packages/lovagepond-router/src/router_request_runner.ts
@@ -7,7 +7,7 @@
 import {type SidecarConnection} from './router_connections.js';
 import {type Eligible} from './router_eligibility.js';
 import {RequestMachine} from './router_request.js';
-import {type Placed, type RunnerHost} from './router_request_host.js';
+import {type Placed, type RunnerContext} from './router_request_context.js';
 import {fingerprintOf} from './router_quarantine.js';
 import {isReturning} from './router_request_estimate.js';
 import {
@@ -61,10 +61,11 @@
     write: (runner, {data}) => runner.#guard(runner.#write(data)),
     end: runner => runner.#end(),
     fail: (runner, {failure}) => runner.#fail(failure),
-    install: (runner, {configuration}) => runner.#host.install(configuration),
+    install: (runner, {configuration}) =>
+      runner.#context.install(configuration),
     evidence: (runner, {target, evidence}) =>
-      runner.#host.noteEvidence(target, evidence, runner.#now()),
-    drop: (runner, {reason}) => runner.#host.noteDrop(reason),
+      runner.#context.noteEvidence(target, evidence, runner.#now()),
+    drop: (runner, {reason}) => runner.#context.noteDrop(reason),
   };
 
   readonly request: CallerRequest;
@@ -72,7 +73,7 @@
   readonly fingerprint: string;
   /** The request's prompt holds an earlier answer of its chat. */
   readonly returning: boolean;
-  readonly #host: RunnerHost;
+  readonly #context: RunnerContext;
   #eligible: Eligible;
   readonly #sink: AnswerSink;
   readonly #machine: RequestMachine;
@@ -85,7 +86,7 @@
   #unregister: Unregister = () => {};
 
   constructor(
-    host: RunnerHost,
+    context: RunnerContext,
     request: CallerRequest,
     eligible: Eligible,
     sink: AnswerSink,
@@ -99,13 +100,13 @@
       body: request.bodyDigest,
     });
     this.returning = isReturning(request);
-    this.#host = host;
+    this.#context = context;
     this.#eligible = eligible;
     this.#sink = sink;
     const {requestId, deadline} = request;
     const {nonRepeatable} = eligible.requestKind;
     const facts = {requestId, deadline, nonRepeatable};
-    this.#machine = new RequestMachine(facts, host.limits);
+    this.#machine = new RequestMachine(facts, context.limits);
   }
 
   /** @returns where the request stands */
@@ -122,7 +123,7 @@
   start(): void {
     this.#unregister = this.#sink.onCancel(failure => {
       this.#receive({kind: 'callerGone'});
-      this.#host.noteDone(this, failure);
+      this.#context.noteDone(this, failure);
     });
     if (this.#sink.closed) return;
     this.#perform(this.#machine.start());
@@ -136,12 +137,12 @@
   /**
    * Ends the request, as servers crash while they run it.
    *
-   * @param unrun the answer if no server got it
+   * @param failureIfUnsent the answer if no server got it
    */
-  takeBack(unrun: Failure): void {
+  abortQuarantined(failureIfUnsent: Failure): void {
     const isUnsent = UNSENT.has(this.state);
     this.#receive({kind: 'callerGone'});
-    this.#fail(isUnsent ? unrun : makeFailure('backendFailed'));
+    this.#fail(isUnsent ? failureIfUnsent : makeFailure('backendFailed'));
   }
 
   /** Takes back the registration at the caller's side. */
@@ -150,7 +151,7 @@
   }
 
   #now(): number {
-    return this.#host.clock.now();
+    return this.#context.clock.now();
   }
 
   #receive(event: RequestEvent): void {
@@ -163,7 +164,7 @@
    */
   #guard(work: Promise<void>): void {
     work.catch((err: unknown) => {
-      this.#host.noteFault(this, err);
+      this.#context.noteFault(this, err);
     });
   }
 
@@ -174,9 +175,9 @@
   }
 
   #place(action: ActionOf<'place'>): void {
-    const {excluded, wanted, after, costsBudget} = action;
-    const query = {runner: this, excluded, wanted, after, costsBudget};
-    const placed = this.#host.place(query, this.#now());
+    const {excluded, preferred, after, costsBudget} = action;
+    const query = {runner: this, excluded, preferred, after, costsBudget};
+    const placed = this.#context.place(query, this.#now());
     if (!('server' in placed)) {
       this.#receive({kind: 'notPlaced', failure: placed});
       return;
@@ -213,7 +214,7 @@
     const message = this.#makeMessage(action);
     return openAttempt(connection, message, {
       onFrame: frame => {
-        this.#host.noteFrame(this, frame, this.#now());
+        this.#context.noteFrame(this, frame, this.#now());
         this.#receive({kind: 'frame', frame});
       },
       onEnd: () => {
@@ -229,7 +230,7 @@
   ): Promise<SidecarConnection | undefined> {
     const silent = freshConnection ? this.#connection : undefined;
     const {address} = attempt.target;
-    return this.#host.connections.open(address, silent);
+    return this.#context.connections.open(address, silent);
   }
 
   /**
@@ -241,12 +242,12 @@
     freshConnection: boolean,
   ): Promise<SidecarConnection | undefined> {
     const connection = await this.#connect(attempt, freshConnection);
-    const newer = this.#host.configurationFor(attempt.target);
+    const newer = this.#context.configurationFor(attempt.target);
     if (!connection || !newer) return connection;
     if (await this.#install(connection, newer)) return connection;
     // The connection may have gone silent: a fresh one tells.
     const {address} = attempt.target;
-    const fresh = await this.#host.connections.open(address, connection);
+    const fresh = await this.#context.connections.open(address, connection);
     return fresh && (await this.#install(fresh, newer)) ? fresh : undefined;
   }
 
@@ -254,7 +255,7 @@
     connection: SidecarConnection,
     configuration: Uint8Array,
   ): Promise<boolean> {
-    const limit = this.#host.limits.firstFrameAfterMs;
+    const limit = this.#context.limits.firstFrameAfterMs;
     const held = await installConfiguration(connection, configuration, limit);
     return held !== undefined;
   }
@@ -289,7 +290,7 @@
       estimatedTokens: request.estimatedTokens,
       path: request.path,
       body: request.body,
-      revision: this.#host.heldRevision(),
+      revision: this.#context.heldRevision(),
       nonRepeatable: requestKind.nonRepeatable,
       firstChoice: firstChoice?.name ?? '',
       firstChoiceAddress: firstChoice?.address ?? '',
@@ -311,7 +312,7 @@
           connection,
           attemptId,
           target.incarnation,
-          this.#host.revokeTimeoutMs,
+          this.#context.revokeTimeoutMs,
         )
       : 'lost';
     this.#receive({kind: 'revoked', attemptId, outcome});
@@ -327,15 +328,15 @@
    */
   #close({attempt, abandoned}: ActionOf<'close'>): void {
     if (abandoned) {
-      this.#guard(this.#giveUp(attempt));
+      this.#guard(this.#revokeAbandoned(attempt));
       this.#stream?.cancel();
     }
     this.#stream = undefined;
     this.#connection = undefined;
   }
 
-  async #giveUp({attemptId, target}: Attempt): Promise<void> {
-    const {connections, revokeTimeoutMs} = this.#host;
+  async #revokeAbandoned({attemptId, target}: Attempt): Promise<void> {
+    const {connections, revokeTimeoutMs} = this.#context;
     const connection = await connections.open(target.address);
     if (!connection) return;
     const {incarnation} = target;
@@ -344,13 +345,13 @@
 
   #end(): void {
     this.#sink.end();
-    this.#host.noteDone(this, undefined);
+    this.#context.noteDone(this, undefined);
   }
 
   #fail(failure: Failure): void {
-    const complete = this.#host.completeFailure(failure, this.#now());
+    const complete = this.#context.completeFailure(failure, this.#now());
     this.#sink.fail(complete);
-    this.#host.noteDone(this, complete);
+    this.#context.noteDone(this, complete);
   }
 
   /** Frames wait in the connection while the caller can take no more. */
--- a/packages/lovagepond-router/src/router_request_timing.ts
+++ b/packages/lovagepond-router/src/router_request_timing.ts
@@ -14,7 +14,7 @@
   /** The deadline has passed. */
   | 'deadline'
   /** The deadline is near and the attempt not dispatched: take it back. */
-  | 'takeBack'
+  | 'revoke'
   /** The attempt's connection has been silent for too long. */
   | 'silent'
   | 'nothing';
@@ -74,7 +74,7 @@
     const near = now >= this.#deadline - this.#limits.revokeLeadMs;
     if (undispatched && near && !this.#nearDeadline) {
       this.#nearDeadline = true;
-      return 'takeBack';
+      return 'revoke';
     }
     if (!undispatched && !wasDispatched(state)) return 'nothing';
     const answered = state !== REQUEST_STATE.OFFERED;
--- a/packages/lovagepond-router/src/router_request_types.ts
+++ b/packages/lovagepond-router/src/router_request_types.ts
@@ -98,7 +98,7 @@
   /** One connection fell silent or broke. */
   | 'silent'
   /** The sidecar says that its server takes nothing for now. */
-  | 'away'
+  | 'unavailable'
   /** No fresh connection could be made. */
   | 'unreachable';
 
@@ -110,7 +110,7 @@
       /** Names of servers tried before. */
       readonly excluded: ReadonlySet<string>;
       /** A server named by a pointer or hand-over, or undefined. */
-      readonly wanted: string | undefined;
+      readonly preferred: string | undefined;
       /** Why the former attempt came to nothing; undefined for the first. */
       readonly after: Failure | undefined;
       /** The retry is paid from the pool's budget. */
--- a/packages/lovagepond-router/src/router_retry_budget.ts
+++ b/packages/lovagepond-router/src/router_retry_budget.ts
@@ -12,7 +12,7 @@
 }
 
 /** Retries that a quiet pool may make, and the most that can be saved up. */
-const RESERVE = 10;
+const MAX_SAVED_RETRIES = 10;
 
 /** Token buckets filled by first attempts and emptied by retries. */
 export class RetryBudget {
@@ -26,7 +26,7 @@
   /** @param pool the pool that a first attempt goes to */
   noteFirstAttempt(pool: string): void {
     const saved = this.retriesLeft(pool) + this.#settings.retryFraction;
-    this.#byPool.set(pool, Math.min(RESERVE, saved));
+    this.#byPool.set(pool, Math.min(MAX_SAVED_RETRIES, saved));
   }
 
   /**
@@ -45,7 +45,7 @@
    * @returns retries it may make now
    */
   retriesLeft(pool: string): number {
-    return this.#byPool.get(pool) ?? RESERVE;
+    return this.#byPool.get(pool) ?? MAX_SAVED_RETRIES;
   }
 
   /** @param pools the pools that still exist */
--- a/packages/lovagepond-router/src/router_revisions.ts
+++ b/packages/lovagepond-router/src/router_revisions.ts
@@ -28,7 +28,7 @@
   #configuration = EMPTY_CONFIGURATION;
   #confirmedRevision: number | undefined;
   readonly #bySidecar = new Map<string, number>();
-  #controlHeardAt = Number.NEGATIVE_INFINITY;
+  #lastControlMessageAt = Number.NEGATIVE_INFINITY;
   /** The configuration as it travels, made once per revision. */
   #encoded: Uint8Array = new Uint8Array();
 
@@ -70,7 +70,7 @@
    * @param incarnation a sidecar incarnation
    * @param revision the revision that it says it holds
    */
-  noteSidecar(incarnation: string, revision: number): void {
+  noteSidecarRevision(incarnation: string, revision: number): void {
     this.#bySidecar.set(incarnation, revision);
   }
 
@@ -91,8 +91,8 @@
   }
 
   /** @param now when something came from a control member, monotonic ms */
-  noteControl(now: number): void {
-    this.#controlHeardAt = now;
+  noteControlMessage(now: number): void {
+    this.#lastControlMessageAt = now;
   }
 
   /** @returns true when the held revision is no older than a majority's was */
@@ -105,8 +105,8 @@
    * @param now present time, monotonic milliseconds
    * @returns true when control has been out of reach for too long
    */
-  isIsland(now: number): boolean {
-    return now - this.#controlHeardAt > this.#settings.islandAfterMs;
+  isControlUnreachable(now: number): boolean {
+    return now - this.#lastControlMessageAt > this.#settings.islandAfterMs;
   }
 
   /**
@@ -116,6 +116,6 @@
   mayServe(now: number): boolean {
     if (!this.isConfirmed()) return false;
     if (this.#settings.islandPolicy === ISLAND_POLICY.SERVE) return true;
-    return !this.isIsland(now);
+    return !this.isControlUnreachable(now);
   }
 }
--- a/packages/lovagepond-router/src/router_role.ts
+++ b/packages/lovagepond-router/src/router_role.ts
@@ -40,7 +40,7 @@
 }
 
 /** What a router needs besides its settings. */
-export interface RouterParts {
+export interface RouterDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly random: Random;
@@ -55,7 +55,7 @@
 type UpdateHandler = (update: ControlUpdate, now: number) => void;
 
 /** What exists once the hasher is loaded. */
-interface Running {
+interface RunningComponents {
   readonly dispatcher: RouterDispatcher;
   readonly prober: SidecarProber;
   readonly front: CallerFront;
@@ -64,7 +64,7 @@
 /** One router. */
 export class RouterRole implements Role {
   readonly #settings: RouterSettings;
-  readonly #parts: RouterParts;
+  readonly #dependencies: RouterDependencies;
   readonly #counters = new RouterCounters();
   readonly #load = new RouterLoadView();
   readonly #evidence: RouterEvidence;
@@ -72,9 +72,9 @@
   readonly #state: RouterState;
   readonly #link: ControlLink;
   readonly #quarantine = new RequestQuarantine();
-  readonly #crashes: CrashReporter;
+  readonly #crashReporter: CrashReporter;
   #choice: ServerChoice | undefined;
-  #running: Running | undefined;
+  #running: RunningComponents | undefined;
   #timer: NodeJS.Timeout | undefined;
   #draining = false;
 
@@ -96,8 +96,10 @@
     },
     quarantine: ({quarantine}, now) => {
       for (const request of this.#quarantine.apply(quarantine ?? {}, now)) {
-        this.#parts.log.warn('request quarantined', {fingerprint: request});
-        this.#running?.dispatcher.takeBack(request, now);
+        this.#dependencies.log.warn('request quarantined', {
+          fingerprint: request,
+        });
+        this.#running?.dispatcher.abortQuarantined(request, now);
       }
     },
     // The link keeps them.
@@ -107,14 +109,14 @@
     readings: () => {},
   };
 
-  constructor(settings: RouterSettings, parts: RouterParts) {
+  constructor(settings: RouterSettings, dependencies: RouterDependencies) {
     this.#settings = settings;
-    this.#parts = parts;
-    const {random, log} = parts;
+    this.#dependencies = dependencies;
+    const {random, log} = dependencies;
     this.#evidence = new RouterEvidence(DEFAULT_EVIDENCE_SETTINGS, random);
     this.#connections = new SidecarConnections(settings.connectTimeoutMs);
-    this.#crashes = new CrashReporter({
-      clock: parts.clock,
+    this.#crashReporter = new CrashReporter({
+      clock: dependencies.clock,
       quarantine: this.#quarantine,
       report: report => this.#link.reportCrashes(report),
     });
@@ -135,7 +137,7 @@
       onUpdate: (update: ControlUpdate, now: number) =>
         this.#onUpdate(update, now),
     };
-    this.#link = new ControlLink(settings, facts, {...parts, listener});
+    this.#link = new ControlLink(settings, facts, {...dependencies, listener});
   }
 
   /** @returns the port for callers, once started */
@@ -145,7 +147,7 @@
 
   /** See {@link Role.start}. */
   async start(): Promise<void> {
-    const running = await this.#assemble();
+    const running = await this.#createComponents();
     this.#running = running;
     await running.front.start();
     this.#link.start();
@@ -157,7 +159,7 @@
   /** See {@link Role.isReady}. */
   isReady(): boolean {
     if (this.#draining || !this.#running) return false;
-    return this.#state.mayServe(this.#parts.clock.now());
+    return this.#state.mayServe(this.#dependencies.clock.now());
   }
 
   /**
@@ -205,9 +207,9 @@
     return {version: DUMP_VERSION, role: 'router', state};
   }
 
-  async #assemble(): Promise<Running> {
+  async #createComponents(): Promise<RunningComponents> {
     const settings = this.#settings;
-    const {clock, log, random, createFront} = this.#parts;
+    const {clock, log, random, createFront} = this.#dependencies;
     const hasher = await loadKeyHasher();
     const choice = new ServerChoice({
       policy: PLACEMENT_POLICIES[settings.placementPolicy](hasher),
@@ -226,7 +228,7 @@
       counters: this.#counters,
       connections: this.#connections,
       quarantine: this.#quarantine,
-      crashes: this.#crashes,
+      crashes: this.#crashReporter,
     };
     const dispatcher = new RouterDispatcher(settings, {
       ...shared,
@@ -241,16 +243,16 @@
     return {dispatcher, prober, front: createFront(dispatcher)};
   }
 
-  #tick({dispatcher, prober}: Running): void {
-    const now = this.#parts.clock.now();
+  #tick({dispatcher, prober}: RunningComponents): void {
+    const now = this.#dependencies.clock.now();
     this.#link.tick(now);
     dispatcher.tick(now);
-    this.#crashes.tick(now);
+    this.#crashReporter.tick(now);
     prober.tick(now, this.#state.revision);
   }
 
   #onUpdate(update: ControlUpdate, now: number): void {
-    this.#state.revisions.noteControl(now);
+    this.#state.revisions.noteControlMessage(now);
     const handle = this.#updateHandlers[update.kind ?? 'heartbeat'];
     handle(update, now);
   }
--- a/packages/lovagepond-router/src/router_server_choice.ts
+++ b/packages/lovagepond-router/src/router_server_choice.ts
@@ -26,7 +26,7 @@
   /** Names of servers not to choose. */
   readonly excluded: ReadonlySet<string>;
   /** A server named by a pointer or hand-over, or undefined. */
-  readonly wanted: string | undefined;
+  readonly preferred: string | undefined;
 }
 
 /** A backend server chosen for a request, with what its sidecar is told. */
@@ -41,7 +41,7 @@
 }
 
 /** What {@link ServerChoice} decides with. */
-export interface ChoiceParts {
+export interface ChoiceDependencies {
   readonly policy: PlacementPolicy;
   readonly hasher: KeyHasher;
   readonly load: RouterLoadView;
@@ -56,7 +56,7 @@
  * server of a router's first list old, that router would send every returning
  * chat there, away from where the others had just begun it.
  */
-const FIRST_LISTS_MS = 10_000;
+const INITIAL_MEMBERSHIP_MS = 10_000;
 
 interface Candidate extends PlacementServer {
   readonly server: BackendServer;
@@ -64,13 +64,13 @@
 
 /** Keeps a table of servers for each eligible set in use. */
 export class ServerChoice {
-  readonly #parts: ChoiceParts;
+  readonly #dependencies: ChoiceDependencies;
   readonly #tables = new WeakMap<EligibleSet, RendezvousTable<Candidate>>();
   readonly #readySince = new Map<string, number>();
   #firstListedAt: number | undefined;
 
-  constructor(parts: ChoiceParts) {
-    this.#parts = parts;
+  constructor(dependencies: ChoiceDependencies) {
+    this.#dependencies = dependencies;
   }
 
   /**
@@ -79,7 +79,7 @@
    */
   useMembership(membership: Membership, now: number): void {
     this.#firstListedAt ??= now;
-    const settled = now - this.#firstListedAt >= FIRST_LISTS_MS;
+    const settled = now - this.#firstListedAt >= INITIAL_MEMBERSHIP_MS;
     const since = settled ? now : Number.NEGATIVE_INFINITY;
     for (const name of this.#readySince.keys()) {
       if (!membership.servers.has(name)) this.#readySince.delete(name);
@@ -101,14 +101,15 @@
     const placement = this.#order(query, pool, table, now);
     const {candidates, firstChoice} = placement;
     const server =
-      this.#findWanted(query, now) ?? this.#pick(query, candidates, table, now);
+      this.#findPreferred(query, now) ??
+      this.#pick(query, candidates, table, now);
     if (!server) return undefined;
-    const away = server.name !== firstChoice.name;
+    const isElsewhere = server.name !== firstChoice.name;
     return {
       server,
-      firstChoice: away ? firstChoice.server : undefined,
-      warmCandidates: this.#nameWarm(query, placement, now),
-      poolMeanTokens: this.#parts.load.meanOf(table.slots),
+      firstChoice: isElsewhere ? firstChoice.server : undefined,
+      warmCandidates: this.#listWarmCandidates(query, placement, now),
+      poolMeanTokens: this.#dependencies.load.meanOf(table.slots),
     };
   }
 
@@ -127,7 +128,7 @@
     table: RendezvousTable<Candidate>,
     now: number,
   ): Placement<Candidate> {
-    const {policy, load, random} = this.#parts;
+    const {policy, load, random} = this.#dependencies;
     const {request} = query;
     const servers = table;
     return policy.place({request, servers, load, settings, now, random});
@@ -138,25 +139,27 @@
    * server. Named again to the first choice, they would let it send the
    * request round in a circle.
    */
-  #nameWarm(
-    {wanted, excluded}: ChoiceQuery,
+  #listWarmCandidates(
+    {preferred, excluded}: ChoiceQuery,
     {warmCandidates = []}: Placement<Candidate>,
     now: number,
   ): string[] {
     return warmCandidates
-      .filter(item => wanted === undefined || item.name === wanted)
+      .filter(item => preferred === undefined || item.name === preferred)
       .filter(item => !excluded.has(item.name))
-      .filter(item => !this.#parts.isSuspect(item.server, now))
+      .filter(item => !this.#dependencies.isSuspect(item.server, now))
       .map(item => item.name);
   }
 
-  #findWanted(
-    {set, wanted, excluded}: ChoiceQuery,
+  #findPreferred(
+    {set, preferred, excluded}: ChoiceQuery,
     now: number,
   ): BackendServer | undefined {
-    if (wanted === undefined || excluded.has(wanted)) return undefined;
-    const found = set.servers.find(server => server.name === wanted);
-    return found && !this.#parts.isSuspect(found, now) ? found : undefined;
+    if (preferred === undefined || excluded.has(preferred)) return undefined;
+    const found = set.servers.find(server => server.name === preferred);
+    return found && !this.#dependencies.isSuspect(found, now)
+      ? found
+      : undefined;
   }
 
   /**
@@ -171,15 +174,17 @@
     now: number,
   ): BackendServer | undefined {
     const isSuspect = (item: Candidate): boolean =>
-      this.#parts.isSuspect(item.server, now);
-    const preferred = candidates.find(
+      this.#dependencies.isSuspect(item.server, now);
+    const candidate = candidates.find(
       item => !excluded.has(item.name) && !isSuspect(item),
     );
-    if (preferred) return preferred.server;
+    if (candidate) return candidate.server;
     const rest = table.servers.filter(item => !excluded.has(item.name));
     const trusted = rest.filter(item => !isSuspect(item));
     const pool = trusted.length > 0 ? trusted : rest;
-    return pool.length > 0 ? this.#parts.random.pick(pool).server : undefined;
+    return pool.length > 0
+      ? this.#dependencies.random.pick(pool).server
+      : undefined;
   }
 
   #tableOf(set: EligibleSet): RendezvousTable<Candidate> {
@@ -191,7 +196,7 @@
       readySince: this.#readySince.get(server.name) ?? 0,
       server,
     }));
-    const table = new RendezvousTable(candidates, this.#parts.hasher);
+    const table = new RendezvousTable(candidates, this.#dependencies.hasher);
     this.#tables.set(set, table);
     return table;
   }
--- a/packages/lovagepond-scenarios/src/world/routed_request.ts
+++ b/packages/lovagepond-scenarios/src/world/routed_request.ts
@@ -134,7 +134,7 @@
   #makeHandlers(): Handlers {
     return {
       place: action => {
-        this.#place(action.excluded, action.wanted);
+        this.#place(action.excluded, action.preferred);
       },
       offer: ({attempt, resumeFrom, freshConnection}) => {
         this.offers.push({attempt, resumeFrom, freshConnection});
