--- a/packages/lovagepond-router/src/router_answer.ts
+++ b/packages/lovagepond-router/src/router_answer.ts
@@ -1,13 +1,14 @@
 /**
- * Decides whether an answer is whole.
+ * Assembles an answer and decides whether it is complete.
  *
- * An answer is a run of bytes without gaps that ends with its total. It may be
- * interrupted and go on from the delivered offset, but only in the attempt of
- * the same sidecar incarnation that began it: two generations of a model
- * differ, so joining them would give the caller a text that no engine wrote.
+ * An answer is a sequence of bytes without gaps, followed by an end marker with
+ * its total length. After an interruption it may resume from the delivered
+ * offset, but only in the same attempt at the same sidecar incarnation. Two
+ * generations of a model differ, so joining them would give the caller a text
+ * that no engine generated.
  */
 
-/** Which generation of an answer some bytes belong to. */
+/** The generation of an answer that a piece belongs to. */
 export interface AnswerSource {
   readonly attemptId: string;
   readonly incarnation: string;
@@ -16,14 +17,14 @@
 /** What to do with a piece of an answer. */
 export type PieceVerdict =
   | {readonly kind: 'deliver'; readonly data: Uint8Array}
-  /** All of it was delivered before. */
+  /** All bytes of the piece were delivered before. */
   | {readonly kind: 'duplicate'}
-  /** Bytes before it are missing. */
+  /** Bytes before the piece are missing. */
   | {readonly kind: 'gap'}
-  /** Another generation's bytes: joining them is forbidden. */
+  /** The piece is from another generation and must not be joined. */
   | {readonly kind: 'foreign'};
 
-/** What an end marker means for the bytes delivered. */
+/** How the delivered bytes compare to the end marker's total length. */
 export type EndVerdict = 'whole' | 'truncated' | 'overlong';
 
 /** Joins the pieces of one answer. */
@@ -31,14 +32,14 @@
   #delivered = 0;
   #source: AnswerSource | undefined;
 
-  /** @returns bytes delivered so far, from offset 0 without a gap */
+  /** @returns number of bytes delivered, from offset 0 without a gap */
   get deliveredBytes(): number {
     return this.#delivered;
   }
 
   /**
    * @param source an attempt at one sidecar incarnation
-   * @returns true when its bytes may follow those delivered
+   * @returns true when its bytes may follow the delivered ones
    */
   mayContinueWith(source: AnswerSource): boolean {
     if (this.#delivered === 0 || !this.#source) return true;
@@ -50,9 +51,9 @@
 
   /**
    * @param source the attempt that the piece came from
-   * @param offset position of its first byte in the whole answer
+   * @param offset position of the piece's first byte in the answer
    * @param data the piece
-   * @returns what to do; `deliver` counts its bytes as delivered
+   * @returns what to do with the piece; `deliver` counts its bytes as delivered
    */
   accept(source: AnswerSource, offset: number, data: Uint8Array): PieceVerdict {
     if (!this.mayContinueWith(source)) return {kind: 'foreign'};
@@ -66,8 +67,8 @@
   }
 
   /**
-   * @param totalBytes the whole answer's length, from its end marker
-   * @returns whether the delivered bytes are the whole answer
+   * @param totalBytes the answer's total length, from its end marker
+   * @returns whether the delivered bytes are the complete answer
    */
   finish(totalBytes: number): EndVerdict {
     if (totalBytes > this.#delivered) return 'truncated';
--- a/packages/lovagepond-router/src/router_answer_relay.ts
+++ b/packages/lovagepond-router/src/router_answer_relay.ts
@@ -1,5 +1,5 @@
 /**
- * Turns an answer's frames into what goes to the caller.
+ * Relays the frames of an answer to the caller.
  */
 import {AnswerAssembler} from './router_answer.js';
 import {type ChunkBody, type EndBody} from './router_frames.js';
@@ -8,10 +8,10 @@
 const DEFAULT_STATUS = 200;
 const DEFAULT_CONTENT_TYPE = 'application/octet-stream';
 
-/** What a frame of the answer meant. */
+/** The result of relaying a piece of the answer. */
 export type RelayVerdict = 'delivered' | 'dropped' | 'gap';
 
-/** What the end marker meant. */
+/** The result of relaying the end marker. */
 export type RelayEnd = 'whole' | 'truncated' | 'overlong';
 
 interface AnswerHead {
@@ -19,7 +19,7 @@
   readonly contentType: string;
 }
 
-/** Relays one answer; its actions go to the list it was made with. */
+/** Relays one answer by emitting actions for the runner. */
 export class AnswerRelay {
   readonly #answer = new AnswerAssembler();
   readonly #push: (action: RequestAction) => void;
@@ -29,12 +29,12 @@
     this.#push = push;
   }
 
-  /** @returns true when some of the answer has gone to the caller */
+  /** @returns true when a part of the answer was sent to the caller */
   get begun(): boolean {
     return this.#begun;
   }
 
-  /** @returns bytes of the answer that have gone to the caller */
+  /** @returns number of bytes of the answer that were sent to the caller */
   get deliveredBytes(): number {
     return this.#answer.deliveredBytes;
   }
@@ -42,7 +42,7 @@
   /**
    * @param attempt the attempt that the piece belongs to
    * @param body the piece
-   * @returns what it meant
+   * @returns what was done with the piece
    */
   relay(attempt: Attempt, body: ChunkBody): RelayVerdict {
     const {attemptId, target} = attempt;
@@ -64,7 +64,7 @@
 
   /**
    * @param body the end marker
-   * @returns whether the answer is whole; only then has it ended
+   * @returns whether the answer is complete; only then is it ended
    */
   end(body: EndBody): RelayEnd {
     const verdict = this.#answer.finish(body.totalBytes);
--- a/packages/lovagepond-router/src/router_attempt_watch.ts
+++ b/packages/lovagepond-router/src/router_attempt_watch.ts
@@ -1,15 +1,15 @@
 /**
- * Watches one attempt's connection for silence.
+ * Detects that one attempt's connection has gone silent.
  */
 
-/** Settings of {@link AttemptWatch}, as in the router's settings. */
+/** Settings of {@link AttemptWatch}; see the router's settings. */
 export interface WatchLimits {
   readonly maxReattaches: number;
   readonly attemptSilentAfterMs: number;
   readonly firstFrameAfterMs: number;
 }
 
-/** How often an attempt was sent, and when its sidecar was heard last. */
+/** Counts an attempt's sends and tracks when its last frame arrived. */
 export class AttemptWatch {
   readonly #limits: WatchLimits;
   #sends = 0;
@@ -26,23 +26,23 @@
     return this.#sends;
   }
 
-  /** @param now when the attempt was sent, monotonic milliseconds */
+  /** @param now when the attempt was sent, in monotonic milliseconds */
   noteSent(now: number): void {
     this.#sends += 1;
     this.#lastFrameAt = now;
   }
 
-  /** @param now when a frame came, monotonic milliseconds */
+  /** @param now when a frame arrived, in monotonic milliseconds */
   noteFrame(now: number): void {
     this.#lastFrameAt = now;
   }
 
   /**
-   * While the caller takes nothing in, frames wait unread: that is not the
-   * sidecar's silence.
+   * Suspends silence detection while the caller doesn't read: frames then wait
+   * unread, although the sidecar sends them.
    *
    * @param blocked true while frames aren't read
-   * @param now present time, monotonic milliseconds
+   * @param now current time, monotonic milliseconds
    */
   setBlocked(blocked: boolean, now: number): void {
     this.#blocked = blocked;
@@ -50,8 +50,8 @@
   }
 
   /**
-   * @param now present time, monotonic milliseconds
-   * @param answered some frame of the attempt has come before
+   * @param now current time, monotonic milliseconds
+   * @param answered true when a frame of the attempt has arrived
    * @returns true when the connection has been silent for too long
    */
   isSilent(now: number, answered: boolean): boolean {
@@ -63,8 +63,8 @@
   }
 
   /**
-   * @param now present time, monotonic milliseconds
-   * @returns false when no further connection may be tried
+   * @param now current time, monotonic milliseconds
+   * @returns false when the attempt has used up its reconnections
    */
   tryReconnect(now: number): boolean {
     if (this.#reconnects >= this.#limits.maxReattaches) return false;
--- a/packages/lovagepond-router/src/router_connections.ts
+++ b/packages/lovagepond-router/src/router_connections.ts
@@ -1,5 +1,5 @@
 /**
- * One gRPC connection to each sidecar in use, replaced when it falls silent.
+ * Keeps one gRPC connection to each sidecar and replaces silent ones.
  */
 import {
   type ChannelOptions,
@@ -8,13 +8,13 @@
   credentials,
 } from '@grpc/grpc-js';
 
-/** Largest frame taken from a sidecar, bytes. */
+/** Largest frame accepted from a sidecar, in bytes. */
 const MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
 const CHANNEL_OPTIONS: ChannelOptions = {
-  // Shared subchannels would make a "fresh" connection the silent one again.
+  // With shared subchannels, a new client would reuse the silent connection.
   'grpc.use_local_subchannel_pool': 1,
-  // The library must not resend an attempt that may have arrived.
+  // The library must not retry an attempt that may have reached the sidecar.
   'grpc.enable_retries': 0,
   'grpc.max_receive_message_length': MAX_FRAME_BYTES,
   'grpc.initial_reconnect_backoff_ms': 100,
@@ -22,7 +22,7 @@
   'grpc.enable_http_proxy': 0,
 };
 
-/** A connection that is up, with the streams that use it counted. */
+/** A connection with a reference count of the streams that use it. */
 export class SidecarConnection {
   readonly client: Client;
   #streams = 0;
@@ -37,16 +37,17 @@
     );
   }
 
-  /** @returns true when calls can be sent at once */
+  /** @returns true when calls can be sent immediately */
   isUp(): boolean {
     const state = this.client.getChannel().getConnectivityState(false);
     return state === connectivityState.READY;
   }
 
   /**
-   * A call or stream starts to use the connection. The library throws at a
-   * call on a closed channel; uncaught, one request whose connection another
-   * has just given up would end the process and every stream in it.
+   * Registers a call or stream that uses the connection. The library throws on
+   * a call over a closed channel. When another request has just closed the
+   * connection, this error, if uncaught, would end the process and all of its
+   * streams.
    *
    * @returns false when the connection is closed and must not be used
    */
@@ -56,24 +57,24 @@
     return true;
   }
 
-  /** A stream that used the connection has ended. */
+  /** Unregisters a call or stream that has ended. */
   release(): void {
     this.#streams -= 1;
     this.#closeWhenUnused();
   }
 
-  /** No new streams; closes once the last stream has ended. */
+  /** Marks the connection as replaced; it closes after its last stream. */
   retire(): void {
     this.#retired = true;
     this.#closeWhenUnused();
   }
 
   /**
-   * Waits until the connection is up. A refused connection fails at once and
-   * not at the time limit.
+   * Waits until the connection is up. A refused connection fails immediately
+   * instead of at the timeout.
    *
-   * @param timeoutMs longest time to wait
-   * @returns false when it could not be made
+   * @param timeoutMs longest time to wait, in milliseconds
+   * @returns false when the connection could not be established
    */
   connect(timeoutMs: number): Promise<boolean> {
     const channel = this.client.getChannel();
@@ -89,7 +90,7 @@
     });
   }
 
-  /** Ends at once, with all streams. */
+  /** Closes the connection and all of its streams immediately. */
   close(): void {
     this.#closed = true;
     this.client.close();
@@ -107,26 +108,26 @@
   );
 }
 
-/** The connections of a router, by the sidecar's address. */
+/** A router's connections by the address of the sidecar. */
 export class SidecarConnections {
   readonly #connectTimeoutMs: number;
   readonly #byAddress = new Map<string, SidecarConnection>();
 
-  /** @param connectTimeoutMs longest time to wait for a connection */
+  /** @param connectTimeoutMs longest wait for a connection, in milliseconds */
   constructor(connectTimeoutMs: number) {
     this.#connectTimeoutMs = connectTimeoutMs;
   }
 
-  /** @returns number of connections kept */
+  /** @returns number of connections */
   get size(): number {
     return this.#byAddress.size;
   }
 
   /**
    * @param address a sidecar's `host:port`
-   * @param silent a connection that must not be used again; when it has been
-   *     replaced already, its successor is given
-   * @returns the connection, perhaps not up yet
+   * @param silent a connection that must not be used again; when it has already
+   *     been replaced, the replacement is returned
+   * @returns the connection, which may still be connecting
    */
   get(address: string, silent?: SidecarConnection): SidecarConnection {
     const known = this.#byAddress.get(address);
@@ -140,7 +141,7 @@
   /**
    * @param address a sidecar's `host:port`
    * @param silent see {@link SidecarConnections.get}
-   * @returns a connection that is up, or undefined when none could be made
+   * @returns a connection that is up, or undefined when connecting failed
    */
   async open(
     address: string,
@@ -156,13 +157,13 @@
 
   /**
    * @param address a sidecar's `host:port`
-   * @returns a connection made anew, or undefined when none could be made
+   * @returns a new connection, or undefined when connecting failed
    */
   openFresh(address: string): Promise<SidecarConnection | undefined> {
     return this.open(address, this.#byAddress.get(address));
   }
 
-  /** @param addresses the sidecars that still exist; others are let go */
+  /** @param addresses the current sidecars; other connections are retired */
   keepOnly(addresses: ReadonlySet<string>): void {
     for (const [address, connection] of this.#byAddress) {
       if (addresses.has(address)) continue;
--- a/packages/lovagepond-router/src/router_control_link.ts
+++ b/packages/lovagepond-router/src/router_control_link.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps one subscription open to some control member in touch with the leader.
+ * Keeps a subscription to a control-plane member that can reach the leader.
  */
 import {
   type ChannelOptions,
@@ -21,32 +21,32 @@
 
 const {v1} = lovagepond;
 
-/** A control update as it was decoded. */
+/** A decoded update from the control plane. */
 export type ControlUpdate = lovagepond.v1.ControlUpdate.$Properties;
 
-/** What the link asks of the router when it subscribes. */
+/** What a subscriber reports about itself when it subscribes. */
 export interface SubscriberFacts {
   readonly node: string;
   readonly region: string;
-  /** Changes of the configuration held may be sent in place of the whole. */
+  /** The configuration may be sent as a delta against the subscriber's. */
   readonly takesDeltas: boolean;
 }
 
-/** Settings of {@link ControlLink}, as in the router's settings. */
+/** Settings of {@link ControlLink}; see the router's settings. */
 export interface ControlLinkSettings {
   readonly controlAddresses: readonly string[];
   readonly controlSilentAfterMs: number;
   readonly controlRetryMs: number;
 }
 
-/** Hears what control pushes. */
+/** Receives the control plane's updates. */
 export interface ControlListener {
-  /** @returns the revision held, for the next subscription */
+  /** @returns the current revision, which the next subscription reports */
   heldRevision(): number;
   onUpdate(update: ControlUpdate, now: number): void;
 }
 
-/** What the link needs besides its settings. */
+/** Dependencies of {@link ControlLink}. */
 export interface ControlLinkDependencies {
   readonly clock: Clock;
   readonly log: Logger;
@@ -58,21 +58,21 @@
 
 const MAX_BACKOFF_DOUBLINGS = 2;
 
-/** Control forgets a node that it hasn't heard of for some minutes. */
+/** The control plane drops a node that sends no report for some minutes. */
 const REPORT_INTERVAL_MS = 60_000;
 
 const REPORT_TIMEOUT_MS = 1_000;
 
 /**
- * Time that a connection to a member gets, milliseconds. The opening packet to
- * a host that is still without power is lost and sent again only after a second,
- * when the gateways that were up later have long been served. A round trip between
- * regions takes a tenth of a second, and the processes at both ends may just have
- * started.
+ * Timeout for connecting to a member, in milliseconds. The first packet to a
+ * host without power is lost, and the system retransmits it only after a
+ * second. By then, gateways that started later have long received their
+ * updates. A round trip between regions takes a tenth of a second, and the
+ * processes at both ends may have just started.
  */
 const CONNECT_TIMEOUT_MS = 300;
 
-/** Diagnosis and retries of the library are left out: both cost, unused here. */
+/** The library's diagnostics and retries are disabled as unused overhead. */
 const CHANNEL_OPTIONS: ChannelOptions = {
   'grpc.use_local_subchannel_pool': 1,
   'grpc.enable_http_proxy': 0,
@@ -83,7 +83,7 @@
   'grpc.service_config_disable_resolution': 1,
 };
 
-/** Subscribes, watches for silence, and goes on to the next member. */
+/** Subscribes to a member and switches to the next when it goes silent. */
 export class ControlLink {
   readonly #settings: ControlLinkSettings;
   readonly #facts: SubscriberFacts;
@@ -92,7 +92,7 @@
   #client: Client | undefined;
   #call: ClientReadableStream<ControlUpdate> | undefined;
   #lastUpdateAt = 0;
-  /** The present subscription has brought something. */
+  /** The current subscription has delivered an update. */
   #hasReceivedUpdate = false;
   #failures = 0;
   #retryTimer: NodeJS.Timeout | undefined;
@@ -116,7 +116,7 @@
     );
   }
 
-  /** @returns bytes of control updates received since the start */
+  /** @returns bytes of updates received since the start */
   get receivedBytes(): number {
     return this.#receivedBytes;
   }
@@ -126,17 +126,17 @@
     return this.#sentBytes;
   }
 
-  /** @returns `host:port` of the member asked last */
+  /** @returns `host:port` of the current or last member */
   get address(): string {
     return this.#addresses.current;
   }
 
-  /** Starts to subscribe. */
+  /** Opens the first subscription. */
   start(): void {
     this.#subscribe();
   }
 
-  /** @param now present time, monotonic ms; call it a few times a second */
+  /** @param now current time, monotonic ms; called a few times a second */
   tick(now: number): void {
     if (!this.#call) return;
     const silentMs = now - this.#lastUpdateAt;
@@ -146,23 +146,22 @@
   }
 
   /**
-   * Tells control which revision is in force here, so that operators see when
-   * a change has taken hold everywhere. A report that gets lost is made up for
-   * by the next one.
+   * Reports which revision this node applies, so that operators see when a
+   * change has reached all nodes. The next report makes up for a lost one.
    *
-   * @param revision the revision held
+   * @param revision the current revision
    */
   reportRevision(revision: number): void {
     void this.confirmRevision(revision);
   }
 
   /**
-   * Reports the revision held, and asks for the newest one.
+   * Reports the current revision and asks for the newest one.
    *
-   * @param revision the revision held
-   * @param atOnce nothing is decided here until there is an answer
+   * @param revision the current revision
+   * @param atOnce true when this node makes no decision until the response
    * @returns the newest revision, confirmed by a majority after the call;
-   *     undefined when there was no such answer
+   *     undefined when there was no such response
    */
   async confirmRevision(
     revision: number,
@@ -179,8 +178,9 @@
   }
 
   /**
-   * Tells the other routers what servers do for this one. A report that gets
-   * lost costs some reading, so it isn't sent again.
+   * Reports prompt readings and running requests of this node's servers to the
+   * other routers. A lost report isn't sent again, as it only causes some
+   * additional reading of prompts.
    *
    * @param report what changed since the last report
    */
@@ -201,18 +201,21 @@
       {deadline: Date.now() + REPORT_TIMEOUT_MS},
       err => {
         if (!err) return;
-        this.#dependencies.log.debug('readings not reported', {
-          reason: err.message,
-        });
+        this.#dependencies.log.debug(
+          'failed to report readings to the control plane',
+          {
+            reason: err.message,
+          },
+        );
       },
     );
   }
 
   /**
-   * Tells control of servers that crashed.
+   * Reports crashed servers to the control plane.
    *
-   * @param report what control doesn't have
-   * @returns false when it has to be told again
+   * @param report what the control plane has not recorded yet
+   * @returns false when the report must be sent again
    */
   async reportCrashes(report: CrashReport): Promise<boolean> {
     const {node} = this.#facts;
@@ -223,7 +226,7 @@
     return res?.recorded ?? false;
   }
 
-  /** Subscribes anew, saying what is held by now. */
+  /** Subscribes again and reports the current revision. */
   restart(reason: string): void {
     if (this.#call) this.#onLost(reason);
   }
@@ -235,7 +238,7 @@
     this.#close();
   }
 
-  /** @returns the member's answer; undefined when there was none in time */
+  /** @returns the member's response; undefined when there was none in time */
   #callControl<Req, Res>(
     method: MethodDefinition<Req, Res>,
     message: Req,
@@ -333,7 +336,7 @@
     this.#dependencies.log.info('control members known', {
       addresses: addresses.join(' '),
     });
-    if (controlMembers.goOn) this.restart('it has no log yet');
+    if (controlMembers.goOn) this.restart('member has no log yet');
   }
 
   #onLost(reason: string): void {
@@ -348,7 +351,7 @@
     }, delay);
   }
 
-  /** Waits differ, so that a restarted member isn't met by all at once. */
+  /** Randomizes the delay so that nodes don't reconnect simultaneously. */
   #nextDelay(): number {
     const doublings = Math.min(this.#failures - 1, MAX_BACKOFF_DOUBLINGS);
     const ceiling = this.#settings.controlRetryMs * 2 ** doublings;
--- a/packages/lovagepond-router/src/router_counters.ts
+++ b/packages/lovagepond-router/src/router_counters.ts
@@ -1,5 +1,5 @@
 /**
- * What a router counts, for metrics and its dump.
+ * A router's counters for metrics and the state dump.
  */
 import {type ErrorKind} from '@lovagepond/core';
 import {type StartedBody} from './router_frames.js';
@@ -12,7 +12,7 @@
   readonly droppedByReason: Readonly<Record<string, number>>;
   /** Dispatches of returning chats. */
   readonly returning: number;
-  /** Those of them whose context was warm. */
+  /** Dispatches of returning chats whose context was warm. */
   readonly returningWarm: number;
   readonly hops: number;
   readonly retries: number;
@@ -23,7 +23,7 @@
   counts.set(name, (counts.get(name) ?? 0) + 1);
 }
 
-/** Counts up; never forgets. */
+/** Counters that only increase. */
 export class RouterCounters {
   readonly #failedByKind = new Map<string, number>();
   readonly #droppedByReason = new Map<string, number>();
@@ -48,7 +48,7 @@
     };
   }
 
-  /** A request was answered whole. */
+  /** Counts a request that was answered completely. */
   noteAnswered(): void {
     this.#answered += 1;
   }
@@ -58,14 +58,14 @@
     countUp(this.#failedByKind, kind);
   }
 
-  /** @param reason why something that arrived was thrown away */
+  /** @param reason why received data was discarded */
   noteDropped(reason: DropReason): void {
     countUp(this.#droppedByReason, reason);
   }
 
   /**
-   * @param returning the request's chat was answered before
-   * @param body what its sidecar says of the dispatch
+   * @param returning true when the request continues a chat
+   * @param body the sidecar's `Started` frame
    */
   noteStarted(returning: boolean, body: StartedBody): void {
     if (!returning) return;
@@ -73,17 +73,17 @@
     if (body.warm) this.#returningWarm += 1;
   }
 
-  /** A pointer, hand-over or revision exchange was followed. */
+  /** Counts a pointer, hand-over or revision exchange. */
   noteHop(): void {
     this.#hops += 1;
   }
 
-  /** A retry was paid from the budget. */
+  /** Counts a retry charged to the budget. */
   noteRetry(): void {
     this.#retries += 1;
   }
 
-  /** A suspected server was probed. */
+  /** Counts a probe of a suspected server. */
   noteProbe(): void {
     this.#probes += 1;
   }
--- a/packages/lovagepond-router/src/router_crash_reporter.ts
+++ b/packages/lovagepond-router/src/router_crash_reporter.ts
@@ -1,36 +1,36 @@
 /**
- * Tells control of crashes until it has recorded them.
+ * Reports crashes to the control plane until they are recorded there.
  */
 import {type Clock, type ServerCrash} from '@lovagepond/core';
 import {type CrashReport, type RequestQuarantine} from './router_quarantine.js';
 
-/** What reports are made with. */
+/** Dependencies of {@link CrashReporter}. */
 export interface CrashReporterDependencies {
   readonly clock: Clock;
   readonly quarantine: RequestQuarantine;
-  /** @returns whether control has recorded the report */
+  /** @returns true when the control plane has recorded the report */
   readonly report: (report: CrashReport) => Promise<boolean>;
 }
 
-/** Reports for one router, one report at a time. */
+/** Sends the crash reports of one node, one at a time. */
 export class CrashReporter {
   readonly #dependencies: CrashReporterDependencies;
 
-  /** @param dependencies what reports are made with */
+  /** @param dependencies the clock, the quarantine and the report call */
   constructor(dependencies: CrashReporterDependencies) {
     this.#dependencies = dependencies;
   }
 
   /**
-   * @param crash a server that ended and this router's requests there
-   * @param now present time, monotonic milliseconds
+   * @param crash the crashed server and this node's requests at it
+   * @param now current time, monotonic milliseconds
    */
   noteCrash(crash: ServerCrash, now: number): void {
     this.#dependencies.quarantine.noteCrash(crash, now);
     this.tick(now);
   }
 
-  /** @param now present time, monotonic milliseconds; call it often */
+  /** @param now current time, monotonic milliseconds; called frequently */
   tick(now: number): void {
     const {quarantine, report, clock} = this.#dependencies;
     const pendingReport = quarantine.takeReport(now);
--- a/packages/lovagepond-router/src/router_dispatcher.ts
+++ b/packages/lovagepond-router/src/router_dispatcher.ts
@@ -1,5 +1,5 @@
 /**
- * The requests in flight and the shared parts that they use.
+ * Admits callers' requests and gives them access to the shared components.
  */
 import {
   type AnswerSink,
@@ -39,7 +39,7 @@
 import {type RouterSettings} from './router_settings.js';
 import {type RouterState} from './router_state.js';
 
-/** What the dispatcher works with. */
+/** Dependencies of {@link RouterDispatcher}. */
 export interface DispatcherDependencies {
   readonly clock: Clock;
   readonly log: Logger;
@@ -55,7 +55,7 @@
   readonly crashes: CrashReporter;
 }
 
-/** Frames that come once or seldom; a load with each chunk costs too much. */
+/** Rare frames; recording the load with each chunk would cost too much. */
 const FRAMES_WITH_LOAD: ReadonlySet<FrameBody['kind']> = new Set([
   'accepted',
   'refused',
@@ -64,7 +64,7 @@
   'heartbeat',
 ]);
 
-/** Handles callers' requests by the state that the router holds. */
+/** Handles callers' requests according to the router's current state. */
 export class RouterDispatcher implements CallerHandler, RunnerContext {
   readonly clock: Clock;
   readonly connections: SidecarConnections;
@@ -81,12 +81,12 @@
     this.revokeTimeoutMs = settings.revokeTimeoutMs;
   }
 
-  /** @returns requests in flight */
+  /** @returns number of requests in flight */
   get inFlight(): number {
     return this.#runners.size;
   }
 
-  /** @returns requests in flight by their state */
+  /** @returns number of requests in flight by state */
   countByState(): Readonly<Record<string, number>> {
     const counts: Record<string, number> = {};
     for (const {state} of this.#runners) {
@@ -127,8 +127,8 @@
     if (after && query.costsBudget && this.#isSuspectedRequest(runner, now)) {
       return after;
     }
-    // By the configuration in force now: it may have changed since the
-    // request came, and a sidecar may just have handed over a newer one.
+    // Uses the current configuration: it may have changed since the request
+    // arrived, and a sidecar may just have sent a newer one.
     const verdict = state.findEligible(request);
     if (!verdict.ok) return verdict.failure;
     const {eligible} = verdict;
@@ -203,7 +203,7 @@
   /** See {@link RunnerContext.noteFault}. */
   noteFault(runner: RequestRunner, err: unknown): void {
     const {requestId} = runner.request;
-    this.#dependencies.log.error('a request met a fault of the program', {
+    this.#dependencies.log.error('unexpected error while handling a request', {
       requestId,
       error: err instanceof Error ? err.message : String(err),
     });
@@ -217,12 +217,17 @@
     else this.#dependencies.counters.noteAnswered();
   }
 
-  /** @param now present time, monotonic milliseconds */
+  /** @param now current time, monotonic milliseconds */
   tick(now: number): void {
     for (const runner of this.#runners) runner.tick(now);
   }
 
-  /** @param fingerprint of requests that must not run any longer */
+  /**
+   * Aborts all requests in flight of a quarantined fingerprint.
+   *
+   * @param fingerprint fingerprint of the requests
+   * @param now current time, monotonic milliseconds
+   */
   abortQuarantined(fingerprint: string, now: number): void {
     const failure = this.#findQuarantineFailure(fingerprint, now);
     if (!failure) return;
@@ -260,7 +265,7 @@
     return makeFailure('quarantined', {retryAfterMs});
   }
 
-  /** @returns where the request may go, or its final answer */
+  /** @returns the eligible servers, or why the request is refused */
   #admit(request: CallerRequest, now: number): Eligible | Failure {
     const {state, choice, refusal} = this.#dependencies;
     if (!state.mayServe(now)) return makeFailure('notReady');
@@ -275,7 +280,7 @@
     return failure ?? eligible;
   }
 
-  /** Takes a retry from the pool's budget; counts a first attempt into it. */
+  /** Adds a first attempt to the pool's retry budget, or charges a retry. */
   #chargeBudget(
     query: PlacementQuery,
     eligible: Eligible,
--- a/packages/lovagepond-router/src/router_early_refusal.ts
+++ b/packages/lovagepond-router/src/router_early_refusal.ts
@@ -1,6 +1,7 @@
 /**
- * Refuses a request at once when it can't be served by its deadline, and tells
- * callers when to come back, spread so that they don't return together.
+ * Sheds load: refuses a request immediately when it can't be served by its
+ * deadline. Retry delays are randomized so that callers don't retry
+ * simultaneously.
  */
 import {
   answerFor,
@@ -13,32 +14,33 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** Shortest time after which a refused caller is asked to come back. */
+/** Shortest retry delay of a refused request. */
 const MIN_RETRY_MS = 500;
 
-/** Longest base, and longest spread, of the time to come back. */
+/** Limit of the retry delay's base, and of its random part. */
 const MAX_DELAY_PART_MS = 30_000;
 
 /**
- * The load view counts work that runs beside a new request as if it went
- * before it, and is about a second old. The sidecar knows the wait; a router
- * refuses only what is hopeless by this factor.
+ * A router refuses a request only when the estimated wait exceeds the remaining
+ * time by this factor. The estimate is about a second old and counts work that
+ * would run concurrently as if the request had to wait for it. Only the sidecar
+ * knows the actual wait.
  */
 const REFUSAL_FACTOR = 2;
 
-/** Work refused here and not yet due to return, for one pool. */
+/** Refused work of one pool that callers are expected to retry. */
 interface Backlog {
   tokens: number;
   at: number;
 }
 
-/** The servers of one decision: their pool and their slots in the digest. */
+/** The eligible servers: their pool and their slots in the load digest. */
 export interface PoolLoad {
   readonly pool: Pool;
   readonly slots: Int32Array;
 }
 
-/** Decides about refusals from this router's view of load. */
+/** Decides on early refusals from this router's view of load. */
 export class EarlyRefusal {
   readonly #load: RouterLoadView;
   readonly #random: Random;
@@ -51,10 +53,10 @@
 
   /**
    * @param servers the eligible servers
-   * @param estimatedTokens the request's work
-   * @param deadline monotonic milliseconds
-   * @param now present time, monotonic milliseconds
-   * @returns the final answer, or undefined when the request may be placed
+   * @param estimatedTokens the request's estimated work
+   * @param deadline the request's deadline, monotonic milliseconds
+   * @param now current time, monotonic milliseconds
+   * @returns the failure, or undefined when the request may be placed
    */
   check(
     servers: PoolLoad,
@@ -73,8 +75,8 @@
   }
 
   /**
-   * @param failure a final answer
-   * @returns the same with a time to come back, where its kind asks for one
+   * @param failure a request's final failure
+   * @returns the failure, with a retry delay added when its kind is retryable
    */
   complete(failure: Failure): Failure {
     if (failure.retryAfterMs > 0) return failure;
@@ -82,7 +84,7 @@
     return {...failure, retryAfterMs: this.#randomizeDelay(MIN_RETRY_MS, 0)};
   }
 
-  /** The mean bounds the least, and costs less than a look at every server. */
+  /** Checks the mean first: it bounds the minimum and is cheaper to compute. */
   #shortestWait({pool, slots}: PoolLoad, enoughMs: number): number {
     const tokensPerMs = pool.decodeTokensPerSecond / MS_PER_SECOND;
     const meanMs = this.#load.meanOf(slots) / tokensPerMs;
@@ -94,7 +96,7 @@
     return Number.isFinite(least) ? least / tokensPerMs : 0;
   }
 
-  /** @returns the time in which the pool can do what was refused here */
+  /** @returns how long the pool needs for the refused work, in milliseconds */
   #addToBacklog({pool, slots}: PoolLoad, tokens: number, now: number): number {
     const perMs = (slots.length * pool.decodeTokensPerSecond) / MS_PER_SECOND;
     const backlog = this.#byPool.get(pool.name) ?? {tokens: 0, at: now};
@@ -104,9 +106,9 @@
   }
 
   /**
-   * Callers who wake together are refused together. One time for all would
-   * bring them back together; so each draws its own, over a span as long as
-   * the work that was refused takes.
+   * Randomizes a retry delay. Callers that start simultaneously are refused
+   * simultaneously, and the same delay for all would make them retry together.
+   * The random part ranges over the time that the refused work takes.
    */
   #randomizeDelay(overrunMs: number, backlogMs: number): number {
     const base = Math.min(MAX_DELAY_PART_MS, Math.max(MIN_RETRY_MS, overrunMs));
--- a/packages/lovagepond-router/src/router_eligibility.ts
+++ b/packages/lovagepond-router/src/router_eligibility.ts
@@ -1,6 +1,6 @@
 /**
- * Decides which backend servers a request may go to, by the selectors of one
- * configuration revision and one version of the membership.
+ * Decides which backend servers may serve a request, according to the selectors
+ * of one configuration revision and one version of the membership.
  */
 import {
   type BackendServer,
@@ -21,7 +21,7 @@
 
 const ANY = '*';
 
-/** The servers that one selector allows. The same object until they change. */
+/** The servers that one selector allows; the same object until they change. */
 export interface EligibleSet {
   readonly selector: string;
   readonly pools: readonly Pool[];
@@ -29,14 +29,14 @@
   readonly servers: readonly BackendServer[];
 }
 
-/** What a request needs to be placed. */
+/** The configuration and servers for placing a request. */
 export interface Eligible {
   readonly workspace: Workspace;
   readonly requestKind: RequestKind;
   readonly set: EligibleSet;
 }
 
-/** Where a request may go, or why it may go nowhere. */
+/** The servers eligible for a request, or why there are none. */
 export type EligibilityVerdict =
   | {readonly ok: true; readonly eligible: Eligible}
   | {readonly ok: false; readonly failure: Failure};
@@ -59,8 +59,8 @@
 ): CompiledSelector | undefined {
   const poolTerms = parseTerms(selector.pools);
   const serverTerms = parseTerms(selector.backendServers);
-  // The schema refuses such a text; a newer version's syntax must not widen
-  // what this version allows.
+  // The schema rejects expressions that can't be parsed. One in a newer
+  // version's syntax must not make more servers eligible in this version.
   if (!poolTerms || !serverTerms) return undefined;
   const matching = pools.filter(pool =>
     matchesLabels(poolTerms, labelsOfPool(pool.labels, pool.name)),
@@ -93,12 +93,12 @@
   return new Map(items.map(item => [item.name, item]));
 }
 
-/** The selectors of one configuration revision, compiled. */
+/** The compiled selectors of one configuration revision. */
 export class Eligibility {
   readonly #selectors: readonly CompiledSelector[];
   readonly #workspaces: ReadonlyMap<string, Workspace>;
   readonly #requestKinds: ReadonlyMap<string, RequestKind>;
-  /** By workspace, then by request kind; only known names get an entry. */
+  /** By workspace, then by request kind; has entries for known names only. */
   readonly #matching = new Map<string, Map<string, CompiledSelector[]>>();
   readonly #sets = new Map<CompiledSelector, EligibleSet>();
   #membership: Membership;
@@ -111,7 +111,7 @@
     this.#membership = membership;
   }
 
-  /** @param membership the list of backend servers from now on */
+  /** @param membership the new list of backend servers */
   useMembership(membership: Membership): void {
     this.#membership = membership;
     this.#sets.clear();
@@ -132,8 +132,8 @@
     if (!workspace) return refuse(makeFailure('unknownWorkspace'));
     const requestKind = this.#requestKinds.get(kindName);
     if (!requestKind) {
-      // A misspelt kind must not fall to a selector for any kind: it would
-      // lose the mark of a call that may not be repeated.
+      // A misspelled kind must not match a selector for any kind: the call
+      // would no longer be marked as non-repeatable.
       const message = 'The request kind is not known.';
       return refuse(makeFailure('badRequest', {message}));
     }
--- a/packages/lovagepond-router/src/router_evidence.ts
+++ b/packages/lovagepond-router/src/router_evidence.ts
@@ -1,28 +1,29 @@
 /**
- * This router's own evidence against backend servers, which outruns control's
- * lease: a server that can't be connected to gets no request for a while.
+ * This router's own evidence of failed backend servers. It takes effect before
+ * the server's lease at the control plane expires: a server that can't be
+ * connected to gets no requests for a while.
  *
- * Silence on one connection is no evidence against the server; only a fresh
- * connection that fails is, or connection after connection that falls silent.
+ * One silent connection doesn't make a server suspect. A new connection that
+ * fails does, and so do several silent connections in a row.
  */
 import {type Random} from '@lovagepond/core';
 import {type AttemptTarget, type EvidenceKind} from './router_request_types.js';
 
 /** Settings of {@link RouterEvidence}. Times are milliseconds. */
 export interface EvidenceSettings {
-  /** First suspicion lasts about so long before the server is probed. */
+  /** Approximate time from the first suspicion to the probe. */
   readonly suspicionMs: number;
-  /** Suspicion doubles with each failure in a row, up to this. */
+  /** Limit of that time, which doubles with each consecutive failure. */
   readonly maxSuspicionMs: number;
-  /** So many silent connections without one answer count as a failure. */
+  /** This many silent connections without a response count as a failure. */
   readonly silentConnections: number;
-  /** A server that said it takes nothing is left alone for so long. */
+  /** How long a server that refuses all requests is avoided. */
   readonly unavailableMs: number;
-  /** A server that failed again within this time after it came back flaps. */
+  /** A server that fails within this time after its recovery is flapping. */
   readonly flapWindowMs: number;
 }
 
-/** Values that fit a lease of a few seconds. */
+/** Defaults, which suit a lease of a few seconds. */
 export const DEFAULT_EVIDENCE_SETTINGS: EvidenceSettings = Object.freeze({
   suspicionMs: 500,
   maxSuspicionMs: 30_000,
@@ -37,16 +38,16 @@
   readonly target: AttemptTarget;
   suspect: boolean;
   silent: number;
-  /** Failures not yet forgotten; each doubles the next suspicion. */
+  /** Consecutive failures; each doubles the time to the next probe. */
   failures: number;
   probeAt: number;
   probing: boolean;
   unavailableUntil: number;
-  /** When it came back last; a failure soon after is a flap. */
+  /** When the server last recovered; a failure soon after is a flap. */
   clearedAt: number;
 }
 
-/** Suspicions by sidecar incarnation; a restarted server starts clean. */
+/** Suspicions by sidecar incarnation; a restarted sidecar starts without. */
 export class RouterEvidence {
   static readonly #evidenceHandlers: Readonly<
     Record<
@@ -69,7 +70,7 @@
     this.#random = random;
   }
 
-  /** @returns number of servers under suspicion */
+  /** @returns number of suspected servers */
   get suspects(): number {
     let count = 0;
     for (const {suspect} of this.#byIncarnation.values()) {
@@ -80,8 +81,8 @@
 
   /**
    * @param incarnation a sidecar incarnation
-   * @param now present time, monotonic milliseconds
-   * @returns true when it should get no request that another can take
+   * @param now current time, monotonic milliseconds
+   * @returns true when requests should go to other servers if possible
    */
   isSuspect(incarnation: string, now: number): boolean {
     const record = this.#byIncarnation.get(incarnation);
@@ -91,8 +92,8 @@
 
   /**
    * @param target the server
-   * @param evidence what speaks against it
-   * @param now present time, monotonic milliseconds
+   * @param evidence the kind of evidence
+   * @param now current time, monotonic milliseconds
    */
   note(target: AttemptTarget, evidence: EvidenceKind, now: number): void {
     RouterEvidence.#evidenceHandlers[evidence](
@@ -110,18 +111,19 @@
   }
 
   /**
-   * A server that leaves still finishes streams here, so that it is heard;
-   * only time, or the next list from control, ends this.
+   * Marks a server as unavailable. A draining server still sends frames of its
+   * open streams, so frames don't clear this mark. Only the time limit or the
+   * next membership update does.
    */
   #noteUnavailable(record: Suspicion, now: number): void {
     record.unavailableUntil = now + this.#settings.unavailableMs;
   }
 
   /**
-   * A frame or a probe's answer came.
+   * Records a frame or a response to a probe, which clears a suspicion.
    *
-   * @param incarnation who was heard
-   * @param now present time, monotonic milliseconds
+   * @param incarnation the sidecar incarnation that sent it
+   * @param now current time, monotonic milliseconds
    */
   noteResponse(incarnation: string, now: number): void {
     const record = this.#byIncarnation.get(incarnation);
@@ -139,12 +141,14 @@
   }
 
   /**
-   * A suspect is probed by a message of its own and not by a caller's request,
-   * and at a time that differs from router to router: a thousand routers that
-   * all send to a server in the moment it is back would end it again.
+   * Returns the probes that are due. A suspected server is probed by a separate
+   * message instead of a caller's request, and at a random time: a thousand
+   * routers that all send to a server as soon as it recovers would overload it
+   * again.
    *
-   * @param now present time, monotonic milliseconds
-   * @returns servers to probe now; each is given once until its probe is noted
+   * @param now current time, monotonic milliseconds
+   * @returns servers to probe now; each is returned once until its probe's
+   *     result is recorded
    */
   takeDueProbes(now: number): AttemptTarget[] {
     const due: AttemptTarget[] = [];
@@ -157,8 +161,8 @@
   }
 
   /**
-   * @param target the server that did not answer its probe
-   * @param now present time, monotonic milliseconds
+   * @param target the server that didn't respond to its probe
+   * @param now current time, monotonic milliseconds
    */
   noteProbeFailed(target: AttemptTarget, now: number): void {
     const record = this.#byIncarnation.get(target.incarnation);
@@ -167,7 +171,7 @@
     this.#fail(record, now);
   }
 
-  /** @param incarnations the sidecar incarnations that still exist */
+  /** @param incarnations the current sidecar incarnations */
   keepOnly(incarnations: ReadonlySet<string>): void {
     for (const incarnation of this.#byIncarnation.keys()) {
       if (!incarnations.has(incarnation)) {
@@ -196,7 +200,7 @@
   #fail(record: Suspicion, now: number): void {
     const {suspicionMs, maxSuspicionMs, flapWindowMs} = this.#settings;
     const wasSuspect = record.suspect;
-    // Many requests fail in the same moment: that is one failure.
+    // Requests that fail at the same time count as one failure.
     if (wasSuspect && now < record.probeAt) return;
     const flapped = now - record.clearedAt <= flapWindowMs;
     const isRepeated = wasSuspect || flapped;
--- a/packages/lovagepond-router/src/router_execution_record.ts
+++ b/packages/lovagepond-router/src/router_execution_record.ts
@@ -1,5 +1,5 @@
 /**
- * What is known about a request's execution over all of its attempts, and
+ * Tracks whether a request may have run in any of its attempts, and decides
  * whether another attempt is allowed.
  */
 import {
@@ -9,20 +9,20 @@
   makeFailure,
 } from '@lovagepond/core';
 
-/** The request's next step after an attempt came to nothing. */
+/** A request's next step after a failed attempt. */
 export type NextStep =
   | {
       readonly kind: 'place';
-      /** A server named by a pointer or hand-over, or undefined. */
+      /** The server that a pointer or hand-over names, if any. */
       readonly preferred: string | undefined;
-      /** Why the former attempt came to nothing; undefined for the first. */
+      /** Why the previous attempt failed; undefined for the first attempt. */
       readonly after: Failure | undefined;
-      /** The retry is paid from the pool's budget. */
+      /** The retry counts against the pool's retry budget. */
       readonly costsBudget: boolean;
     }
   | {readonly kind: 'fail'; readonly failure: Failure};
 
-/** The step that a request starts with. */
+/** A request's first step. */
 export const FIRST_PLACEMENT: NextStep = Object.freeze({
   kind: 'place',
   preferred: undefined,
@@ -36,7 +36,7 @@
   readonly maxHops: number;
 }
 
-/** Refusals that name the place to go to; they cost a hop, not a retry. */
+/** Refusals that redirect the request; they count as hops, not as retries. */
 const HOP_KINDS: ReadonlySet<ErrorKind> = new Set([
   'servedElsewhere',
   'handedOver',
@@ -44,8 +44,9 @@
 ]);
 
 /**
- * Refusals by a server that has left or not come yet. They put no load on it,
- * and during a planned leave there are more of them than a budget allows.
+ * Failures of a server that is draining, gone, restarted or not yet ready.
+ * Retries after them are exempt from the budget: such failures put no load on
+ * the server, and a planned drain causes more of them than the budget allows.
  */
 const BUDGET_EXEMPT_KINDS: ReadonlySet<ErrorKind> = new Set([
   'draining',
@@ -54,14 +55,14 @@
   'unreachable',
 ]);
 
-/** Failures after dispatch that another backend server may not share. */
+/** Failures after dispatch that may not occur at another backend server. */
 const SERVER_FAULTS: ReadonlySet<ErrorKind> = new Set([
   'backendFailed',
   'backendSilent',
   'answerTruncated',
 ]);
 
-/** Keeps one request's attempts and the worst that is known of them. */
+/** Counts one request's attempts and records whether one may have run. */
 export class ExecutionRecord {
   readonly #limits: AttemptLimits;
   #nonRepeatable: boolean;
@@ -81,15 +82,15 @@
     return new Set(this.#excluded);
   }
 
-  /** @returns how often the request was handed over between sidecars */
+  /** @returns how often sidecars have handed the request over */
   get handOvers(): number {
     return this.#handOvers;
   }
 
   /**
-   * @param nonRepeatable the call must not run twice, by the configuration in
-   *     force now; it may have become so since the request came
-   * @returns the number of this placement, from 1
+   * @param nonRepeatable true when the call must not run twice according to the
+   *     current configuration, which may have changed since the request arrived
+   * @returns the number of this placement, starting at 1
    */
   countPlacement(nonRepeatable: boolean): number {
     this.#nonRepeatable ||= nonRepeatable;
@@ -98,8 +99,8 @@
   }
 
   /**
-   * @param server where the attempt was
-   * @param failure why it has not run and never will
+   * @param server the server of the attempt
+   * @param failure why the attempt has not run and never will
    * @param pointer the server that the refusal names; empty for none
    * @returns the next step
    */
@@ -115,9 +116,10 @@
   }
 
   /**
-   * @param server where the attempt was
-   * @param failure why it is not known whether it has run
-   * @param nothingDelivered no byte of an answer has gone to the caller
+   * @param server the server of the attempt
+   * @param failure why it is unknown whether the attempt has run
+   * @param nothingDelivered true when the caller has received no byte of an
+   *     answer
    * @returns the next step; another attempt only for a repeatable call
    */
   afterMayHaveRun(
@@ -141,9 +143,9 @@
   }
 
   /**
-   * @param server where an attempt was taken back since its connection was
-   *     lost; another connection to the same server works
-   * @returns the next step: the same server, as it may be the warm one
+   * @param server the server of an attempt that was revoked because its
+   *     connection was lost; another connection to this server works
+   * @returns the next step: the same server, as its cache may be warm
    */
   afterReconnect(server: string): NextStep {
     this.#hops += 1;
@@ -155,11 +157,12 @@
   }
 
   /**
-   * An earlier attempt that may have run outweighs a later refusal: a caller
-   * told "not run" would repeat what runs already.
+   * Returns the final failure. An earlier attempt that may have run takes
+   * precedence over a later refusal: after "not run" the caller would repeat a
+   * request that may be running.
    *
    * @param failure why there is no further attempt
-   * @returns the final answer
+   * @returns the final step
    */
   finalStep(failure: Failure): NextStep {
     return {kind: 'fail', failure: this.#uncertain ?? failure};
--- a/packages/lovagepond-router/src/router_frame_check.ts
+++ b/packages/lovagepond-router/src/router_frame_check.ts
@@ -1,5 +1,5 @@
 /**
- * Decides whether a frame may be believed.
+ * Decides whether a frame is accepted.
  */
 import {type Frame, type FrameBody} from './router_frames.js';
 import {
@@ -13,7 +13,7 @@
 export type FrameVerdict =
   | {readonly kind: 'accept'}
   | {readonly kind: 'drop'; readonly reason: DropReason}
-  /** The sidecar refuses an attempt that was meant for its former self. */
+  /** The sidecar refuses an attempt meant for its previous incarnation. */
   | {readonly kind: 'restarted'};
 
 const ACCEPT: FrameVerdict = Object.freeze({kind: 'accept'});
@@ -23,11 +23,12 @@
 }
 
 /**
- * A refusal that crossed with the dispatch speaks of the queue, not of the
- * run: believing it would make the router or the caller repeat what runs. The
- * one refusal that can be true after `Started` is `unreachable`: the sidecar
- * then found that its backend server never got the request. Once bytes of the
- * answer have come, even that can't be true.
+ * Whether a refusal contradicts the dispatch of its request. A refusal that
+ * crosses with the dispatch concerns only the queued request. If it were
+ * accepted, the router or the caller would repeat a running request. The only
+ * valid refusal after `Started` is `unreachable`: the sidecar found that its
+ * backend server never received the request. Once bytes of the answer have
+ * arrived, `unreachable` isn't valid either.
  */
 function contradictsStart(body: FrameBody, state: RequestState): boolean {
   if (body.kind !== 'refused') return false;
@@ -43,10 +44,10 @@
 }
 
 /**
- * @param frame a frame that came over some stream
+ * @param frame a frame from any stream of the request
  * @param attempt the request's open attempt, if any
- * @param state where the request stands
- * @returns what to do with it
+ * @param state the request's state
+ * @returns what to do with the frame
  */
 export function checkFrame(
   frame: Frame,
--- a/packages/lovagepond-router/src/router_frame_failures.ts
+++ b/packages/lovagepond-router/src/router_frame_failures.ts
@@ -1,5 +1,5 @@
 /**
- * The failures that frames stand for.
+ * Converts `Refused` and `Failed` frames to failures.
  */
 import {
   answerFor,
@@ -10,7 +10,7 @@
 } from '@lovagepond/core';
 import {type FailedBody, type RefusedBody} from './router_frames.js';
 
-/** Refusals of a server that takes nothing for now. */
+/** Refusals by a server that accepts no requests for now. */
 const UNAVAILABLE_KINDS: ReadonlySet<ErrorKind> = new Set([
   'draining',
   'notReady',
@@ -18,7 +18,7 @@
 
 /**
  * @param body a refusal
- * @returns true when the server would refuse the next request as well
+ * @returns true when the server would also refuse the next request
  */
 export function isUnavailableRefusal(body: RefusedBody): boolean {
   return UNAVAILABLE_KINDS.has(body.errorKind);
@@ -26,7 +26,7 @@
 
 /**
  * @param body a refusal
- * @returns its failure, with the sidecar's message when there is one
+ * @returns the corresponding failure, with the sidecar's message if any
  */
 export function failureOfRefusal(body: RefusedBody): Failure {
   const {errorKind, retryAfterMs, message} = body;
@@ -35,11 +35,11 @@
 }
 
 /**
- * `Failed` comes from what was dispatched: a kind that would tell the caller
- * "not run" is not believed.
+ * Converts a `Failed` frame. The request was dispatched, so an error kind that
+ * means "not run" is replaced by `backendFailed`.
  *
  * @param body a failure after dispatch
- * @returns its failure, never of a kind that says "not run"
+ * @returns the corresponding failure, never of a kind that means "not run"
  */
 export function failureOfFailed(body: FailedBody): Failure {
   const {errorKind, retryAfterMs, message} = body;
--- a/packages/lovagepond-router/src/router_frames.ts
+++ b/packages/lovagepond-router/src/router_frames.ts
@@ -1,6 +1,6 @@
 /**
- * Frames of an attempt as a tagged union, read from the wire's optional
- * fields.
+ * Frames of an attempt as a tagged union, converted from the optional fields of
+ * the protocol message.
  */
 import {type ErrorKind, parseErrorKind} from '@lovagepond/core';
 import {type lovagepond} from '@lovagepond/protocol';
@@ -13,14 +13,14 @@
   readonly expectedWaitMs: number;
 }
 
-/** The request was handed to the backend server: it may have run. */
+/** The request was dispatched to the backend server: it may have run. */
 export interface StartedBody {
   readonly kind: 'started';
   readonly warm: boolean;
   readonly cachedTokens: number;
 }
 
-/** The request was not run and never will be by this attempt. */
+/** The request has not run and never will in this attempt. */
 export interface RefusedBody {
   readonly kind: 'refused';
   readonly errorKind: ErrorKind;
@@ -32,7 +32,7 @@
   readonly configuration: Uint8Array;
 }
 
-/** A piece of the answer; `offset` is in bytes of the whole answer. */
+/** A piece of the answer; `offset` counts bytes from the answer's start. */
 export interface ChunkBody {
   readonly kind: 'chunk';
   readonly offset: number;
@@ -41,12 +41,12 @@
   readonly contentType: string;
 }
 
-/** The attempt lives on. */
+/** The attempt is still in progress. */
 export interface HeartbeatBody {
   readonly kind: 'heartbeat';
 }
 
-/** The answer is whole when `totalBytes` of it have arrived. */
+/** The end of the answer, which is complete at `totalBytes` bytes. */
 export interface EndBody {
   readonly kind: 'end';
   readonly totalBytes: number;
@@ -60,11 +60,11 @@
   readonly errorKind: ErrorKind;
   readonly message: string;
   readonly retryAfterMs: number;
-  /** Life of the backend server that ended meanwhile; empty when it goes on. */
+  /** The backend server's instance that crashed; empty when none did. */
   readonly crashedLife: string;
 }
 
-/** What one frame says. */
+/** The content of one frame. */
 export type FrameBody =
   | AcceptedBody
   | StartedBody
@@ -74,11 +74,11 @@
   | EndBody
   | FailedBody;
 
-/** One frame with the names of the attempt and incarnation it belongs to. */
+/** One frame, with the attempt and sidecar incarnation that it belongs to. */
 export interface Frame {
   readonly attemptId: string;
   readonly incarnation: string;
-  /** The highest configuration revision that the sidecar holds. */
+  /** The highest configuration revision that the sidecar has. */
   readonly revision: number;
   readonly runningTokens: number;
   readonly queuedTokens: number;
@@ -133,9 +133,8 @@
 };
 
 /**
- * @param frame a frame as it was decoded
- * @returns the frame; one of a kind that this version doesn't know counts as
- *     a heartbeat
+ * @param frame a decoded protocol message
+ * @returns the frame; a kind unknown to this version is read as a heartbeat
  */
 export function readFrame(frame: WireFrame): Frame {
   const read = BODY_READERS[frame.kind ?? 'heartbeat'];
--- a/packages/lovagepond-router/src/router_load_view.ts
+++ b/packages/lovagepond-router/src/router_load_view.ts
@@ -1,30 +1,31 @@
 /**
- * What one router believes about the load of backend servers.
+ * A router's estimate of the load of backend servers.
  *
- * The base is the digest, a byte for each server and about a second old. On
- * top comes what this router knows better: what it has sent since the digest
- * was measured, and loads that sidecars stated in their frames.
+ * The estimate starts from the load digest, which has one byte for each server
+ * and is about a second old. It adds the requests that this router has sent
+ * since the digest was measured, and uses newer loads that sidecars report in
+ * their frames.
  */
 import {decodeLoad} from '@lovagepond/core';
 
 /**
- * Own sends are forgotten after this time even when no digest comes. Without
- * it a router that control can't reach would count each send for ever, and
- * avoid the very servers it uses.
+ * This router's sends expire after this time, even without a new digest.
+ * Otherwise a router cut off from the control plane would count each send
+ * forever and avoid the servers that it uses.
  */
 const SENT_EXPIRY_MS = 5_000;
 
-/** A digest older than this says nothing about the present. */
+/** A digest older than this doesn't reflect the current load. */
 const DIGEST_EXPIRY_MS = 10_000;
 
-/** Forgotten sends are removed in batches of this many. */
+/** Expired sends are removed from the list in batches of this size. */
 const COMPACT_AFTER = 512;
 
 interface Sent {
   readonly slot: number;
   readonly tokens: number;
   readonly at: number;
-  /** The slot's generation; an older one is no longer part of its sum. */
+  /** The slot's generation; a send of an older one isn't in the slot's sum. */
   readonly generation: number;
 }
 
@@ -39,7 +40,7 @@
   #observedAt = new Float64Array(0);
   #sent = new Float64Array(0);
   #generations = new Float64Array(0);
-  /** In order of time; those before the head are forgotten. */
+  /** Sends in order of time; those before the head have expired. */
   readonly #recent: Sent[] = [];
   #recentHead = 0;
   #digestMeasuredAt = Number.NEGATIVE_INFINITY;
@@ -47,9 +48,9 @@
   readonly #means = new WeakMap<Int32Array, MeanMemo>();
 
   /**
-   * @param loads one byte for each slot of the membership now in use
-   * @param measuredAt when control put the digest together: the time of its
-   *     receipt less its age
+   * @param loads one byte for each slot of the current membership
+   * @param measuredAt when the control plane created the digest: the time of
+   *     receipt minus the digest's age
    */
   applyDigest(loads: Uint8Array, measuredAt: number): void {
     this.#grow(loads.length);
@@ -65,7 +66,7 @@
   /**
    * @param slot the server's slot
    * @param tokens estimated tokens of the request just sent there
-   * @param now present time
+   * @param now current time
    */
   recordSent(slot: number, tokens: number, now: number): void {
     this.#grow(slot + 1);
@@ -78,8 +79,8 @@
 
   /**
    * @param slot the server's slot
-   * @param tokens running and queued tokens that its sidecar stated
-   * @param now present time
+   * @param tokens running and queued tokens, as reported by its sidecar
+   * @param now current time
    */
   recordObserved(slot: number, tokens: number, now: number): void {
     this.#grow(slot + 1);
@@ -90,17 +91,18 @@
     this.#revision++;
   }
 
-  /** @returns outstanding tokens at the slot, as far as is known */
+  /** @returns estimated outstanding tokens at the slot */
   loadOf(slot: number): number {
     if (slot >= this.#base.length) return 0;
     return (this.#base[slot] as number) + (this.#sent[slot] as number);
   }
 
   /**
-   * The mean of a long list is computed anew only after as many changes as an
-   * eighth of its length, so that it costs a decision a constant time.
+   * Returns the mean load. It is recomputed only after a number of changes
+   * equal to an eighth of the list's length, so that a decision takes constant
+   * time.
    *
-   * @param slots the slots of a table's servers; must not change
+   * @param slots the slots of a table's servers; the array must not change
    * @returns mean outstanding tokens over the slots
    */
   meanOf(slots: Int32Array): number {
@@ -116,8 +118,8 @@
   }
 
   /**
-   * @param now present time
-   * @returns true when no digest has come for so long that loads are unknown
+   * @param now current time
+   * @returns true when the last digest is so old that loads are unknown
    */
   isStale(now: number): boolean {
     return now - this.#digestMeasuredAt > DIGEST_EXPIRY_MS;
--- a/packages/lovagepond-router/src/router_membership.ts
+++ b/packages/lovagepond-router/src/router_membership.ts
@@ -1,5 +1,5 @@
 /**
- * Applies control's membership updates to the list a router holds.
+ * Applies the control plane's membership updates to a router's membership view.
  */
 import {type Membership} from '@lovagepond/core';
 import {type lovagepond, readMember} from '@lovagepond/protocol';
@@ -7,9 +7,10 @@
 type WireUpdate = lovagepond.v1.MembershipUpdate.$Properties;
 
 /**
- * @param current the list held
- * @param update control's update, whole or against the version before
- * @returns the next list
+ * @param current the current membership
+ * @param update the control plane's update: the whole list, or the changes
+ *     since the previous version
+ * @returns the updated membership
  */
 export function applyMembership(
   current: Membership,
--- a/packages/lovagepond-router/src/router_placement.ts
+++ b/packages/lovagepond-router/src/router_placement.ts
@@ -1,6 +1,5 @@
 /**
- * Placement: which backend server a request is offered to first, and which
- * ones next.
+ * Placement: the order in which a request is offered to backend servers.
  */
 import {type Pool, type Random} from '@lovagepond/core';
 import {type RouterLoadView} from './router_load_view.js';
@@ -10,28 +9,28 @@
 } from './router_rendezvous.js';
 import {type KeyHasher} from './router_rendezvous_hash.js';
 
-/** A backend server as placement sees it. */
+/** The properties of a backend server that placement uses. */
 export interface PlacementServer extends RendezvousServer {
   /**
-   * When this router first saw it ready, monotonic milliseconds; negative
-   * infinity when it stood on the router's first list.
+   * When this router first listed the server, monotonic milliseconds; negative
+   * infinity for a server of the router's initial membership.
    */
   readonly readySince: number;
 }
 
-/** What placement knows of a request. */
+/** The properties of a request that placement uses. */
 export interface PlacementRequest {
   readonly workspace: string;
   /** Empty when the request belongs to no chat. */
   readonly chat: string;
-  /** Prompt and expected answer. */
+  /** Tokens of the prompt and the expected answer. */
   readonly estimatedTokens: number;
   readonly promptTokens: number;
-  /** The prompt holds an earlier answer, so its context may be warm. */
+  /** The prompt contains an earlier answer, so its context may be warm. */
   readonly returning: boolean;
 }
 
-/** The pool's settings that weigh cache reuse against skew. */
+/** The pool's settings for the trade-off between cache reuse and load skew. */
 export type PlacementSettings = Pick<
   Pool,
   | 'loadBound'
@@ -41,41 +40,42 @@
   | 'decodeTokensPerSecond'
 >;
 
-/** All that a policy decides from. */
+/** A placement policy's input. */
 export interface PlacementInput<Server extends PlacementServer> {
   readonly request: PlacementRequest;
   /** The eligible servers; never empty. */
   readonly servers: RendezvousTable<Server>;
   readonly load: RouterLoadView;
   readonly settings: PlacementSettings;
-  /** Monotonic milliseconds. */
+  /** Current time, monotonic milliseconds. */
   readonly now: number;
   readonly random: Random;
 }
 
-/** A decision. */
+/** A placement policy's decision. */
 export interface Placement<Server extends PlacementServer> {
-  /** Where to offer the request, in this order; never empty. */
+  /** The servers to offer the request to, in this order; never empty. */
   readonly candidates: readonly Server[];
-  /** The chat's rendezvous choice, whose sidecar keeps its pointer. */
+  /** The chat's rendezvous choice; its sidecar keeps the chat's pointer. */
   readonly firstChoice: Server;
   /**
-   * Where a returning chat may be warm although its first choice never saw
-   * it, because that one is young. Its sidecar sends the request on.
+   * Servers where a returning chat may be warm although its first choice has
+   * never served it, because that server is new. The first choice's sidecar
+   * forwards the request to them.
    */
   readonly warmCandidates?: readonly Server[];
 }
 
-/** One way to place requests. It may count, but does no I/O. */
+/** A placement policy. It may keep counters, but does no I/O. */
 export interface PlacementPolicy {
-  /** @returns where to offer the request */
+  /** @returns the servers to offer the request to */
   place<Server extends PlacementServer>(
     input: PlacementInput<Server>,
   ): Placement<Server>;
 }
 
-/** Makes a policy; each router has its own. */
+/** Creates a policy; each router has its own instance. */
 export type PlacementPolicyFactory = (hasher: KeyHasher) => PlacementPolicy;
 
-/** How many servers a placement names. */
+/** Maximum number of candidates of a placement. */
 export const CANDIDATE_COUNT = 4;
--- a/packages/lovagepond-router/src/router_placement_rendezvous.ts
+++ b/packages/lovagepond-router/src/router_placement_rendezvous.ts
@@ -1,5 +1,5 @@
 /**
- * Policies that start from the chat's rendezvous order.
+ * Placement policies that use the chat's rendezvous order.
  */
 import {
   CANDIDATE_COUNT,
@@ -14,8 +14,9 @@
 const MS_PER_SECOND = 1000;
 
 /**
- * A server that became ready less long ago than this is young: chats that
- * return may have been served before it came, by the next of their order.
+ * A server counts as new for this long after it became ready, in milliseconds.
+ * A returning chat may have been served before that by the next server of its
+ * rendezvous order.
  */
 const NEW_SERVER_MS = 3_600_000;
 
@@ -38,7 +39,7 @@
   return input.load.loadOf(server.slot) + input.request.estimatedTokens;
 }
 
-/** True when the request would put the server over the pool's bound. */
+/** True when the request would raise the server's load over the bound. */
 function isOverBound<Server extends PlacementServer>(
   input: PlacementInput<Server>,
   server: Server,
@@ -49,7 +50,7 @@
   return loadWith(input, server) > input.settings.loadBound * mean;
 }
 
-/** Puts the server in front and keeps the others' order. */
+/** Moves the server to the front and keeps the order of the others. */
 function moveToFront<Server extends PlacementServer>(
   order: readonly Server[],
   server: Server,
@@ -66,7 +67,7 @@
   );
 }
 
-/** The first within the bound; when none is, the least loaded. */
+/** Finds the first server within the bound, or else the least loaded one. */
 function findWithinBound<Server extends PlacementServer>(
   input: PlacementInput<Server>,
   order: readonly Server[],
@@ -75,7 +76,7 @@
   return within ?? findLeastLoaded(input, order);
 }
 
-/** Places over the chat's rendezvous order. */
+/** Base class of policies that place along the chat's rendezvous order. */
 abstract class OrderedPolicy implements PlacementPolicy {
   readonly #hasher: KeyHasher;
 
@@ -96,7 +97,7 @@
   ): Placement<Server>;
 }
 
-/** The rendezvous order alone, whatever the load. */
+/** Follows the rendezvous order and ignores load. */
 export class RendezvousPolicy extends OrderedPolicy {
   protected override placeInOrder<Server extends PlacementServer>(
     _input: PlacementInput<Server>,
@@ -106,7 +107,7 @@
   }
 }
 
-/** The first of the rendezvous order that stays within the bound. */
+/** Chooses the first server of the rendezvous order within the load bound. */
 export class BoundedRendezvousPolicy extends OrderedPolicy {
   protected override placeInOrder<Server extends PlacementServer>(
     input: PlacementInput<Server>,
@@ -119,8 +120,9 @@
 }
 
 /**
- * Always asks the first choice, whose sidecar points on to where the chat was
- * served last; a refusal goes to the least loaded of the others.
+ * Always offers the request to the first choice, whose sidecar keeps a pointer
+ * to the server that served the chat last. After a refusal, the least loaded of
+ * the others is next.
  */
 export class PointersPolicy extends OrderedPolicy {
   protected override placeInOrder<Server extends PlacementServer>(
@@ -135,8 +137,8 @@
 }
 
 /**
- * Weighs the expected wait at each candidate against the cost of rebuilding
- * the context where it is not expected to be warm.
+ * Scores each candidate by its expected wait plus the cost of rebuilding the
+ * context where it is not expected to be warm.
  */
 export class CostScorePolicy extends OrderedPolicy {
   protected override placeInOrder<Server extends PlacementServer>(
@@ -163,9 +165,10 @@
 }
 
 /**
- * Goes to where the chat's context is, and leaves load to the sidecar there:
- * it holds the request outside of its engine until there is room within the
- * bound, or until a sidecar with room takes it.
+ * Sends a returning chat to the server that has its context and leaves load
+ * balancing to that server's sidecar. The sidecar queues the request until its
+ * engine has capacity within the bound, or until another sidecar with capacity
+ * takes the request over.
  */
 export class HoldAndTakePolicy extends OrderedPolicy {
   protected override placeInOrder<Server extends PlacementServer>(
@@ -173,7 +176,7 @@
     order: readonly Server[],
   ): Placement<Server> {
     const firstChoice = serverAt(order, 0);
-    // A new chat is cold everywhere: it starts within the bound.
+    // A new chat is warm nowhere, so it starts at a server within the bound.
     const chosen = input.request.returning
       ? firstChoice
       : findWithinBound(input, order);
@@ -184,7 +187,7 @@
     };
   }
 
-  /** Where a chat was at home just before its young first choice came. */
+  /** Finds the first choice that a chat had before its new one was added. */
   #findPreviousServer<Server extends PlacementServer>(
     {request, now}: PlacementInput<Server>,
     order: readonly Server[],
--- a/packages/lovagepond-router/src/router_placement_simple.ts
+++ b/packages/lovagepond-router/src/router_placement_simple.ts
@@ -1,5 +1,5 @@
 /**
- * Policies that know nothing of contexts: they weigh load alone.
+ * Placement policies that ignore cached contexts.
  */
 import {invariant} from '@lovagepond/core';
 import {
@@ -11,9 +11,9 @@
 } from './router_placement.js';
 
 /**
- * @param servers a list that must not be empty
- * @param index an index into it
- * @returns the server there
+ * @param servers a list of servers, not empty
+ * @param index an index into the list
+ * @returns the server at the index
  */
 export function serverAt<Server>(
   servers: readonly Server[],
@@ -24,7 +24,7 @@
   return server;
 }
 
-/** The servers from an index on, round the end of the list. */
+/** Takes candidates from an index on, continuing at the start of the list. */
 function takeFrom<Server extends PlacementServer>(
   servers: readonly Server[],
   start: number,
@@ -37,7 +37,7 @@
   return {candidates, firstChoice: serverAt(candidates, 0)};
 }
 
-/** Each server in turn. */
+/** Chooses each server in turn. */
 export class RoundRobinPolicy implements PlacementPolicy {
   #next = 0;
 
@@ -48,7 +48,7 @@
   }
 }
 
-/** The server with the least known load; ties go to the first from a draw. */
+/** Chooses the least loaded server; the search starts at a random one. */
 export class LeastLoadedPolicy implements PlacementPolicy {
   place<Server extends PlacementServer>(
     input: PlacementInput<Server>,
@@ -68,7 +68,7 @@
   }
 }
 
-/** The less loaded of two servers drawn at random. */
+/** Power of two choices: the less loaded of two randomly drawn servers. */
 export class TwoChoicesPolicy implements PlacementPolicy {
   place<Server extends PlacementServer>(
     input: PlacementInput<Server>,
--- a/packages/lovagepond-router/src/router_placement_table.ts
+++ b/packages/lovagepond-router/src/router_placement_table.ts
@@ -15,7 +15,7 @@
   TwoChoicesPolicy,
 } from './router_placement_simple.js';
 
-/** Name to policy. */
+/** Factories of the placement policies by name. */
 export const PLACEMENT_POLICIES = {
   roundRobin: () => new RoundRobinPolicy(),
   rendezvous: hasher => new RendezvousPolicy(hasher),
@@ -30,5 +30,5 @@
 /** Name of a placement policy. */
 export type PlacementPolicyName = keyof typeof PLACEMENT_POLICIES;
 
-/** The policy that a router uses unless it is set otherwise. */
+/** The policy that a router uses unless its settings name another. */
 export const DEFAULT_PLACEMENT_POLICY: PlacementPolicyName = 'holdAndTake';
--- a/packages/lovagepond-router/src/router_prober.ts
+++ b/packages/lovagepond-router/src/router_prober.ts
@@ -1,5 +1,5 @@
 /**
- * Probes servers under suspicion over fresh connections.
+ * Probes suspected servers over new connections.
  */
 import {type Clock} from '@lovagepond/core';
 import {type SidecarConnections} from './router_connections.js';
@@ -7,17 +7,17 @@
 import {type AttemptTarget} from './router_request_types.js';
 import {probeSidecar} from './router_sidecar_calls.js';
 
-/** What the prober needs. */
+/** Dependencies of {@link SidecarProber}. */
 export interface ProberDependencies {
   readonly clock: Clock;
   readonly connections: SidecarConnections;
   readonly evidence: RouterEvidence;
   readonly timeoutMs: number;
-  /** Called with each probe sent. */
+  /** Called for each probe. */
   readonly onProbe: () => void;
 }
 
-/** Sends the probes that the evidence asks for. */
+/** Sends the probes that are due according to the evidence. */
 export class SidecarProber {
   readonly #dependencies: ProberDependencies;
 
@@ -26,8 +26,8 @@
   }
 
   /**
-   * @param now present time, monotonic milliseconds
-   * @param revision the revision that this router holds
+   * @param now current time, monotonic milliseconds
+   * @param revision the revision of this router's configuration
    */
   tick(now: number, revision: number): void {
     for (const target of this.#dependencies.evidence.takeDueProbes(now)) {
--- a/packages/lovagepond-router/src/router_quarantine.ts
+++ b/packages/lovagepond-router/src/router_quarantine.ts
@@ -1,8 +1,9 @@
 /**
- * The requests that this router must not run, as they crash servers.
+ * Quarantines requests that crash servers.
  *
- * Control counts the crashes that all routers see. What control doesn't have yet
- * counts here as well, so that a router that is cut off protects its servers too.
+ * The control plane counts the crashes that all routers report. Crashes that it
+ * has not recorded yet are counted locally, so that a router that is cut off
+ * from the control plane also protects its servers.
  */
 import {createHash} from 'node:crypto';
 import {CrashEvidence, type ServerCrash, type Suspect} from '@lovagepond/core';
@@ -10,44 +11,44 @@
 
 type WireUpdate = lovagepond.v1.QuarantineUpdate.$Properties;
 
-/** What control is told. */
+/** A report of crashes to the control plane. */
 export type CrashReport = Pick<
   lovagepond.v1.CrashReport.$Properties,
   'crashes' | 'answered'
 >;
 
-/** What makes a repeat the same request. */
+/** The content that identifies repeats of a request. */
 export interface RequestContent {
   readonly method: string;
   readonly path: string;
-  /** Who sends it; empty where that isn't known. */
+  /** The caller's workspace; empty when unknown. */
   readonly workspace: string;
   readonly body: Uint8Array;
 }
 
-/** Servers that may crash under a request before it gets no second try. */
+/** A request that crashed this many servers isn't retried. */
 export const SUSPECT_CRASHES = 2;
 
 const FINGERPRINT_BYTES = 16;
 
 /**
- * A request that was answered whole so short a time before a crash didn't cause it;
- * milliseconds.
+ * A request that was answered completely within this time before a crash didn't
+ * cause the crash; milliseconds.
  */
 const ANSWER_VALID_MS = 60_000;
 
-/** Requests whose last answer is remembered. */
+/** Maximum number of requests whose last answer is remembered. */
 const MAX_ANSWERED = 4_096;
 
-/** Crashes told in one report. */
+/** Maximum number of crashes in one report. */
 const MAX_REPORTED = 64;
 
-/** Crashes that wait to be reported; the oldest go first. */
+/** Maximum number of unreported crashes; the oldest are dropped. */
 const MAX_UNREPORTED = 256;
 
 /**
  * @param content a request's content
- * @returns its fingerprint, the same at every router
+ * @returns its fingerprint, which is the same on every router
  */
 export function fingerprintOf(content: RequestContent): string {
   const {method, path, workspace, body} = content;
@@ -57,19 +58,19 @@
   return hash.digest().subarray(0, FINGERPRINT_BYTES).toString('hex');
 }
 
-/** Knows suspected requests, and what control has to be told. */
+/** Keeps suspected requests and the pending reports to the control plane. */
 export class RequestQuarantine {
   readonly #localEvidence = new CrashEvidence();
   #suspectsFromControl = new Map<string, Suspect>();
   #unreported: ServerCrash[] = [];
   #answered = new Set<string>();
-  /** The last answers; the oldest first. */
+  /** Times of the last answers by fingerprint; the oldest first. */
   readonly #answeredAt = new Map<string, number>();
   #pendingReport: {crashes: ServerCrash[]; answered: Set<string>} | undefined;
 
   /**
-   * @param crash a server that ended and this router's requests there
-   * @param now present time, monotonic milliseconds
+   * @param crash the crashed server and this router's requests at it
+   * @param now current time, monotonic milliseconds
    */
   noteCrash(crash: ServerCrash, now: number): void {
     const requests = crash.requests.filter(
@@ -82,8 +83,8 @@
   }
 
   /**
-   * @param request fingerprint of a request that a server answered whole
-   * @param now present time, monotonic milliseconds
+   * @param request fingerprint of a request that a server answered completely
+   * @param now current time, monotonic milliseconds
    */
   noteAnswered(request: string, now: number): void {
     this.#answeredAt.delete(request);
@@ -99,8 +100,8 @@
 
   /**
    * @param request a fingerprint
-   * @param now present time, monotonic milliseconds
-   * @returns what is known of it here
+   * @param now current time, monotonic milliseconds
+   * @returns the suspicion against the request, if any
    */
   find(request: string, now: number): Suspect | undefined {
     const local = this.#localEvidence.find(request, now);
@@ -119,23 +120,24 @@
 
   /**
    * @param request a fingerprint
-   * @param now present time, monotonic milliseconds
-   * @returns time until it may run, milliseconds; undefined when it may now
+   * @param now current time, monotonic milliseconds
+   * @returns time until the request may run, in milliseconds; undefined when it
+   *     may run now
    */
   quarantinedForMs(request: string, now: number): number | undefined {
     const leftMs = (this.find(request, now)?.quarantinedUntil ?? 0) - now;
     return leftMs > 0 ? leftMs : undefined;
   }
 
-  /** @returns known suspects, for the state dump */
+  /** @returns number of suspected requests, for the state dump */
   get size(): number {
     return this.#suspectsFromControl.size;
   }
 
   /**
-   * @param now present time, monotonic milliseconds
-   * @returns what control doesn't have; undefined when there is nothing or a
-   *     report is under way
+   * @param now current time, monotonic milliseconds
+   * @returns what the control plane has not recorded; undefined when there is
+   *     nothing to report or a report is pending
    */
   takeReport(now: number): CrashReport | undefined {
     if (this.#pendingReport) return undefined;
@@ -156,7 +158,7 @@
     };
   }
 
-  /** @param isRecorded false when the report has to be told again */
+  /** @param isRecorded false when the report must be sent again */
   endReport(isRecorded: boolean): void {
     const pendingReport = this.#pendingReport;
     this.#pendingReport = undefined;
@@ -166,9 +168,9 @@
   }
 
   /**
-   * @param update all suspected requests, as control tells
-   * @param now present time, monotonic milliseconds
-   * @returns requests that it newly puts into quarantine
+   * @param update all suspected requests, from the control plane
+   * @param now current time, monotonic milliseconds
+   * @returns fingerprints of requests that are newly quarantined
    */
   apply({suspects}: WireUpdate, now: number): readonly string[] {
     const former = this.#suspectsFromControl;
@@ -199,7 +201,10 @@
     return now - answeredAt <= ANSWER_VALID_MS;
   }
 
-  /** Control counts what it has recorded, and may have lifted it since. */
+  /**
+   * Keeps local evidence only of unrecorded crashes. The control plane counts
+   * recorded ones, and an operator may have lifted the quarantine since.
+   */
   #dropRecorded(now: number): void {
     const waiting = [
       ...this.#unreported,
--- a/packages/lovagepond-router/src/router_rendezvous.ts
+++ b/packages/lovagepond-router/src/router_rendezvous.ts
@@ -1,14 +1,16 @@
 /**
- * Rendezvous hashing in less than linear time.
+ * Rendezvous hashing in sublinear time.
  *
- * Every server has a fixed position, the hash of its name; every chat has a
- * permutation of all positions, and wants the servers in the order of their
- * ranks in it. With few servers each one's rank is computed; with many the
- * permutation is walked from rank 0 until enough occupied positions are found,
- * which takes fewer steps the more servers there are. Both ways give the same
- * order, so the way taken never changes a choice. When a server leaves, only
- * the chats that wanted it first move, and two routers whose lists differ
- * disagree only on chats that want a server which stands on one list alone.
+ * Every server has a fixed position, the hash of its name. Every chat has a
+ * permutation of all positions; its servers are ordered by their rank in this
+ * permutation. With few servers, the rank of each one is computed. With many,
+ * the permutation is walked from rank 0 until enough occupied positions are
+ * found, which takes fewer steps the more servers there are. Both methods give
+ * the same order, so the method never changes a choice.
+ *
+ * When a server leaves, only the chats that had it as first choice move. Two
+ * routers with different lists disagree only on chats that prefer a server
+ * which is missing from one of the lists.
  */
 import {type HashKey, type KeyHasher} from './router_rendezvous_hash.js';
 import {
@@ -19,31 +21,31 @@
   rankOfPosition,
 } from './router_rendezvous_permutation.js';
 
-/** A server that can stand in a table. */
+/** A server of a {@link RendezvousTable}. */
 export interface RendezvousServer {
   readonly name: string;
-  /** Position of its byte in the load digest. */
+  /** Position of the server's byte in the load digest. */
   readonly slot: number;
 }
 
 const NONE = -1;
 
-/** The servers that a request may go to, ready to be ordered for any chat. */
+/** The eligible servers, prepared for ordering them by chat. */
 export class RendezvousTable<Server extends RendezvousServer> {
-  /** In the order given. */
+  /** The servers in the order given to the constructor. */
   readonly servers: readonly Server[];
   /** The servers' slots in the load digest, in the same order. */
   readonly slots: Int32Array;
   readonly #positions: Uint16Array;
-  /** Tells servers that share one position apart. */
+  /** Orders servers that share a position. */
   readonly #tieBreakers: Int32Array;
-  /** Made at the first walk: a quarter of a megabyte. */
+  /** Created at the first walk, as it takes a quarter of a megabyte. */
   #occupants: Int32Array | undefined;
-  /** Next server at the same position, or NONE; filled with the occupants. */
+  /** Next server at the same position, or NONE; set with the occupants. */
   readonly #nextAtPosition: Int32Array;
 
   /**
-   * @param servers distinct names, fewer than 65,536
+   * @param servers servers with distinct names, fewer than 65,536
    * @param hasher the hasher that all routers use
    */
   constructor(servers: readonly Server[], hasher: KeyHasher) {
@@ -57,8 +59,8 @@
 
   /**
    * @param chatKey hash of the chat's text
-   * @param count how many servers are wanted
-   * @returns indices into {@link servers}, the most wanted first
+   * @param count how many servers to return at most
+   * @returns indices into {@link servers}, the most preferred first
    */
   order(chatKey: HashKey, count: number): number[] {
     const size = this.servers.length;
@@ -70,7 +72,7 @@
       : this.#orderByRanking(key, chatKey, resultCount);
   }
 
-  /** Few servers: ranks each one and keeps the lowest ranks. */
+  /** Computes the rank of each server and keeps the lowest ranks. */
   #orderByRanking(
     key: PermutationKey,
     chatKey: HashKey,
@@ -98,7 +100,7 @@
     return best;
   }
 
-  /** True when the server goes before the one now at `place - 1`. */
+  /** True when the server precedes the one at `place - 1`. */
   #precedes(
     rank: number,
     index: number,
@@ -112,7 +114,7 @@
     return this.#compareTie(index, best[place - 1] as number, chatKey) < 0;
   }
 
-  /** Many servers: walks the chat's permutation over occupied positions. */
+  /** Walks the chat's permutation and collects occupied positions. */
   #orderByWalking(
     key: PermutationKey,
     chatKey: HashKey,
@@ -131,7 +133,7 @@
     return best;
   }
 
-  /** The servers that share a position, in the chat's order. */
+  /** Orders the servers that share a position for the chat. */
   #orderAtPosition(occupant: number, chatKey: HashKey): number[] {
     const atPosition: number[] = [];
     let index = occupant;
@@ -142,7 +144,7 @@
     return atPosition.sort((a, b) => this.#compareTie(a, b, chatKey));
   }
 
-  /** Position to the last server there, or NONE; chains those that share it. */
+  /** Maps positions to their last server, or NONE, and links the others. */
   #makeOccupants(): Int32Array {
     const occupants = new Int32Array(POSITION_COUNT).fill(NONE);
     this.#positions.forEach((position, index) => {
--- a/packages/lovagepond-router/src/router_rendezvous_hash.ts
+++ b/packages/lovagepond-router/src/router_rendezvous_hash.ts
@@ -1,5 +1,5 @@
 /**
- * Hashes of chats and backend servers, the same on every router.
+ * Hashes chats and backend servers identically on every router.
  */
 import xxhash from 'xxhash-wasm';
 
@@ -12,9 +12,9 @@
   readonly high: number;
 }
 
-/** Hashes texts; made once at the start of the process. */
+/** Hashes texts; created once at the start of the process. */
 export interface KeyHasher {
-  /** @returns the key of a text */
+  /** @returns the hash key of a text */
   hash(text: string): HashKey;
 }
 
@@ -28,8 +28,8 @@
 
 /**
  * @param workspace a workspace's name, which holds no NUL character
- * @param chat the chat's name inside of that workspace
- * @returns the text whose hash places the chat
+ * @param chat the chat's name in that workspace
+ * @returns the text to hash for placing the chat
  */
 export function makeChatText(workspace: string, chat: string): string {
   return `${workspace}\u0000${chat}`;
--- a/packages/lovagepond-router/src/router_rendezvous_permutation.ts
+++ b/packages/lovagepond-router/src/router_rendezvous_permutation.ts
@@ -1,9 +1,9 @@
 /**
- * A permutation of 16-bit positions that a 64-bit key selects.
+ * A permutation of 16-bit positions, selected by a 64-bit key.
  *
- * Four rounds of key, odd multiplier and shift; each step can be undone, so
- * the same permutation is walked forwards (rank to position) and backwards
- * (position to rank).
+ * It consists of four rounds of XOR with a key, multiplication by an odd number
+ * and XOR with a shift. Each step is invertible, so the permutation maps ranks
+ * to positions and positions to ranks.
  */
 import {type HashKey} from './router_rendezvous_hash.js';
 
@@ -14,7 +14,7 @@
 
 type Words = readonly [number, number, number, number];
 
-/** How many positions there are. */
+/** Number of positions. */
 export const POSITION_COUNT = MASK + 1;
 
 /** The round keys of one permutation. */
@@ -48,9 +48,9 @@
 }
 
 /**
- * @param rank from 0, the most wanted
- * @param key selects the permutation
- * @returns the position of that rank
+ * @param rank the rank; 0 is the most preferred
+ * @param key the round keys of the permutation
+ * @returns the position at the rank
  */
 export function positionOfRank(rank: number, key: PermutationKey): number {
   let x = mixForward(rank, key[0], MULTIPLIERS[0]);
@@ -61,7 +61,7 @@
 
 /**
  * @param position a position
- * @param key selects the permutation
+ * @param key the round keys of the permutation
  * @returns its rank: the inverse of {@link positionOfRank}
  */
 export function rankOfPosition(position: number, key: PermutationKey): number {
--- a/packages/lovagepond-router/src/router_request.ts
+++ b/packages/lovagepond-router/src/router_request.ts
@@ -1,10 +1,11 @@
 /**
- * The state machine of one request: what is known about its execution, and
- * what may be done next.
+ * The state machine of one request: tracks whether the request may have been
+ * executed and decides on the next step.
  *
- * A failed attempt is "not run" only when its sidecar refused it or confirmed
- * its revocation, or when no byte of it was sent. Anything else, silence
- * above all, leaves "may have run", which sticks to the request to its end.
+ * A failed attempt counts as "not run" only when its sidecar refused it or
+ * confirmed its revocation, or when no byte of it was sent. After any other
+ * failure, in particular silence, the request may have run. It keeps this
+ * status until it ends.
  */
 import {type Failure, invariant, makeFailure} from '@lovagepond/core';
 import {AnswerRelay} from './router_answer_relay.js';
@@ -47,9 +48,9 @@
   type RevokeReason,
 } from './router_request_types.js';
 
-/** One request from its receipt to its final answer. */
+/** Controls one request from its receipt to its final answer. */
 export class RequestMachine {
-  // One table for all requests: a request in flight should cost little.
+  // Shared by all requests to keep the memory of each one small.
   static readonly #eventHandlers: EventHandlers<RequestMachine> = {
     placed: (machine, event) => machine.#onPlaced(event),
     notPlaced: (machine, event) => machine.#failRequest(event.failure),
@@ -95,27 +96,31 @@
     this.#relay = new AnswerRelay(action => this.#actions.push(action));
   }
 
-  /** @returns where the request stands */
+  /** @returns the request's state */
   get state(): RequestState {
     return this.#state;
   }
 
-  /** @returns the attempt that is open, if any */
+  /** @returns the open attempt, if any */
   get attempt(): Attempt | undefined {
     return this.#attempt;
   }
 
-  /** @returns the first actions: to choose a backend server */
+  /** @returns the first action: choosing a backend server */
   start(): RequestAction[] {
-    invariant(this.#state === REQUEST_STATE.RECEIVED, 500, 'started twice');
+    invariant(
+      this.#state === REQUEST_STATE.RECEIVED,
+      500,
+      'request started twice',
+    );
     this.#follow(FIRST_PLACEMENT, CLOSING.CONCLUDED);
     return this.#takeActions();
   }
 
   /**
    * @param event what happened
-   * @param now present time, monotonic milliseconds
-   * @returns what to do, in order
+   * @param now current time, monotonic milliseconds
+   * @returns the actions to perform, in this order
    */
   receive(event: RequestEvent, now: number): RequestAction[] {
     if (this.#state === REQUEST_STATE.DONE) {
@@ -218,9 +223,9 @@
   }
 
   /**
-   * The refusal of a restarted sidecar proves "not run" only for an attempt
-   * sent once: after a reconnection the first copy may have reached the former
-   * incarnation and run there.
+   * A restarted sidecar's refusal proves "not run" only for an attempt that was
+   * sent once. After a reconnection, the first copy may have reached the
+   * previous incarnation and may have run there.
    */
   #onRestarted(): void {
     this.#addEvidence('unavailable');
@@ -272,15 +277,15 @@
   }
 
   /**
-   * The connection fell silent or broke. Something between the two ends may
-   * have lost track of it while new ones work, so a fresh one is tried before
-   * the server is blamed. A dispatched attempt is sent again under its own id:
-   * the sidecar knows it and goes on from the delivered offset, and dispatches
-   * nothing twice. Any other is taken back, which tells for certain whether it
-   * was dispatched.
+   * Handles a connection that went silent or broke. A device on the network
+   * path may have dropped only this connection, so a new one is tried before
+   * the server is suspected. A dispatched attempt is sent again with the same
+   * id: the sidecar recognizes it, resumes from the delivered offset and
+   * doesn't dispatch it again. Any other attempt is revoked; the response says
+   * for certain whether the attempt was dispatched.
    */
   #reconnect(now: number): void {
-    // The answer to a revocation is under way and decides.
+    // The response to the pending revocation decides on the next step.
     if (this.#revoking) return;
     if (!this.#watch.tryReconnect(now)) {
       this.#mayHaveRun(makeFailure('backendSilent'), CLOSING.ABANDONED);
@@ -288,14 +293,14 @@
     else this.#revoke(REVOKE_REASON.CONNECTION_LOST);
   }
 
-  /** The open attempt has not run and never will. */
+  /** Handles an open attempt that has not run and never will. */
   #notRun(failure: Failure, pointer = ''): void {
     const {backendServer} = (this.#attempt as Attempt).target;
     const step = this.#record.afterNotRun(backendServer, failure, pointer);
     this.#follow(step, CLOSING.CONCLUDED);
   }
 
-  /** The open attempt may have run, perhaps in part. */
+  /** Handles an open attempt that may have run, perhaps in part. */
   #mayHaveRun(failure: Failure, closing: Closing): void {
     const {backendServer} = (this.#attempt as Attempt).target;
     const nothingDelivered = !this.#relay.begun;
@@ -331,7 +336,7 @@
     else this.#mayHaveRun(makeFailure('backendSilent'), CLOSING.ABANDONED);
   }
 
-  /** The sidecar confirmed that the attempt was not dispatched. */
+  /** Handles the confirmation that the attempt was not dispatched. */
   #onRevocationConfirmed(reason: RevokeReason): void {
     const {backendServer} = (this.#attempt as Attempt).target;
     const failure = makeFailure('deadlineUnreachable');
--- a/packages/lovagepond-router/src/router_request_context.ts
+++ b/packages/lovagepond-router/src/router_request_context.ts
@@ -1,5 +1,5 @@
 /**
- * What the router's shared parts do for one request.
+ * The interface between a request's runner and the router's shared components.
  */
 import {type Clock, type Failure} from '@lovagepond/core';
 import {type SidecarConnections} from './router_connections.js';
@@ -14,34 +14,34 @@
 } from './router_request_types.js';
 import {type Chosen} from './router_server_choice.js';
 
-/** A backend server chosen by the configuration in force. */
+/** A backend server chosen according to the current configuration. */
 export interface Placed extends Chosen {
   readonly eligible: Eligible;
 }
 
-/** What the runner asks when a backend server is to be chosen. */
+/** A runner's query for a backend server. */
 export interface PlacementQuery {
   readonly runner: RequestRunner;
   readonly excluded: ReadonlySet<string>;
   readonly preferred: string | undefined;
-  /** See the action of the same fields. */
+  /** The same as in the `place` action. */
   readonly after: Failure | undefined;
   readonly costsBudget: boolean;
 }
 
-/** The shared parts, as one request sees them. */
+/** The shared components that a runner uses. */
 export interface RunnerContext {
   readonly clock: Clock;
   readonly connections: SidecarConnections;
   readonly limits: RequestLimits;
   readonly revokeTimeoutMs: number;
-  /** @returns the server to try, or why there is none */
+  /** @returns the server to try, or the failure when there is none */
   place(query: PlacementQuery, now: number): Placed | Failure;
-  /** @returns the held configuration's revision */
+  /** @returns the revision of the current configuration */
   heldRevision(): number;
   /**
-   * @returns the held configuration's bytes when the sidecar is known to hold
-   *     an older one, else undefined
+   * @returns the encoded configuration when the sidecar is known to have an
+   *     older revision, else undefined
    */
   configurationFor(target: AttemptTarget): Uint8Array | undefined;
   install(configuration: Uint8Array): void;
@@ -52,9 +52,9 @@
     now: number,
   ): void;
   noteDrop(reason: DropReason): void;
-  /** @returns the failure with a time to come back where it lacks one */
+  /** @returns the failure, with a retry delay added where it needs one */
   completeFailure(failure: Failure, now: number): Failure;
-  /** A fault of this program that one request met. */
+  /** Reports an unexpected error while handling one request. */
   noteFault(runner: RequestRunner, err: unknown): void;
   noteDone(runner: RequestRunner, failure: Failure | undefined): void;
 }
--- a/packages/lovagepond-router/src/router_request_estimate.ts
+++ b/packages/lovagepond-router/src/router_request_estimate.ts
@@ -1,19 +1,20 @@
 /**
- * What placement needs to know of a request's body, estimated.
+ * Estimates the properties of a request that placement uses.
  */
 import {type CallerRequest} from '@lovagepond/caller';
 import {type PlacementRequest} from './router_placement.js';
 
-/** A token's length in a request's JSON, on average. */
+/** Average length of a token in a request's JSON. */
 const BYTES_PER_TOKEN = 4;
 
 const ANSWER_ROLE = '"assistant"';
 
 /**
- * A chat that returns brings its earlier answers along in its messages.
+ * Whether the request continues a chat: its messages then contain earlier
+ * answers.
  *
  * @param request a caller's request
- * @returns true when its chat was answered before
+ * @returns true when a request of the same chat was answered before
  */
 export function isReturning(request: CallerRequest): boolean {
   const {chat, body} = request;
@@ -25,7 +26,7 @@
 /**
  * @param request a caller's request
  * @param returning see {@link isReturning}
- * @returns the request as placement sees it
+ * @returns the placement policy's input
  */
 export function describeForPlacement(
   request: CallerRequest,
@@ -34,7 +35,7 @@
   const {workspace, chat, estimatedTokens, body, requestId} = request;
   return {
     workspace,
-    // Calls outside of any chat spread by their own names.
+    // A request without a chat is hashed by its own id.
     chat: chat || requestId,
     estimatedTokens,
     promptTokens: Math.ceil(body.length / BYTES_PER_TOKEN),
--- a/packages/lovagepond-router/src/router_request_runner.ts
+++ b/packages/lovagepond-router/src/router_request_runner.ts
@@ -1,5 +1,6 @@
 /**
- * Runs one request: does what its state machine asks for and reports back.
+ * Runs one request: performs the actions of its state machine and reports the
+ * resulting events.
  */
 import {type AnswerSink, type CallerRequest} from '@lovagepond/caller';
 import {type Failure, makeFailure, type Unregister} from '@lovagepond/core';
@@ -24,7 +25,7 @@
   revokeAttempt,
 } from './router_sidecar_calls.js';
 
-/** More than this waits for the caller: frames are no longer taken in. */
+/** Reading of frames pauses when more bytes than this wait for the caller. */
 const MAX_UNWRITTEN_BYTES = 64 * 1024;
 
 type ActionOf<Kind extends RequestAction['kind']> = Extract<
@@ -39,18 +40,18 @@
   ) => void;
 };
 
-/** States in which no sidecar was offered the request. */
+/** States in which the request has been sent to no sidecar. */
 const UNSENT: ReadonlySet<RequestState> = new Set([
   REQUEST_STATE.RECEIVED,
   REQUEST_STATE.PLACED,
 ]);
 
-/** Callers' requests are all of this method. */
+/** The method of all callers' requests. */
 const METHOD = 'POST';
 
-/** One request in flight. */
+/** Runs one request in flight. */
 export class RequestRunner {
-  // One table for all requests: a request in flight should cost little.
+  // Shared by all requests to keep the memory of each one small.
   static readonly #handlers: ActionHandlers = {
     place: (runner, action) => runner.#place(action),
     offer: (runner, action) => runner.#guard(runner.#offer(action)),
@@ -69,9 +70,9 @@
   };
 
   readonly request: CallerRequest;
-  /** The same for each repeat. */
+  /** Identifies the request's content; repeats have the same fingerprint. */
   readonly fingerprint: string;
-  /** The request's prompt holds an earlier answer of its chat. */
+  /** The request's prompt contains an earlier answer of its chat. */
   readonly returning: boolean;
   readonly #context: RunnerContext;
   #eligible: Eligible;
@@ -79,7 +80,7 @@
   readonly #machine: RequestMachine;
   #placed: Placed | undefined;
   #stream: AttemptStream | undefined;
-  /** The connection used last for the open attempt. */
+  /** The connection that the open attempt used last. */
   #connection: SidecarConnection | undefined;
   #unwrittenBytes = 0;
   #blocked = false;
@@ -96,7 +97,7 @@
       method: METHOD,
       path: request.path,
       workspace: request.workspace,
-      // Holds the body, and is made already.
+      // Covers the body and is computed already.
       body: request.bodyDigest,
     });
     this.returning = isReturning(request);
@@ -109,12 +110,12 @@
     this.#machine = new RequestMachine(facts, context.limits);
   }
 
-  /** @returns where the request stands */
+  /** @returns the request's state */
   get state(): RequestState {
     return this.#machine.state;
   }
 
-  /** @returns where the open attempt is, if any */
+  /** @returns the placement of the open attempt, if any */
   get placed(): Placed | undefined {
     return this.#machine.attempt && this.#placed;
   }
@@ -129,15 +130,15 @@
     this.#perform(this.#machine.start());
   }
 
-  /** @param now present time, monotonic ms; call it every few milliseconds */
+  /** @param now current time, monotonic ms; call it every few milliseconds */
   tick(now: number): void {
     this.#perform(this.#machine.receive({kind: 'tick'}, now));
   }
 
   /**
-   * Ends the request, as servers crash while they run it.
+   * Aborts the request because it was quarantined for crashing servers.
    *
-   * @param failureIfUnsent the answer if no server got it
+   * @param failureIfUnsent the answer when no server has received the request
    */
   abortQuarantined(failureIfUnsent: Failure): void {
     const isUnsent = UNSENT.has(this.state);
@@ -145,7 +146,7 @@
     this.#fail(isUnsent ? failureIfUnsent : makeFailure('backendFailed'));
   }
 
-  /** Takes back the registration at the caller's side. */
+  /** Unregisters the listener for cancellation by the caller. */
   close(): void {
     this.#unregister();
   }
@@ -159,8 +160,8 @@
   }
 
   /**
-   * An error that nothing else catches would end the process, and with it
-   * every caller's stream. The request itself is ended by its deadline.
+   * Catches unexpected errors, which would otherwise end the process and every
+   * caller's stream. The request ends at its deadline.
    */
   #guard(work: Promise<void>): void {
     work.catch((err: unknown) => {
@@ -234,8 +235,8 @@
   }
 
   /**
-   * A sidecar that control can't reach learns of the held configuration
-   * before it is given an attempt, so that it decides by it.
+   * Installs the current configuration at a sidecar with an older one before
+   * the attempt is sent. The control plane may be unable to reach the sidecar.
    */
   async #connectForOffer(
     attempt: Attempt,
@@ -245,7 +246,7 @@
     const newer = this.#context.configurationFor(attempt.target);
     if (!connection || !newer) return connection;
     if (await this.#install(connection, newer)) return connection;
-    // The connection may have gone silent: a fresh one tells.
+    // The connection may have gone silent, so a new one is tried.
     const {address} = attempt.target;
     const fresh = await this.#context.connections.open(address, connection);
     return fresh && (await this.#install(fresh, newer)) ? fresh : undefined;
@@ -319,12 +320,13 @@
   }
 
   /**
-   * A stream that ends looks to the sidecar like a lost connection, whose
-   * attempt it keeps for a router that comes back. So it is told to give up an
-   * abandoned attempt; should that get lost, its own time limit does.
+   * Closes an attempt. To the sidecar, the end of a stream looks like a lost
+   * connection, and the sidecar keeps the attempt for a router that reconnects.
+   * An abandoned attempt is therefore revoked. If the revocation is lost, the
+   * sidecar drops the attempt after its own time limit.
    *
-   * The stream of an attempt that was answered for good is left to end by
-   * itself: its frames no longer count.
+   * The stream of a concluded attempt is left to end by itself; its frames are
+   * ignored.
    */
   #close({attempt, abandoned}: ActionOf<'close'>): void {
     if (abandoned) {
@@ -354,7 +356,7 @@
     this.#context.noteDone(this, complete);
   }
 
-  /** Frames wait in the connection while the caller can take no more. */
+  /** Pauses reading of frames while the caller reads too slowly. */
   async #write(data: Uint8Array): Promise<void> {
     this.#unwrittenBytes += data.length;
     const written = this.#sink.write(data);
--- a/packages/lovagepond-router/src/router_request_timing.ts
+++ b/packages/lovagepond-router/src/router_request_timing.ts
@@ -1,5 +1,5 @@
 /**
- * What a request is due for as time passes.
+ * A request's time limits: its deadline and the silence of its connection.
  */
 import {type AttemptWatch} from './router_attempt_watch.js';
 import {
@@ -9,11 +9,11 @@
   type RequestState,
 } from './router_request_types.js';
 
-/** What time asks for. */
+/** The time limit that has been reached. */
 export type RequestDue =
   /** The deadline has passed. */
   | 'deadline'
-  /** The deadline is near and the attempt not dispatched: take it back. */
+  /** The deadline is near and the attempt isn't dispatched: revoke it. */
   | 'revoke'
   /** The attempt's connection has been silent for too long. */
   | 'silent'
@@ -30,14 +30,14 @@
 ]);
 
 /**
- * @param state where the request stands
- * @returns true when its open attempt was handed to the backend server
+ * @param state the request's state
+ * @returns true when its open attempt was dispatched to the backend server
  */
 export function wasDispatched(state: RequestState): boolean {
   return DISPATCHED.has(state);
 }
 
-/** Watches one request's deadline and its attempts' silence. */
+/** Checks one request's deadline and its attempts' connections. */
 export class RequestTiming {
   readonly #deadline: number;
   readonly #limits: RequestLimits;
@@ -48,25 +48,25 @@
     this.#limits = limits;
   }
 
-  /** @returns true once `takeBack` was due */
+  /** @returns true once the revocation before the deadline was due */
   get nearDeadline(): boolean {
     return this.#nearDeadline;
   }
 
   /**
-   * @param waitMs an expected wait
-   * @param now present time, monotonic milliseconds
-   * @returns true when it ends by the deadline
+   * @param waitMs an expected wait, in milliseconds
+   * @param now current time, monotonic milliseconds
+   * @returns true when the wait ends by the deadline
    */
   allows(waitMs: number, now: number): boolean {
     return now + waitMs <= this.#deadline;
   }
 
   /**
-   * @param state where the request stands
-   * @param watch watches its open attempt
-   * @param now present time, monotonic milliseconds
-   * @returns what is due; `takeBack` once
+   * @param state the request's state
+   * @param watch the watch of its open attempt
+   * @param now current time, monotonic milliseconds
+   * @returns what is due; `revoke` is returned only once
    */
   findDue(state: RequestState, watch: AttemptWatch, now: number): RequestDue {
     if (now >= this.#deadline) return 'deadline';
--- a/packages/lovagepond-router/src/router_request_types.ts
+++ b/packages/lovagepond-router/src/router_request_types.ts
@@ -1,15 +1,15 @@
 /**
- * What goes into and comes out of a request's state machine.
+ * Events and actions of a request's state machine, and their types.
  */
 import {type Failure} from '@lovagepond/core';
 import {type Frame, type FrameBody} from './router_frames.js';
 
-/** Where a request stands. */
+/** The states of a request. */
 export const REQUEST_STATE = {
   RECEIVED: 'received',
-  /** A backend server is chosen; its connection is being made. */
+  /** A backend server is chosen; the router connects to its sidecar. */
   PLACED: 'placed',
-  /** The attempt was sent: from here silence proves nothing. */
+  /** The attempt was sent: from now on, silence doesn't prove "not run". */
   OFFERED: 'offered',
   /** In the sidecar's queue, not dispatched. */
   ADMITTED: 'admitted',
@@ -22,12 +22,12 @@
 /** One of the values of {@link REQUEST_STATE}. */
 export type RequestState = (typeof REQUEST_STATE)[keyof typeof REQUEST_STATE];
 
-/** What a request is from the start. */
+/** Properties of a request that don't change. */
 export interface RequestFacts {
   readonly requestId: string;
   /** The call must not run twice. */
   readonly nonRepeatable: boolean;
-  /** Monotonic milliseconds by which the answer must be whole. */
+  /** When the answer must be complete, in monotonic milliseconds. */
   readonly deadline: number;
 }
 
@@ -48,13 +48,13 @@
   readonly address: string;
 }
 
-/** One attempt, named anew for each server it is placed at. */
+/** One attempt; each placement gets an attempt with a new id. */
 export interface Attempt {
   readonly attemptId: string;
   readonly target: AttemptTarget;
 }
 
-/** Why bytes or frames that arrived were thrown away. */
+/** Why received bytes or frames were discarded. */
 export type DropReason =
   | 'otherAttempt'
   | 'otherIncarnation'
@@ -63,17 +63,17 @@
   | 'foreignGeneration'
   | 'refusedAfterStart';
 
-/** What happened to a request, as its shell saw it. */
+/** What happened to a request, as reported by its runner. */
 export type RequestEvent =
   | {
       readonly kind: 'placed';
       readonly target: AttemptTarget;
-      /** By the configuration that it was placed by. */
+      /** According to the configuration used for the placement. */
       readonly nonRepeatable: boolean;
     }
-  /** No backend server may be tried (again). */
+  /** No backend server is left to try. */
   | {readonly kind: 'notPlaced'; readonly failure: Failure}
-  /** The connection failed before the attempt's first byte was sent. */
+  /** The connection failed before a byte of the attempt was sent over it. */
   | {readonly kind: 'connectFailed'; readonly attemptId: string}
   /** The attempt's first byte is about to be sent. */
   | {readonly kind: 'sent'; readonly attemptId: string}
@@ -85,35 +85,35 @@
       readonly attemptId: string;
       readonly outcome: RevokeOutcome;
     }
-  /** The caller doesn't read: no frames are taken in for now. */
+  /** True while the caller doesn't read, so that frames aren't read either. */
   | {readonly kind: 'blocked'; readonly blocked: boolean}
   | {readonly kind: 'callerGone'}
   | {readonly kind: 'tick'};
 
-/** A revocation's answer; `lost` when none came in time. */
+/** The response to a revocation; `lost` when none arrived in time. */
 export type RevokeOutcome = 'revoked' | 'dispatched' | 'unknown' | 'lost';
 
-/** Evidence against a server, from the weakest to the strongest. */
+/** Evidence of a server's failure, from the weakest to the strongest. */
 export type EvidenceKind =
   /** One connection fell silent or broke. */
   | 'silent'
-  /** The sidecar says that its server takes nothing for now. */
+  /** The sidecar reports that its server accepts no requests for now. */
   | 'unavailable'
-  /** No fresh connection could be made. */
+  /** No new connection could be established. */
   | 'unreachable';
 
-/** What the shell is to do for a request. */
+/** What the runner has to do for a request. */
 export type RequestAction =
   /** Choose a backend server, then report `placed` or `notPlaced`. */
   | {
       readonly kind: 'place';
-      /** Names of servers tried before. */
+      /** Names of servers that must not be tried again. */
       readonly excluded: ReadonlySet<string>;
-      /** A server named by a pointer or hand-over, or undefined. */
+      /** The server that a pointer or hand-over names, if any. */
       readonly preferred: string | undefined;
-      /** Why the former attempt came to nothing; undefined for the first. */
+      /** Why the previous attempt failed; undefined for the first attempt. */
       readonly after: Failure | undefined;
-      /** The retry is paid from the pool's budget. */
+      /** The retry counts against the pool's retry budget. */
       readonly costsBudget: boolean;
     }
   /** Connect and send the attempt; frames follow. */
@@ -122,22 +122,22 @@
       readonly attempt: Attempt;
       /** Bytes of the answer already delivered. */
       readonly resumeFrom: number;
-      /** Times the request was handed over between sidecars. */
+      /** How often sidecars have handed the request over. */
       readonly handOvers: number;
-      /** Use a new connection: the present one may have gone silent. */
+      /** Use a new connection, as the current one may have gone silent. */
       readonly freshConnection: boolean;
     }
-  /** Ask the sidecar to take the attempt back, and report its answer. */
+  /** Ask the sidecar to revoke the attempt, then report its response. */
   | {
       readonly kind: 'revoke';
       readonly attempt: Attempt;
       readonly freshConnection: boolean;
     }
-  /** Let the attempt go; its frames no longer count. */
+  /** Close the attempt; its frames are ignored from now on. */
   | {
       readonly kind: 'close';
       readonly attempt: Attempt;
-      /** It may still wait or run: tell its sidecar to give it up. */
+      /** The attempt may still be queued or running and must be revoked. */
       readonly abandoned: boolean;
     }
   | {
@@ -148,9 +148,9 @@
   | {readonly kind: 'write'; readonly data: Uint8Array}
   | {readonly kind: 'end'}
   | {readonly kind: 'fail'; readonly failure: Failure}
-  /** Hand a configuration that a sidecar sent to the revisions' keeper. */
+  /** Install a configuration that a sidecar sent. */
   | {readonly kind: 'install'; readonly configuration: Uint8Array}
-  /** Evidence against a sidecar or its connection. */
+  /** Record evidence of a failed sidecar or connection. */
   | {
       readonly kind: 'evidence';
       readonly target: AttemptTarget;
@@ -158,7 +158,7 @@
     }
   | {readonly kind: 'drop'; readonly reason: DropReason};
 
-/** Why an attempt is taken back. */
+/** Why an attempt is revoked. */
 export const REVOKE_REASON = {
   DEADLINE: 'deadline',
   CONNECTION_LOST: 'connectionLost',
@@ -167,24 +167,24 @@
 /** One of the values of {@link REVOKE_REASON}. */
 export type RevokeReason = (typeof REVOKE_REASON)[keyof typeof REVOKE_REASON];
 
-/** How an attempt is let go. */
+/** How an attempt is closed. */
 export const CLOSING = {
-  /** Its sidecar has answered for good. */
+  /** Nothing of the attempt is left at its sidecar. */
   CONCLUDED: 'concluded',
-  /** It may still wait or run: the sidecar is told to give it up. */
+  /** It may still be queued or running: the sidecar is asked to revoke it. */
   ABANDONED: 'abandoned',
 } as const;
 
 /** One of the values of {@link CLOSING}. */
 export type Closing = (typeof CLOSING)[keyof typeof CLOSING];
 
-/** The event of a kind. */
+/** The event type of the given kind. */
 export type EventOf<Kind extends RequestEvent['kind']> = Extract<
   RequestEvent,
   {kind: Kind}
 >;
 
-/** Event kind to what a machine does with it. */
+/** A state machine's event handlers, by event kind. */
 export type EventHandlers<Machine> = {
   readonly [Kind in RequestEvent['kind']]: (
     machine: Machine,
@@ -193,7 +193,7 @@
   ) => void;
 };
 
-/** Frame kind to what a machine does with it. */
+/** A state machine's frame handlers, by the kind of the frame's body. */
 export type BodyHandlers<Machine> = {
   readonly [Kind in FrameBody['kind']]: (
     machine: Machine,
--- a/packages/lovagepond-router/src/router_retry_budget.ts
+++ b/packages/lovagepond-router/src/router_retry_budget.ts
@@ -1,8 +1,8 @@
 /**
- * Bounds retries to a fraction of first attempts, pool by pool.
+ * Limits retries to a fraction of first attempts in each pool.
  *
- * Without a bound a pool that fails under load gets each request several
- * times over, which keeps it failing after the cause has passed.
+ * Without a limit, a pool that fails under load receives each request several
+ * times, which keeps it overloaded after the cause has passed.
  */
 
 /** Settings of {@link RetryBudget}. */
@@ -11,7 +11,7 @@
   readonly retryFraction: number;
 }
 
-/** Retries that a quiet pool may make, and the most that can be saved up. */
+/** Initial retries of a pool, and the most that it can accumulate. */
 const MAX_SAVED_RETRIES = 10;
 
 /** Token buckets filled by first attempts and emptied by retries. */
@@ -31,7 +31,7 @@
 
   /**
    * @param pool the pool that a retry would go to
-   * @returns false when the budget is spent; true spends one retry
+   * @returns false when the budget is exhausted; true after charging one retry
    */
   trySpend(pool: string): boolean {
     const saved = this.retriesLeft(pool);
@@ -42,13 +42,13 @@
 
   /**
    * @param pool a pool
-   * @returns retries it may make now
+   * @returns number of retries allowed now
    */
   retriesLeft(pool: string): number {
     return this.#byPool.get(pool) ?? MAX_SAVED_RETRIES;
   }
 
-  /** @param pools the pools that still exist */
+  /** @param pools the current pools */
   keepOnly(pools: ReadonlySet<string>): void {
     for (const pool of this.#byPool.keys()) {
       if (!pools.has(pool)) this.#byPool.delete(pool);
--- a/packages/lovagepond-router/src/router_revisions.ts
+++ b/packages/lovagepond-router/src/router_revisions.ts
@@ -1,10 +1,11 @@
 /**
- * Decides which configuration a router holds, and whether it may serve by it.
+ * Keeps a router's configuration and decides whether the router may serve
+ * requests with it.
  *
- * Only rising revisions are installed, so that no late or reordered message
- * brings an old configuration back. A restarted router serves nothing until a
- * majority has confirmed a revision: by an older one it would send requests
- * where an accepted change has forbidden them.
+ * Only newer revisions are installed, so that no late or reordered message
+ * restores an old configuration. A restarted router serves nothing until a
+ * majority has confirmed a revision: with an older one it would send requests
+ * to servers that an accepted change forbids.
  */
 import {
   type Configuration,
@@ -13,42 +14,42 @@
 } from '@lovagepond/core';
 import {ISLAND_POLICY, type IslandPolicy} from './router_settings.js';
 
-/** Settings of {@link RouterRevisions}, as in the router's settings. */
+/** Settings of {@link RouterRevisions}; see the router's settings. */
 export interface RevisionsSettings {
   readonly islandPolicy: IslandPolicy;
   readonly islandAfterMs: number;
 }
 
-/** What became of a configuration that was offered. */
+/** The result of installing a configuration. */
 export type InstallOutcome = 'installed' | 'notNewer' | 'unreadable';
 
-/** Keeps the highest revision that this router has seen. */
+/** Keeps the configuration with the highest revision received. */
 export class RouterRevisions {
   readonly #settings: RevisionsSettings;
   #configuration = EMPTY_CONFIGURATION;
   #confirmedRevision: number | undefined;
   readonly #bySidecar = new Map<string, number>();
   #lastControlMessageAt = Number.NEGATIVE_INFINITY;
-  /** The configuration as it travels, made once per revision. */
+  /** The encoded configuration, as it was received. */
   #encoded: Uint8Array = new Uint8Array();
 
   constructor(settings: RevisionsSettings) {
     this.#settings = settings;
   }
 
-  /** @returns the configuration in force here */
+  /** @returns the current configuration */
   get configuration(): Configuration {
     return this.#configuration;
   }
 
-  /** @returns its bytes, to hand to a sidecar that holds an older one */
+  /** @returns the encoded configuration, to send to outdated sidecars */
   get encoded(): Uint8Array {
     return this.#encoded;
   }
 
   /**
-   * @param bytes a configuration from control or a sidecar
-   * @returns what became of it
+   * @param bytes a configuration from the control plane or a sidecar
+   * @returns whether it was installed
    */
   install(bytes: Uint8Array): InstallOutcome {
     const offered = decodeConfiguration(bytes);
@@ -60,7 +61,7 @@
   }
 
   /**
-   * @param revision a revision known to be as new as a majority's
+   * @param revision a revision known to be at least as new as a majority's
    */
   confirm(revision: number): void {
     this.#confirmedRevision = Math.max(this.#confirmedRevision ?? 0, revision);
@@ -68,7 +69,7 @@
 
   /**
    * @param incarnation a sidecar incarnation
-   * @param revision the revision that it says it holds
+   * @param revision the revision that the sidecar reports
    */
   noteSidecarRevision(incarnation: string, revision: number): void {
     this.#bySidecar.set(incarnation, revision);
@@ -76,42 +77,43 @@
 
   /**
    * @param incarnation a sidecar incarnation
-   * @returns true when it is known to hold an older revision than this router
+   * @returns true when the sidecar is known to have an older revision than this
+   *     router
    */
   isBehind(incarnation: string): boolean {
     const held = this.#bySidecar.get(incarnation);
     return held !== undefined && held < this.#configuration.revision;
   }
 
-  /** @param incarnations the sidecar incarnations that still exist */
+  /** @param incarnations the current sidecar incarnations */
   keepOnly(incarnations: ReadonlySet<string>): void {
     for (const incarnation of this.#bySidecar.keys()) {
       if (!incarnations.has(incarnation)) this.#bySidecar.delete(incarnation);
     }
   }
 
-  /** @param now when something came from a control member, monotonic ms */
+  /** @param now when a control-plane member sent a message, monotonic ms */
   noteControlMessage(now: number): void {
     this.#lastControlMessageAt = now;
   }
 
-  /** @returns true when the held revision is no older than a majority's was */
+  /** @returns true when the revision is at least as new as the confirmed one */
   isConfirmed(): boolean {
     if (this.#confirmedRevision === undefined) return false;
     return this.#configuration.revision >= this.#confirmedRevision;
   }
 
   /**
-   * @param now present time, monotonic milliseconds
-   * @returns true when control has been out of reach for too long
+   * @param now current time, monotonic milliseconds
+   * @returns true when the control plane has been unreachable for too long
    */
   isControlUnreachable(now: number): boolean {
     return now - this.#lastControlMessageAt > this.#settings.islandAfterMs;
   }
 
   /**
-   * @param now present time, monotonic milliseconds
-   * @returns true when requests may be served by the held configuration
+   * @param now current time, monotonic milliseconds
+   * @returns true when the current configuration may be used for requests
    */
   mayServe(now: number): boolean {
     if (!this.isConfirmed()) return false;
--- a/packages/lovagepond-router/src/router_role.ts
+++ b/packages/lovagepond-router/src/router_role.ts
@@ -1,6 +1,6 @@
 /**
- * The router role: joins control's subscription, the front towards callers
- * and the dispatcher, and takes them through start, drain and stop.
+ * The router role: connects the subscription to the control plane, the
+ * callers' front end and the dispatcher, and manages their lifecycle.
  */
 import {type CallerCounters, type CallerHandler} from '@lovagepond/caller';
 import {
@@ -30,7 +30,7 @@
 import {measureSkew} from './router_skew.js';
 import {RouterState} from './router_state.js';
 
-/** The front towards callers, as `CallerServer` of the caller package is. */
+/** The callers' front end; see `CallerServer` of the caller package. */
 export interface CallerFront {
   readonly port: number;
   readonly counters: CallerCounters;
@@ -39,12 +39,12 @@
   stop(): Promise<void>;
 }
 
-/** What a router needs besides its settings. */
+/** Dependencies of {@link RouterRole}. */
 export interface RouterDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly random: Random;
-  /** Makes the front that hands requests to the handler. */
+  /** Creates the front end that passes callers' requests to the handler. */
   readonly createFront: (handler: CallerHandler) => CallerFront;
 }
 
@@ -54,14 +54,14 @@
 
 type UpdateHandler = (update: ControlUpdate, now: number) => void;
 
-/** What exists once the hasher is loaded. */
+/** Components that are created once the key hasher is loaded. */
 interface RunningComponents {
   readonly dispatcher: RouterDispatcher;
   readonly prober: SidecarProber;
   readonly front: CallerFront;
 }
 
-/** One router. */
+/** Accepts callers' requests and forwards them to backend servers. */
 export class RouterRole implements Role {
   readonly #settings: RouterSettings;
   readonly #dependencies: RouterDependencies;
@@ -89,7 +89,7 @@
       if (membership) this.#state.updateMembership(membership, now);
     },
     load: ({load}, now) => {
-      // Slots of another list's version would name other servers.
+      // In another membership version the slots denote other servers.
       const {version} = this.#state.membership;
       if (load?.membershipVersion !== version || !load.loads) return;
       this.#load.applyDigest(load.loads, now - (load.ageMs ?? 0));
@@ -102,10 +102,11 @@
         this.#running?.dispatcher.abortQuarantined(request, now);
       }
     },
-    // The link keeps them.
+    // The control link keeps the list of members.
     controlMembers: () => {},
     heartbeat: () => {},
-    // Sidecars know what their engines read; only gateways place by this.
+    // Only gateways use prompt readings for placement: sidecars have the
+    // readings of their own engines.
     readings: () => {},
   };
 
@@ -129,7 +130,7 @@
     const facts = {
       node: settings.name,
       region: settings.region,
-      // It hands the whole to sidecars that hold an older one.
+      // The router passes whole configurations on to outdated sidecars.
       takesDeltas: false,
     };
     const listener = {
@@ -140,7 +141,7 @@
     this.#link = new ControlLink(settings, facts, {...dependencies, listener});
   }
 
-  /** @returns the port for callers, once started */
+  /** @returns the port that callers connect to; 0 before the start */
   get port(): number {
     return this.#running?.front.port ?? 0;
   }
@@ -163,9 +164,9 @@
   }
 
   /**
-   * See {@link Role.drain}. Readiness goes at once; the front takes no new
-   * connections after its grace time; requests in flight finish, and the
-   * subscription stays until they have.
+   * See {@link Role.drain}. The router is no longer ready at once. The front
+   * end refuses new connections after its grace period. Requests in flight
+   * finish, and the subscription stays open until they have.
    */
   async drain(limitMs: number): Promise<void> {
     this.#draining = true;
--- a/packages/lovagepond-router/src/router_server_choice.ts
+++ b/packages/lovagepond-router/src/router_server_choice.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses a request's backend server: the placement policy's candidates, less
- * those tried before and those that this router has evidence against.
+ * Chooses a request's backend server from the placement policy's candidates,
+ * without servers tried before and, if possible, without suspected ones.
  */
 import {
   type BackendServer,
@@ -19,42 +19,43 @@
 import {RendezvousTable} from './router_rendezvous.js';
 import {type KeyHasher} from './router_rendezvous_hash.js';
 
-/** What a choice is made from. */
+/** The input of a choice. */
 export interface ChoiceQuery {
   readonly request: PlacementRequest;
   readonly set: EligibleSet;
-  /** Names of servers not to choose. */
+  /** Names of servers that must not be chosen. */
   readonly excluded: ReadonlySet<string>;
-  /** A server named by a pointer or hand-over, or undefined. */
+  /** The server that a pointer or hand-over names, if any. */
   readonly preferred: string | undefined;
 }
 
-/** A backend server chosen for a request, with what its sidecar is told. */
+/** The backend server chosen for a request, with details for its sidecar. */
 export interface Chosen {
   readonly server: BackendServer;
-  /** The chat's first choice, when that is another server. */
+  /** The chat's first choice when that is another server. */
   readonly firstChoice: BackendServer | undefined;
-  /** Names of servers where the chat may be warm when it isn't here. */
+  /** Names of other servers where the chat may be warm. */
   readonly warmCandidates: readonly string[];
   /** Estimated mean of outstanding tokens over the eligible servers. */
   readonly poolMeanTokens: number;
 }
 
-/** What {@link ServerChoice} decides with. */
+/** Dependencies of {@link ServerChoice}. */
 export interface ChoiceDependencies {
   readonly policy: PlacementPolicy;
   readonly hasher: KeyHasher;
   readonly load: RouterLoadView;
   readonly random: Random;
-  /** @returns true when this router has evidence against the server */
+  /** @returns true when this router suspects that the server has failed */
   readonly isSuspect: (server: BackendServer, now: number) => boolean;
 }
 
 /**
- * Servers that are listed within this time of the first list count as old. A
- * fleet that starts as a whole joins over some seconds: were only the first
- * server of a router's first list old, that router would send every returning
- * chat there, away from where the others had just begun it.
+ * Servers listed within this time after the first membership update don't
+ * count as new; milliseconds. When a whole fleet starts, its servers join over
+ * some seconds. If only the first server on the router's list didn't count as
+ * new, the router would send every returning chat there, although other routers
+ * have just started the chats elsewhere.
  */
 const INITIAL_MEMBERSHIP_MS = 10_000;
 
@@ -62,7 +63,7 @@
   readonly server: BackendServer;
 }
 
-/** Keeps a table of servers for each eligible set in use. */
+/** Keeps a rendezvous table for each eligible set in use. */
 export class ServerChoice {
   readonly #dependencies: ChoiceDependencies;
   readonly #tables = new WeakMap<EligibleSet, RendezvousTable<Candidate>>();
@@ -74,8 +75,8 @@
   }
 
   /**
-   * @param membership the list of backend servers from now on
-   * @param now present time, monotonic milliseconds
+   * @param membership the new list of backend servers
+   * @param now current time, monotonic milliseconds
    */
   useMembership(membership: Membership, now: number): void {
     this.#firstListedAt ??= now;
@@ -90,9 +91,9 @@
   }
 
   /**
-   * @param query what is to be placed
-   * @param now present time, monotonic milliseconds
-   * @returns the server, or undefined when none is left
+   * @param query the request and its eligible servers
+   * @param now current time, monotonic milliseconds
+   * @returns the chosen server, or undefined when none is left
    */
   choose(query: ChoiceQuery, now: number): Chosen | undefined {
     const pool = query.set.pools[0];
@@ -115,8 +116,8 @@
 
   /**
    * @param set an eligible set
-   * @returns the slots of its servers in the load digest; the same object for
-   *     the same set
+   * @returns the slots of the set's servers in the load digest; the same object
+   *     for the same set
    */
   slotsOf(set: EligibleSet): Int32Array {
     return this.#tableOf(set).slots;
@@ -135,9 +136,9 @@
   }
 
   /**
-   * A first attempt names them, and so does the one that follows to such a
-   * server. Named again to the first choice, they would let it send the
-   * request round in a circle.
+   * Lists the warm candidates for a first attempt, or for an attempt that was
+   * redirected to one of them. If the first choice received them again, it
+   * could send the request in a loop.
    */
   #listWarmCandidates(
     {preferred, excluded}: ChoiceQuery,
@@ -163,9 +164,10 @@
   }
 
   /**
-   * The policy's candidates go first, then any other server. A server under
-   * suspicion comes last and is not left out: should all be suspected, the
-   * fault is more likely this router's own, and a try costs little.
+   * Picks the first suitable candidate of the policy, or else any other server.
+   * Suspected servers are a last resort and not excluded: when all are
+   * suspected, the fault is more likely at this router, and an attempt costs
+   * little.
    */
   #pick(
     {excluded}: ChoiceQuery,
--- a/packages/lovagepond-router/src/router_settings.ts
+++ b/packages/lovagepond-router/src/router_settings.ts
@@ -1,5 +1,5 @@
 /**
- * What a router is told by its settings.
+ * Settings of a router and their defaults.
  */
 
 import {
@@ -7,11 +7,11 @@
   type PlacementPolicyName,
 } from './router_placement_table.js';
 
-/** What a router does when no control member can be reached any more. */
+/** What a router does while it can reach no member of the control plane. */
 export const ISLAND_POLICY = {
-  /** Serve on with the configuration held, which may grow old. */
+  /** Keep serving with the current configuration, which may be outdated. */
   SERVE: 'serve',
-  /** Refuse requests with `notReady` until control is back. */
+  /** Refuse requests with `notReady` until a member can be reached. */
   REFUSE: 'refuse',
 } as const;
 
@@ -23,38 +23,38 @@
   readonly name: string;
   readonly region: string;
   readonly availabilityZone: string;
-  /** `host:port` of every control member. */
+  /** `host:port` of every member of the control plane. */
   readonly controlAddresses: readonly string[];
-  /** Without an update or heartbeat for so long, another member is tried. */
+  /** Switch to another member after no update or heartbeat for this long. */
   readonly controlSilentAfterMs: number;
-  /** Wait between two tries of control; doubled up to sixteenfold. */
+  /** Delay between subscription attempts; backoff grows it up to fourfold. */
   readonly controlRetryMs: number;
   readonly islandPolicy: IslandPolicy;
-  /** Control counts as out of reach after this time. */
+  /** The control plane counts as unreachable after this long without data. */
   readonly islandAfterMs: number;
   readonly placementPolicy: PlacementPolicyName;
   readonly connectTimeoutMs: number;
-  /** Without a frame for so long, an attempt's connection is silent. */
+  /** An attempt's connection is silent after this long without a frame. */
   readonly attemptSilentAfterMs: number;
-  /** As above, before an attempt's first frame. */
+  /** The same limit, before the attempt's first frame. */
   readonly firstFrameAfterMs: number;
-  /** Time a sidecar has to answer a revocation. */
+  /** Timeout of a revocation call to a sidecar. */
   readonly revokeTimeoutMs: number;
-  /** How long before its deadline an undispatched request is taken back. */
+  /** How long before its deadline an undispatched request is revoked. */
   readonly revokeLeadMs: number;
-  /** Attempts per request, the first one included. */
+  /** Attempts per request, including the first. */
   readonly maxAttempts: number;
   /** Pointers, hand-overs and revision exchanges followed per request. */
   readonly maxHops: number;
-  /** Fresh connections tried for one attempt that went silent. */
+  /** New connections tried for one attempt whose connection went silent. */
   readonly maxReattaches: number;
   /** Retries as a fraction of first attempts. */
   readonly retryFraction: number;
-  /** Period of the timer that watches deadlines and silence. */
+  /** Period of the timer that checks deadlines and silent connections. */
   readonly tickMs: number;
 }
 
-/** Defaults for all that has a sensible one. */
+/** Defaults of the settings that have one. */
 export const DEFAULT_ROUTER_SETTINGS = {
   region: 'default',
   availabilityZone: 'default',
--- a/packages/lovagepond-router/src/router_sidecar_calls.ts
+++ b/packages/lovagepond-router/src/router_sidecar_calls.ts
@@ -1,5 +1,5 @@
 /**
- * The calls that a router makes to a sidecar, over a connection that is up.
+ * The calls that a router makes to a sidecar over an established connection.
  */
 import {
   type ClientReadableStream,
@@ -19,19 +19,19 @@
 type AttemptProperties = lovagepond.v1.AttemptRequest.$Properties;
 
 /**
- * A stream that neither end has closed goes this long after its deadline. Left
- * alone, it would keep its connection open for good.
+ * A stream that neither end has closed is ended this long after its deadline.
+ * Otherwise it would keep its connection open forever.
  */
 const STREAM_GRACE_MS = 5_000;
 
-/** Hears what an attempt's stream brings. */
+/** Receives the frames of an attempt's stream. */
 export interface AttemptListener {
   onFrame(frame: Frame): void;
-  /** The stream is over, for whatever reason. */
+  /** Called when the stream has ended for any reason. */
   onEnd(): void;
 }
 
-/** One open stream of frames. */
+/** An open stream of an attempt's frames. */
 export class AttemptStream {
   readonly connection: SidecarConnection;
   readonly #call: ClientReadableStream<WireFrame>;
@@ -57,17 +57,17 @@
     });
   }
 
-  /** Takes in no more frames until {@link AttemptStream.resume}. */
+  /** Stops reading frames until {@link AttemptStream.resume}. */
   pause(): void {
     this.#call.pause();
   }
 
-  /** Takes in frames again. */
+  /** Resumes reading frames. */
   resume(): void {
     this.#call.resume();
   }
 
-  /** Ends the stream; its listener hears nothing more. */
+  /** Ends the stream; its listener is not called any more. */
   cancel(): void {
     this.#listener = undefined;
     this.#release();
@@ -91,9 +91,9 @@
 /**
  * @param connection a connection that is up
  * @param attempt the attempt to send
- * @param listener hears the frames
- * @returns the open stream, or undefined when the connection was closed
- *     meanwhile and nothing was sent
+ * @param listener receives the frames
+ * @returns the open stream, or undefined when the connection has been closed
+ *     and nothing was sent
  */
 export function openAttempt(
   connection: SidecarConnection,
@@ -145,13 +145,13 @@
 };
 
 /**
- * Asks a sidecar to take an attempt back.
+ * Asks a sidecar to revoke an attempt.
  *
  * @param connection a connection that is up
  * @param attemptId the attempt
- * @param incarnation the sidecar incarnation it was sent to
- * @param timeoutMs time for the answer
- * @returns the sidecar's word, or `lost`
+ * @param incarnation the sidecar incarnation that the attempt was sent to
+ * @param timeoutMs timeout of the call, in milliseconds
+ * @returns the sidecar's response, or `lost` when there was none
  */
 export async function revokeAttempt(
   connection: SidecarConnection,
@@ -166,12 +166,13 @@
 }
 
 /**
- * Hands a sidecar a newer configuration.
+ * Sends a newer configuration to a sidecar.
  *
  * @param connection a connection that is up
- * @param configuration its bytes
- * @param timeoutMs time for the answer
- * @returns the revision that the sidecar now holds, or undefined
+ * @param configuration the encoded configuration
+ * @param timeoutMs timeout of the call, in milliseconds
+ * @returns the revision that the sidecar now has, or undefined when it didn't
+ *     respond
  */
 export async function installConfiguration(
   connection: SidecarConnection,
@@ -187,8 +188,8 @@
 /**
  * @param connection a connection that is up
  * @param revision the router's configuration revision
- * @param timeoutMs time for the answer
- * @returns the sidecar's state, or undefined when it doesn't answer
+ * @param timeoutMs timeout of the call, in milliseconds
+ * @returns the sidecar's state, or undefined when it didn't respond
  */
 export function probeSidecar(
   connection: SidecarConnection,
--- a/packages/lovagepond-router/src/router_skew.ts
+++ b/packages/lovagepond-router/src/router_skew.ts
@@ -1,14 +1,14 @@
 /**
- * Skew as this router sees it.
+ * Measures the load skew of each pool from this router's view of load.
  */
 import {type Membership, SERVER_STATE} from '@lovagepond/core';
 import {type RouterLoadView} from './router_load_view.js';
 
 /**
- * @param membership the servers known
- * @param load their loads as known
- * @returns pool to its busiest ready server's load over the mean; a pool
- *     without load is left out
+ * @param membership the current backend servers
+ * @param load this router's view of their load
+ * @returns by pool, the highest load of a ready server divided by the mean;
+ *     pools without load are omitted
  */
 export function measureSkew(
   membership: Membership,
--- a/packages/lovagepond-router/src/router_state.ts
+++ b/packages/lovagepond-router/src/router_state.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration and membership that a router holds, and what follows from
- * them.
+ * A router's current configuration and membership, and the eligibility rules
+ * compiled from both.
  */
 import {type CallerRequest} from '@lovagepond/caller';
 import {EMPTY_MEMBERSHIP, type Logger, type Membership} from '@lovagepond/core';
@@ -11,14 +11,14 @@
 
 type WireMembership = lovagepond.v1.MembershipUpdate.$Properties;
 
-/** Hears of what the state takes in. */
+/** Receives changes of the state. */
 export interface RouterStateListener {
   membershipChanged(membership: Membership, now: number): void;
-  /** A newer configuration is in force here. */
+  /** This router now applies a newer configuration. */
   revisionInstalled(revision: number): void;
 }
 
-/** Joins revisions, membership and the selectors compiled from both. */
+/** Keeps revisions, membership and the compiled selectors consistent. */
 export class RouterState {
   readonly revisions: RouterRevisions;
   readonly #log: Logger;
@@ -38,19 +38,20 @@
     this.#eligibility = this.#compile();
   }
 
-  /** @returns the revision of the configuration held */
+  /** @returns the revision of the current configuration */
   get revision(): number {
     return this.revisions.configuration.revision;
   }
 
-  /** @returns the list of backend servers held */
+  /** @returns the current list of backend servers */
   get membership(): Membership {
     return this.#membership;
   }
 
   /**
-   * @param now present time, monotonic milliseconds
-   * @returns true when requests may be served by what is held
+   * @param now current time, monotonic milliseconds
+   * @returns true when the configuration and membership may be used to serve
+   *     requests
    */
   mayServe(now: number): boolean {
     return this.#membershipKnown && this.revisions.mayServe(now);
@@ -58,18 +59,18 @@
 
   /**
    * @param request a caller's request
-   * @returns the servers it may go to
+   * @returns the servers that may serve it, or the failure to answer with
    */
   findEligible(request: CallerRequest): EligibilityVerdict {
     const {workspace, requestKind, chat} = request;
     return this.#eligibility.find(workspace, requestKind, chat);
   }
 
-  /** @param bytes a configuration from control or a sidecar */
+  /** @param bytes a configuration from the control plane or a sidecar */
   install(bytes: Uint8Array): void {
     const outcome = this.revisions.install(bytes);
     if (outcome === 'unreadable') {
-      this.#log.error('a configuration could not be read');
+      this.#log.error('received configuration cannot be decoded');
     }
     if (outcome !== 'installed') return;
     this.#eligibility = this.#compile();
@@ -78,8 +79,8 @@
   }
 
   /**
-   * @param update control's update
-   * @param now present time, monotonic milliseconds
+   * @param update the control plane's update
+   * @param now current time, monotonic milliseconds
    */
   updateMembership(update: WireMembership, now: number): void {
     this.#membership = applyMembership(this.#membership, update);
