--- a/packages/lovagepond-router/src/__tests__/fakes/request_world.ts
+++ b/packages/lovagepond-router/src/__tests__/fakes/request_world.ts
@@ -1,6 +1,6 @@
 /**
- * One request's state machine among sidecars, with a network that loses,
- * delays and silences, and a scheduler that a test drives step by step.
+ * Simulates one request's state machine and its sidecars. The network loses and
+ * delays messages and silences connections; a test drives it step by step.
  */
 import {type FrameBody} from '../../router_frames.js';
 import {RequestMachine} from '../../router_request.js';
@@ -21,7 +21,7 @@
 
 export const DEADLINE = 20_000;
 
-/** Answers differ by dispatch, as two generations of a model do. */
+/** Each dispatch gives a different answer, like two generations of a model. */
 export function textOf(dispatch: number): string {
   return `answer ${dispatch} in full`;
 }
@@ -31,7 +31,7 @@
 interface HeldAttempt {
   state: AttemptState;
   dispatch: number;
-  /** The stream that its frames go to; -1 when it is lost. */
+  /** The stream that carries the attempt's frames; -1 when it is lost. */
   stream: number;
   sent: number;
 }
@@ -50,7 +50,7 @@
   }
 }
 
-/** Something under way; run when it arrives. */
+/** A message in transit, with the callback for its arrival. */
 interface Message {
   readonly stream: number;
   readonly arrive: () => void;
@@ -75,7 +75,7 @@
     this.#perform(this.machine.start());
   }
 
-  /** Takes one of the steps; faults are rarer than progress. */
+  /** Performs one random step; faults are rarer than progress. */
   step(choice: number, detail: number): void {
     if (choice < 14) this.#deliver(detail);
     else if (choice < 24) this.#progress(detail);
@@ -90,7 +90,7 @@
     this.#notify({kind: 'tick'});
   }
 
-  /** No more faults for a while; the answer gets a chance to become whole. */
+  /** Makes progress without faults, so that the answer can complete. */
   runWithoutFaults(): void {
     for (let round = 0; round < 80; round += 1) {
       this.#deliver(round);
@@ -99,7 +99,7 @@
     }
   }
 
-  /** The deadline passes; then all that can still happen does. */
+  /** Passes the deadline, then delivers all messages still in transit. */
   settle(): void {
     while (this.now <= DEADLINE) this.advance(500);
     for (let round = 0; round < 30; round += 1) {
@@ -223,13 +223,13 @@
     const load = {revision: 1, runningTokens: 0, queuedTokens: 0};
     const frame = {attemptId, incarnation, body, ...load};
     const arrive = (): void => {
-      // Frames of a stream that the router has replaced still arrive: crossed.
+      // Frames of a stream that the router has replaced still arrive.
       this.#notify({kind: 'frame', frame});
     };
     this.#inTransit.push({stream, arrive});
   }
 
-  /** Order holds within a stream only. */
+  /** Delivers one message; the order is kept only within a stream. */
   #deliver(detail: number): void {
     const streams = [...new Set(this.#inTransit.map(({stream}) => stream))];
     const stream = streams[detail % Math.max(1, streams.length)];
@@ -238,7 +238,7 @@
     message?.arrive();
   }
 
-  /** Some sidecar dispatches what it holds, or sends the next frame. */
+  /** A sidecar dispatches a queued attempt or sends an attempt's next frame. */
   #progress(detail: number): void {
     const open = this.#sidecars.flatMap(sidecar =>
       [...sidecar.attempts]
@@ -258,7 +258,7 @@
     this.#send(sidecar, id, held.stream, nextPiece(held, 1 + (detail % 9)));
   }
 
-  /** A lost stream's messages vanish; the router hears of it, or doesn't. */
+  /** Loses the open stream and its messages, with or without detection. */
   #loseStream(detected: boolean): void {
     const stream = this.#openStream;
     if (stream < 0) return;
@@ -286,7 +286,7 @@
     }
   }
 
-  /** What the former incarnation held is gone; what it ran, ran. */
+  /** Restarts a sidecar, which loses its attempts; dispatches still count. */
   #restart(detail: number): void {
     const sidecar = this.#sidecars[detail % this.#sidecars.length]!;
     sidecar.generation += 1;
--- a/packages/lovagepond-router/src/__tests__/fakes/router_fakes.ts
+++ b/packages/lovagepond-router/src/__tests__/fakes/router_fakes.ts
@@ -1,6 +1,6 @@
 /**
- * Small stand-ins for the router's peers: control and sidecars over gRPC on
- * loopback, and the front towards callers without HTTP.
+ * Fakes of the router's peers: the control plane and sidecars over gRPC on
+ * loopback, and the callers' front end without HTTP.
  */
 import {
   type AddressInfo,
@@ -82,14 +82,14 @@
   });
 }
 
-/** One attempt as a fake sidecar got it, with the means to answer it. */
+/** An attempt that a fake sidecar received, with methods to answer it. */
 export interface ReceivedAttempt {
   readonly request: WireAttempt;
   send(frame: WireFrame): void;
   end(): void;
 }
 
-/** Answers attempts as its handler says. */
+/** A sidecar that passes attempts to a handler. */
 export class FakeSidecar {
   readonly incarnation: string;
   readonly revoked: string[] = [];
@@ -161,7 +161,7 @@
   }
 }
 
-/** The whole answer `hello` in two pieces. */
+/** Sends the complete answer `hello` in two pieces. */
 export function answerWhole(attempt: ReceivedAttempt): void {
   attempt.send({accepted: {expectedWaitMs: 0}});
   attempt.send({started: {warm: true}});
@@ -172,10 +172,10 @@
   attempt.end();
 }
 
-/** Pushes updates to whoever subscribes. */
+/** A control-plane member that sends fixed updates to each subscriber. */
 export class FakeControl {
   address = '';
-  /** Revisions that routers said they hold. */
+  /** The revisions that routers have reported. */
   readonly reports: number[] = [];
   readonly #server = new Server();
   readonly #updates: WireUpdate[];
@@ -217,8 +217,9 @@
 }
 
 /**
- * Stands between router and sidecar like a device that forgets connections:
- * those open when it is told so carry nothing any more, and new ones work.
+ * A proxy between router and sidecar that simulates a network device which
+ * drops connections: after `blackhole()`, open connections carry no more data,
+ * while new ones work.
  */
 export class BlackholeProxy {
   address = '';
@@ -258,7 +259,7 @@
   }
 }
 
-/** What a caller has got. */
+/** Records what a caller receives. */
 export class FakeSink implements AnswerSink {
   text = '';
   status = 0;
@@ -312,7 +313,7 @@
   }
 }
 
-/** Hands requests to the router without HTTP. */
+/** Passes requests to the router without HTTP. */
 export class FakeFront implements CallerFront {
   readonly port = 0;
   readonly counters = {
--- a/packages/lovagepond-router/src/__tests__/unit/router_connections.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_connections.test.ts
@@ -7,10 +7,11 @@
 
 afterEach(() => sidecar.stop());
 
-// A server leaves the list while a request is about to use its connection, or
-// to take its attempt back over it. The library throws at a call on a closed
-// channel: the whole router would end, and cut every caller's stream.
-test('a call on a connection closed meanwhile is lost and ends nothing', async () => {
+// A server is removed from the membership while a request is about to use its
+// connection or to revoke an attempt over it. The library throws on a call over
+// a closed channel. Uncaught, this error would end the router and truncate
+// every caller's stream.
+test('a call over a closed connection is lost and does not end the process', async () => {
   await sidecar.start();
   const connections = new SidecarConnections(1_000);
   const connection = await connections.open(sidecar.address);
--- a/packages/lovagepond-router/src/__tests__/unit/router_control_link.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_control_link.test.ts
@@ -26,7 +26,7 @@
   for (const cleanup of cleanups.splice(0).reverse()) cleanup();
 });
 
-/** Connections to it never come to anything, as at a host without power. */
+/** Accepts TCP connections but never responds, like a host without power. */
 async function startUnresponsiveServer(): Promise<string> {
   const server = createServer().listen(0, '127.0.0.1');
   await once(server, 'listening');
@@ -44,7 +44,7 @@
   readonly goOn?: boolean;
 }
 
-/** A member that names others, if any. */
+/** Starts a member whose update lists the given members. */
 async function startMember(
   named: readonly string[] = [],
   {endsStream = false, goOn = false}: MemberBehavior = {},
@@ -67,10 +67,10 @@
   });
 }
 
-/** Starts a link, and resolves once it has heard from the wanted member. */
+/** Starts a link and resolves at the first update from the expected member. */
 function untilUpdateFrom(
   controlAddresses: readonly string[],
-  wanted: string,
+  expectedAddress: string,
 ): Promise<void> {
   return new Promise(resolve => {
     const link = new ControlLink(
@@ -83,7 +83,7 @@
         listener: {
           heldRevision: () => 0,
           onUpdate: () => {
-            if (link.address === wanted) resolve();
+            if (link.address === expectedAddress) resolve();
           },
         },
       },
@@ -95,27 +95,29 @@
   });
 }
 
-// All hosts lost power and come back one by one. A router that is up first asks
-// a member whose host isn't: nothing refuses its connection, and the system
-// tries again only after a second. It must go on to another member meanwhile,
-// though members that are merely silent are left much later.
-test('leaves a member to which there is no connection', async () => {
+// All hosts lost power and restart one by one. A router that starts first
+// connects to a member whose host is still down: nothing refuses the
+// connection, and the system retries only after a second. The router must
+// switch to another member before that, although it waits much longer for a
+// connected but silent member.
+test('switches from a member that it cannot connect to', async () => {
   const addresses = [await startUnresponsiveServer(), await startMember()];
   await untilUpdateFrom(addresses, addresses[1]!);
 });
 
-// Each host that the settings name has been replaced. The last of them names its
-// successors before it ends; asked for nobody else, the router would hear of no
-// further change.
-test('goes on to members that its settings do not name', async () => {
+// All hosts named in the settings have been replaced. The last of them lists
+// its successors before it stops. A router that only tried the hosts in its
+// settings would receive no further updates.
+test('switches to members that its settings do not name', async () => {
   const successor = await startMember();
   const seed = await startMember([successor], {endsStream: true});
   await untilUpdateFrom([seed], successor);
 });
 
-// Each address that the settings name is of a host without a log, which knows the
-// leader but can't serve yet. It says so, and the router must not wait there.
-test('goes on when the member sends it on', async () => {
+// All addresses in the settings belong to hosts without a log, which know the
+// leader but can't serve subscriptions yet. They redirect the router, which
+// must not wait for them.
+test('switches when the member redirects it', async () => {
   const leader = await startMember();
   const seed = await startMember([leader], {goOn: true});
   await untilUpdateFrom([seed], leader);
--- a/packages/lovagepond-router/src/__tests__/unit/router_decisions.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_decisions.test.ts
@@ -95,15 +95,15 @@
       : verdict.failure.kind;
   };
 
-  test('the first selector by priority decides, over pools and servers', () => {
+  test('the selector with the highest priority decides on pools and servers', () => {
     expect(namesFor('bakery', 'chat', 'vip-1')).toEqual(['s0']);
     expect(namesFor('bakery', 'chat', 'c-1')).toEqual(['s2']);
     expect(namesFor('garden', 'chat', 'vip-1')).toEqual(['s2']);
   });
 
-  // A misspelt kind falls to the selector for any kind and is sent as a
-  // repeatable call: after a lost answer it would be dispatched again.
-  test('unknown names are refused and match no selector for any', () => {
+  // A misspelled kind that matched the wildcard selector would be sent as a
+  // repeatable call and dispatched again after a lost answer.
+  test('unknown names are refused and match no wildcard selector', () => {
     expect(namesFor('nobody', 'chat', '')).toBe('unknownWorkspace');
     expect(namesFor('bakery', 'reedem', '')).toBe('badRequest');
   });
@@ -112,9 +112,9 @@
 describe('revisions', () => {
   const settings = {islandPolicy: 'refuse', islandAfterMs: 1_000} as const;
 
-  // An operator's change is in force and then undone, since an older
-  // configuration arrives late from control or a sidecar that was cut off.
-  test('no order of arrival brings an older configuration back', () => {
+  // Guards against undoing an operator's change when an older configuration
+  // arrives late from the control plane or from a sidecar that was cut off.
+  test('no order of arrival restores an older configuration', () => {
     const order = fc.array(fc.integer({min: 1, max: 30}), {minLength: 1});
     const property = fc.property(order, revisions => {
       const held = new RouterRevisions(settings);
@@ -128,9 +128,10 @@
     fc.assert(property, {numRuns: 50, seed: SEED});
   });
 
-  // A router restarts while a minority's control member still holds revision
-  // 1: serving by it, it would send requests where revision 2 forbids them.
-  test('nothing is served before a majority-confirmed revision is held', () => {
+  // A router restarts while a control-plane member in a minority still has
+  // revision 1. With it, the router would send requests to servers that
+  // revision 2 forbids.
+  test('nothing is served before a majority-confirmed revision is installed', () => {
     const held = new RouterRevisions(settings);
     held.noteControlMessage(0);
     held.install(encodeConfiguration(makeConfiguration(1)));
@@ -151,11 +152,11 @@
   const server = makeServer(0);
   const target = targetOf(server);
 
-  // Something between router and server forgets idle connections: requests on
-  // them hang while fresh ones work. Blaming the server for it would empty a
-  // healthy pool; not blaming one that refuses connections loses requests
-  // until control's lease runs out.
-  test('silence alone accuses nobody, a failed fresh connection does', () => {
+  // A network device between router and server drops idle connections: requests
+  // over them hang while new connections work. Suspecting the server would
+  // empty a healthy pool. Not suspecting a server that refuses connections
+  // would lose requests until its lease expires.
+  test('a silent connection makes no server suspect, a failed new one does', () => {
     const evidence = new RouterEvidence(
       DEFAULT_EVIDENCE_SETTINGS,
       new Random(1),
@@ -177,9 +178,9 @@
     expect(evidence.isSuspect('i0-restarted', 20)).toBe(false);
   });
 
-  // A server leaves on plan and finishes its streams here. Each frame of these
-  // would clear it, and the next request would be refused once more.
-  test('a server that said it is leaving stays out though it is heard', () => {
+  // A draining server finishes its open streams. If their frames cleared the
+  // mark, the next request would be sent there and refused again.
+  test('a draining server is avoided although it still sends frames', () => {
     const evidence = new RouterEvidence(
       DEFAULT_EVIDENCE_SETTINGS,
       new Random(1),
@@ -190,10 +191,10 @@
     expect(evidence.isSuspect('i0', 2_001)).toBe(false);
   });
 
-  // A flapping server is back for a moment, gets requests from everyone, and
-  // ends again: each round fails requests. Suspicion has to grow, and routers
-  // must not probe it all in the same moment.
-  test('a flapping server is tried ever more seldom, by spread probes', () => {
+  // A flapping server recovers briefly, receives requests from all routers and
+  // fails again, and each round fails requests. The time between probes must
+  // grow, and routers must not all probe at the same time.
+  test('a flapping server is probed less and less often, at random times', () => {
     const gaps: number[] = [];
     const evidence = new RouterEvidence(
       DEFAULT_EVIDENCE_SETTINGS,
@@ -225,15 +226,15 @@
   });
 });
 
-/** @returns how often the most frequent value stands in the list */
+/** @returns how often the most frequent value occurs in the list */
 function countMost(values: readonly number[]): number {
   const counts = new Map<number, number>();
   for (const value of values) counts.set(value, (counts.get(value) ?? 0) + 1);
   return Math.max(...counts.values());
 }
 
-// A pool answers each attempt with a failure. Without a budget every request
-// comes three times, and the pool stays overloaded after its fault has passed.
+// A pool fails every attempt. Without a budget it would receive each request
+// three times and stay overloaded after its fault has passed.
 test('retries stay a fraction of first attempts', () => {
   const budget = new RetryBudget({retryFraction: 0.1});
   let retries = 0;
@@ -257,14 +258,14 @@
     return new EarlyRefusal(load, new Random(SEED));
   }
 
-  // On the hour thousands of kiosks wake in one second against servers that
-  // have minutes of work. Held until their deadline they all time out; told
-  // one time to come back, they wake together again.
-  test('kiosks that wake together are refused at once and come back spread', () => {
+  // On the hour, thousands of callers start within one second while the servers
+  // have minutes of queued work. Queued until their deadline, all requests
+  // would time out. With the same retry delay, they would all return together.
+  test('callers that start together are refused at once and retry at random times', () => {
     const refusal = makeLoaded(400_000);
     const returns: number[] = [];
-    for (let kiosk = 0; kiosk < 5_000; kiosk += 1) {
-      const now = kiosk / 5;
+    for (let caller = 0; caller < 5_000; caller += 1) {
+      const now = caller / 5;
       const failure = refusal.check({pool, slots}, 300, now + 10_000, now);
       expect(failure?.kind).toBe('deadlineUnreachable');
       returns.push(Math.floor((now + failure!.retryAfterMs) / 1_000));
@@ -273,7 +274,7 @@
     expect(countMost(returns)).toBeLessThan(500);
   });
 
-  test('what may be served in time, or is not known, is placed', () => {
+  test('a request is placed when it may be in time or the load is unknown', () => {
     const servers = {pool, slots};
     expect(makeLoaded(4_000).check(servers, 300, 10_000, 0)).toBeUndefined();
     const stale = makeLoaded(400_000);
@@ -316,10 +317,10 @@
     return choice.choose({request, set, preferred, excluded}, 0)?.server.name;
   };
 
-  // Two routers hold lists that differ by one server for some seconds. Chats
-  // that come back through the other router find their context only when both
-  // routers name the same server.
-  test('routers with differing lists disagree only about the difference', () => {
+  // For some seconds, two routers have lists that differ by one server. Chats
+  // that return through the other router find their context only when both
+  // routers choose the same server.
+  test('routers with different lists disagree only on the differing servers', () => {
     const all = listServers(12);
     const fewer = all.slice(0, 11);
     for (let chat = 0; chat < 500; chat += 1) {
@@ -329,15 +330,17 @@
     }
   });
 
-  test('pointers are followed only where selectors and evidence allow', () => {
+  test('pointers are followed only to eligible servers that are not suspected', () => {
     const servers = listServers(4);
     const first = choose(makeChoice(), servers, 'c');
     expect(choose(makeChoice(), servers, 'c', {preferred: 's3'})).toBe('s3');
     expect(choose(makeChoice(), servers, 'c', {preferred: 'gone'})).toBe(first);
-    const doubting = makeChoice(['s3']);
-    expect(choose(doubting, servers, 'c', {preferred: 's3'})).not.toBe('s3');
-    const distrustful = makeChoice(servers.map(({name}) => name));
-    expect(choose(distrustful, servers, 'c')).toBeDefined();
+    const choiceWithSuspect = makeChoice(['s3']);
+    expect(choose(choiceWithSuspect, servers, 'c', {preferred: 's3'})).not.toBe(
+      's3',
+    );
+    const choiceWithAllSuspect = makeChoice(servers.map(({name}) => name));
+    expect(choose(choiceWithAllSuspect, servers, 'c')).toBeDefined();
     const excluded = new Set(servers.map(({name}) => name));
     expect(choose(makeChoice(), servers, 'c', {excluded})).toBeUndefined();
   });
--- a/packages/lovagepond-router/src/__tests__/unit/router_placement.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_placement.test.ts
@@ -23,20 +23,24 @@
   hasher = await loadKeyHasher();
 });
 
-function makeServers(young?: string): PlacementServer[] {
+function makeServers(newServer?: string): PlacementServer[] {
   return Array.from({length: 6}, (_, slot) => {
     const name = `server-${slot}`;
-    const readySince = name === young ? 0 : Number.NEGATIVE_INFINITY;
+    const readySince = name === newServer ? 0 : Number.NEGATIVE_INFINITY;
     return {name, slot, readySince};
   });
 }
 
 function placeChats(
   name: PlacementPolicyName,
-  options: {load?: RouterLoadView; young?: string; returning?: boolean} = {},
+  options: {
+    load?: RouterLoadView;
+    newServer?: string;
+    returning?: boolean;
+  } = {},
 ) {
   const policy = PLACEMENT_POLICIES[name](hasher);
-  const servers = new RendezvousTable(makeServers(options.young), hasher);
+  const servers = new RendezvousTable(makeServers(options.newServer), hasher);
   const load = options.load ?? new RouterLoadView();
   const random = new Random(801);
   return Array.from({length: 300}, (_, chat) =>
@@ -58,17 +62,21 @@
 }
 
 describe('placement policies', () => {
-  it.each(NAMES)('%s repeats itself from a seed, without doubles', name => {
-    const placements = placeChats(name);
-    expect(placements).toEqual(placeChats(name));
-    for (const {candidates} of placements) {
-      expect(candidates).toHaveLength(4);
-      expect(new Set(candidates).size).toBe(4);
-    }
-  });
+  it.each(NAMES)(
+    '%s is deterministic for a seed and returns no duplicates',
+    name => {
+      const placements = placeChats(name);
+      expect(placements).toEqual(placeChats(name));
+      for (const {candidates} of placements) {
+        expect(candidates).toHaveLength(4);
+        expect(new Set(candidates).size).toBe(4);
+      }
+    },
+  );
 
-  // One server stands far over the bound. New chats that want it must start
-  // elsewhere, while its address stays known as the keeper of their pointers.
+  // One server is far over the bound. New chats that have it as first choice
+  // must start elsewhere, but it remains the first choice, which keeps their
+  // pointers.
   it.each(['boundedRendezvous', 'holdAndTake'] as const)(
     '%s starts no new chat on a server over the bound',
     name => {
@@ -76,19 +84,19 @@
       const loads = [90_000, 9000, 9000, 9000, 9000, 9000].map(encodeLoad);
       load.applyDigest(Uint8Array.from(loads), 0);
       const placements = placeChats(name, {load, returning: false});
-      const wanted = placements.filter(item => item.firstChoice.slot === 0);
-      expect(wanted.length).toBeGreaterThan(20);
-      for (const {candidates} of wanted) {
+      const affected = placements.filter(item => item.firstChoice.slot === 0);
+      expect(affected.length).toBeGreaterThan(20);
+      for (const {candidates} of affected) {
         expect(candidates[0]!.slot).not.toBe(0);
       }
     },
   );
 
-  // A server joined lately and is first choice of a sixth of the chats. Some
-  // returning chats started on it, others before it came; only its sidecar can
-  // tell them apart, so all must ask there first.
-  it('asks the first choice for a returning chat, young or not', () => {
-    const placements = placeChats('holdAndTake', {young: 'server-2'});
+  // A new server is the first choice of a sixth of the chats. Some returning
+  // chats started there, others before it was added. Only its sidecar can
+  // distinguish them, so all must be offered to it first.
+  it('places a returning chat at its first choice, new or not', () => {
+    const placements = placeChats('holdAndTake', {newServer: 'server-2'});
     const asked = placements.filter(({firstChoice}) => firstChoice.slot === 2);
     expect(asked.length).toBeGreaterThan(20);
     for (const {candidates, firstChoice} of placements) {
@@ -96,15 +104,16 @@
     }
   });
 
-  // Same join. A chat that began before it lies where it was at home then: the
-  // next of its order that is older. Only chats of the young server ask for it.
-  it('names the former home of chats whose first choice is young', () => {
+  // With the same new server, a chat that started earlier is warm at its
+  // previous first choice: the next server of its order that isn't new. Only
+  // chats of the new server have such a candidate.
+  it('lists the previous server of chats whose first choice is new', () => {
     const former = placeChats('holdAndTake');
-    const placements = placeChats('holdAndTake', {young: 'server-2'});
+    const placements = placeChats('holdAndTake', {newServer: 'server-2'});
     placements.forEach(({firstChoice, warmCandidates = []}, chat) => {
       const [, next] = former[chat]!.candidates;
-      const wanted = firstChoice.slot === 2 ? [next!.name] : [];
-      expect(warmCandidates.map(({name}) => name)).toEqual(wanted);
+      const expected = firstChoice.slot === 2 ? [next!.name] : [];
+      expect(warmCandidates.map(({name}) => name)).toEqual(expected);
     });
     const options = {young: 'server-2', returning: false};
     for (const {warmCandidates} of placeChats('holdAndTake', options)) {
@@ -114,9 +123,9 @@
 });
 
 describe('RouterLoadView', () => {
-  // The digest is a second old. What this router sent after it was measured
-  // must count on top, and what it sent before must not count twice.
-  it('adds own sends to the digest exactly once', () => {
+  // The digest is a second old. Requests that this router sent after the digest
+  // was measured must be added, and earlier ones must not count twice.
+  it('counts own sends on top of the digest exactly once', () => {
     const view = new RouterLoadView();
     view.recordSent(1, 500, 100);
     view.recordSent(1, 700, 900);
@@ -132,7 +141,7 @@
     expect(view.meanOf(Int32Array.of(0, 1))).toBe(0);
   });
 
-  it('forgets own sends when no digest comes, and says that it is stale', () => {
+  it('expires own sends without a new digest and reports a stale digest', () => {
     const view = new RouterLoadView();
     view.recordSent(0, 500, 0);
     view.recordSent(2, 100, 6000);
--- a/packages/lovagepond-router/src/__tests__/unit/router_quarantine.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_quarantine.test.ts
@@ -14,7 +14,7 @@
   return {server, requests: [BAD], crashedAt};
 }
 
-test('a fingerprint is of the method, the path, the caller and the body', () => {
+test('a fingerprint covers the method, the path, the workspace and the body', () => {
   expect(BAD).toMatch(/^[0-9a-f]{32}$/);
   expect(fingerprintOf({...CONTENT})).toBe(BAD);
   const others = [
@@ -28,8 +28,9 @@
   }
 });
 
-// Guards against a router that is cut off from control and crashes all its servers.
-test('crashes that control does not have count here', () => {
+// Guards against a router that, cut off from the control plane, crashes all of
+// its servers.
+test('crashes that the control plane has not recorded count locally', () => {
   const quarantine = new RequestQuarantine();
   for (const at of [1, 2, 3]) {
     quarantine.noteCrash(crash(`s${at}`, at * 1_000), at * 1_000);
@@ -39,8 +40,9 @@
   expect(quarantine.quarantinedForMs(BAD, 3_000)).toBe(HOUR_MS);
 });
 
-// Guards against a crash that is never counted, as the leader was lost with it.
-test('a report that is not recorded is told again', () => {
+// Guards against a crash that is never counted because the leader failed before
+// it recorded the report.
+test('a report that is not recorded is sent again', () => {
   const quarantine = new RequestQuarantine();
   quarantine.noteCrash(crash('s1', 0), 0);
   expect(quarantine.takeReport(10)?.crashes).toEqual([
@@ -55,7 +57,7 @@
   expect(quarantine.takeReport(40)).toBeUndefined();
 });
 
-test('an operator lifts what this router has reported', () => {
+test('an operator can lift a quarantine that this router has reported', () => {
   const quarantine = new RequestQuarantine();
   for (const at of [1, 2, 3]) {
     quarantine.noteCrash(crash(`s${at}`, at * 1_000), at * 1_000);
@@ -65,16 +67,16 @@
   expect(quarantine.quarantinedForMs(BAD, 3_000)).toBeDefined();
   quarantine.endReport(true);
   const request = Buffer.from(BAD, 'hex');
-  const told = {request, crashes: 3, quarantinedForMs: HOUR_MS};
-  expect(quarantine.apply({suspects: [told]}, 3_100)).toEqual([BAD]);
-  expect(quarantine.apply({suspects: [told]}, 3_200)).toEqual([]);
+  const fromControl = {request, crashes: 3, quarantinedForMs: HOUR_MS};
+  expect(quarantine.apply({suspects: [fromControl]}, 3_100)).toEqual([BAD]);
+  expect(quarantine.apply({suspects: [fromControl]}, 3_200)).toEqual([]);
   quarantine.apply({suspects: []}, 3_300);
   expect(quarantine.quarantinedForMs(BAD, 3_300)).toBeUndefined();
 });
 
-// Guards against the refusal of a frequent request that many servers ran when they
-// lost power.
-test('a request that was answered a short time ago counts for no crash', () => {
+// Guards against quarantining a frequent request that many servers were running
+// when they lost power.
+test('a recently answered request is not counted for a crash', () => {
   const quarantine = new RequestQuarantine();
   quarantine.noteAnswered(BAD, 0);
   quarantine.noteCrash(crash('s1', 59_000), 59_000);
@@ -83,15 +85,15 @@
   ]);
   quarantine.endReport(true);
   const request = Buffer.from(BAD, 'hex');
-  const told = {request, crashes: 3, quarantinedForMs: HOUR_MS};
-  expect(quarantine.apply({suspects: [told]}, 59_500)).toEqual([]);
+  const fromControl = {request, crashes: 3, quarantinedForMs: HOUR_MS};
+  expect(quarantine.apply({suspects: [fromControl]}, 59_500)).toEqual([]);
   expect(quarantine.quarantinedForMs(BAD, 59_500)).toBeUndefined();
   expect(quarantine.takeReport(59_500)?.answered).toEqual([request]);
   quarantine.noteCrash(crash('s2', 61_000), 61_000);
   expect(quarantine.find(BAD, 61_000)?.crashes).toBe(1);
 });
 
-test('a whole answer acquits a suspect here and is told to control', () => {
+test('a complete answer clears a suspect and is reported to the control plane', () => {
   const quarantine = new RequestQuarantine();
   quarantine.noteAnswered(BAD, -HOUR_MS);
   expect(quarantine.takeReport(0)).toBeUndefined();
--- a/packages/lovagepond-router/src/__tests__/unit/router_rendezvous.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_rendezvous.test.ts
@@ -35,7 +35,7 @@
 }
 
 describe('RendezvousTable', () => {
-  it('undoes its permutation', () => {
+  it('inverts its permutation', () => {
     fc.assert(
       fc.property(fc.nat(0xffff), fc.nat(), fc.nat(), (rank, low, high) => {
         const key = makePermutationKey({low, high});
@@ -45,22 +45,26 @@
     );
   });
 
-  // A backend server leaves. Callers whose chats lived there land elsewhere;
-  // nobody else may move, or a single leave would cost every chat its context.
-  // Whether servers are compared (few) or walked to (many) must not matter.
-  it.each([6, 64, 640])('moves only the chats of a server that left %i', n => {
-    const names = nameServers(n);
-    const before = makeTable(names);
-    const after = makeTable(names.filter(name => name !== 'server-3'));
-    for (let chat = 0; chat < CHATS; chat++) {
-      const order = orderNames(before, chat, 3);
-      const kept = order.filter(name => name !== 'server-3');
-      expect(orderNames(after, chat, 3).slice(0, kept.length)).toEqual(kept);
-    }
-  });
+  // A backend server leaves. Only its chats may move to other servers;
+  // otherwise a single departure would cost every chat its cached context. This
+  // must hold for ranking all servers (few) and for walking the permutation
+  // (many).
+  it.each([6, 64, 640])(
+    'moves only the chats of the server removed from %i',
+    n => {
+      const names = nameServers(n);
+      const before = makeTable(names);
+      const after = makeTable(names.filter(name => name !== 'server-3'));
+      for (let chat = 0; chat < CHATS; chat++) {
+        const order = orderNames(before, chat, 3);
+        const kept = order.filter(name => name !== 'server-3');
+        expect(orderNames(after, chat, 3).slice(0, kept.length)).toEqual(kept);
+      }
+    },
+  );
 
-  // Two routers hold differing lists for seconds. A chat that wants a server
-  // on both lists before any that stands on one alone must get it from both.
+  // For some seconds, two routers have different lists. When each router's
+  // first choice for a chat is on both lists, both must choose the same server.
   it('lets routers disagree only where their lists differ', () => {
     const lists = fc.subarray(nameServers(30), {minLength: 1});
     fc.assert(
@@ -73,7 +77,7 @@
     );
   });
 
-  it('ignores the order of the list and the count that is asked for', () => {
+  it('is independent of the order of the list and of the requested count', () => {
     const names = nameServers(640);
     const table = makeTable(names);
     const reversed = makeTable([...names].reverse());
--- a/packages/lovagepond-router/src/__tests__/unit/router_request.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_request.test.ts
@@ -6,7 +6,11 @@
 
 const SEED = 20261202;
 
-/** @returns the kind of the request's only final answer */
+/**
+ * Checks that the request has one final answer and that it is correct.
+ *
+ * @returns the failure's kind, or `whole`
+ */
 function checkFinalAnswer(world: RequestWorld, nonRepeatable: boolean): string {
   expect(world.finals).toHaveLength(1);
   const final = world.finals[0]!;
@@ -26,12 +30,13 @@
   return kind;
 }
 
-// A caller is told "not run" and repeats the request while a sidecar still has
-// it, or a call that must not repeat is dispatched twice, or an answer is cut
-// or joined from two. Connections break or go silent at any moment, refusals,
-// acceptances and revocations get lost, cross and race with dispatches, and
-// sidecars restart; afterwards all that was under way still arrives.
-test('an answer is final, whole and true whatever gets lost', () => {
+// Guards against four failures: a caller receives "not run" and repeats the
+// request while a sidecar still has it, a non-repeatable call is dispatched
+// twice, an answer is truncated, or an answer is joined from two. Connections
+// break or go silent at any time. Refusals, acceptances and revocations are
+// lost, cross or race with dispatches, and sidecars restart. At the end, all
+// messages in transit still arrive.
+test('an answer is final, complete and truthful despite any lost messages', () => {
   const step = fc.tuple(fc.nat(31), fc.nat(11));
   const steps = fc.array(step, {maxLength: 120, size: 'max'});
   const finals = new Map<string, number>();
@@ -39,10 +44,10 @@
     fc.boolean(),
     fc.boolean(),
     steps,
-    (nonRepeatable, calm, choices) => {
+    (nonRepeatable, recovers, choices) => {
       const world = new RequestWorld(nonRepeatable);
       for (const [choice, detail] of choices) world.step(choice, detail);
-      if (calm) world.runWithoutFaults();
+      if (recovers) world.runWithoutFaults();
       world.settle();
       const name = checkFinalAnswer(world, nonRepeatable);
       finals.set(name, (finals.get(name) ?? 0) + 1);
@@ -52,9 +57,9 @@
   console.info('seed', SEED, Object.fromEntries(finals));
 });
 
-// Two attempts of one chat write different texts. When the second goes on at
-// the offset where the first broke off, the caller reads a sentence that no
-// engine wrote.
+// Two attempts of one request generate different texts. If the second attempt
+// continued at the offset where the first one broke off, the caller would read
+// a sentence that no engine generated.
 test('the bytes of two attempts are never joined', () => {
   const answer = new AnswerAssembler();
   const first = {attemptId: 'r.1', incarnation: 'a.0'};
--- a/packages/lovagepond-router/src/__tests__/unit/router_request_runner.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_request_runner.test.ts
@@ -8,9 +8,10 @@
   makeRequest,
 } from '../fakes/router_fakes.js';
 
-// A fault of this program, met by one request between two turns of the loop,
-// would end the process and cut every caller's stream. It ends that request.
-test('a fault met by one request ends neither the process nor others', async () => {
+// An unexpected error in the asynchronous work of one request would, if
+// uncaught, end the process and truncate every caller's stream. Only that
+// request may fail.
+test('an unexpected error in one request ends neither the process nor others', async () => {
   const {content} = makeConfiguration(1);
   const [workspace] = content.workspaces;
   const [requestKind] = content.requestKinds;
--- a/packages/lovagepond-router/src/__tests__/unit/router_role.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_role.test.ts
@@ -74,7 +74,7 @@
   ask(change?: Parameters<typeof makeRequest>[0]): FakeSink;
 }
 
-/** A router whose callers need no HTTP. */
+/** Starts a router that receives requests directly instead of over HTTP. */
 async function startWithoutHttp(
   members: WireMember[],
   change: Partial<RouterSettings> = {},
@@ -92,7 +92,7 @@
   return {role, ask};
 }
 
-test('a request goes through a sidecar and its answer comes back whole', async () => {
+test('forwards a request to a sidecar and relays the complete answer', async () => {
   const sidecar = await startSidecar(new FakeSidecar('i1'));
   const {role, ask} = await startWithoutHttp([sidecar.member('s1')]);
   const sink = ask();
@@ -101,11 +101,11 @@
   expect(role.dump().state).toMatchObject({answered: 1, inFlight: 0});
 });
 
-// Something between router and sidecar has lost track of their connection:
-// the answer stops after three bytes, and the next request on it hears
-// nothing. New connections work, so both answers become whole over one, the
-// first from where it stopped, and the server is not blamed.
-test('a connection that goes silent is replaced and cuts no answer', async () => {
+// A network device between router and sidecar has dropped their connection: the
+// answer stops after three bytes, and the next request over the connection gets
+// no frame. New connections work, so both answers must complete over one, the
+// first from where it stopped, and the server must not become suspect.
+test('a silent connection is replaced without truncating an answer', async () => {
   const seen: ReceivedAttempt[] = [];
   const sidecar = new FakeSidecar('i1', attempt => {
     seen.push(attempt);
@@ -140,10 +140,10 @@
   expect(role.dump().state).toMatchObject({suspects: 0, failedByKind: {}});
 });
 
-// The host stops. A caller reads a streamed answer that goes on for a while:
-// he gets all of it, though the balancer hears at once that the router isn't
-// ready, and no new connection is taken.
-test('a draining router is not ready, takes nothing new and cuts nothing', async () => {
+// Guards against truncated answers when a host shuts down. A caller who reads a
+// long streamed answer must receive all of it, although the router reports at
+// once that it isn't ready and refuses new connections.
+test('a draining router is not ready, refuses connections and completes answers', async () => {
   const held: ReceivedAttempt[] = [];
   const sidecar = new FakeSidecar('i1', attempt => {
     const body = JSON.stringify({id: 1});
@@ -186,10 +186,10 @@
   await drained;
 });
 
-// An operator's change has reached only one of router and sidecar, since
-// control can't reach the other. Served by the older side, the request would
-// run where the change forbids it.
-test('whichever side holds the older configuration is handed the newer', async () => {
+// An operator's change has reached only the router or only the sidecar, as the
+// control plane can't reach the other. With the older configuration, the
+// request would run on a server that the change forbids.
+test('the side with the older configuration receives the newer one', async () => {
   const revisions: number[] = [];
   const refuseOnce = (
     attempt: ReceivedAttempt,
@@ -230,9 +230,10 @@
   expect(decodeConfiguration(handed!)?.revision).toBe(2);
 });
 
-// A caller hangs up while his request is held. Its stream's end looks to the
-// sidecar like a lost connection, so that the engine would work for nobody.
-test('a request whose caller went away is taken back at its sidecar', async () => {
+// A caller disconnects while the request is queued. To the sidecar, the end of
+// the stream looks like a lost connection, so without a revocation the engine
+// would run a request that nobody waits for.
+test('a request whose caller has disconnected is revoked at its sidecar', async () => {
   const held: ReceivedAttempt[] = [];
   const sidecar = new FakeSidecar('i1', attempt => {
     held.push(attempt);
@@ -247,10 +248,10 @@
   expect(role.dump().state).toMatchObject({inFlight: 0});
 });
 
-// A server's host is gone, and control's lease still lists it as ready. Its
-// callers are served by others at once, and after the first failure without
-// even a try.
-test('own evidence of a dead server outruns the lease', async () => {
+// A server's host has failed, but the server is still listed as ready until its
+// lease expires. Its callers must be served by other servers at once, and after
+// the first failure without an attempt at the failed server.
+test('own evidence of a failed server takes effect before its lease expires', async () => {
   const alive = await startSidecar(new FakeSidecar('i1'));
   const dead = await startSidecar(new FakeSidecar('i2'));
   const members = [alive.member('s1'), dead.member('s2')];
@@ -265,11 +266,12 @@
   expect(role.dump().state).toMatchObject({suspects: 1, hops: 1});
 });
 
-/** Longer than the time in which crashes count once. */
+/** Longer than the interval in which crashes count as one. */
 const COMMON_CAUSE_MS = 250;
 
-// Guards against a request that crashes one engine after the other behind sidecars.
-test('a request that crashed three engines is sent to no further one', async () => {
+// Guards against a request that crashes one engine after another behind their
+// sidecars.
+test('a request that crashed three engines is sent to no other engine', async () => {
   const served: string[] = [];
   const members: WireMember[] = [];
   for (const name of ['s1', 's2', 's3', 's4', 's5']) {
