--- a/packages/lovagepond-router/src/__tests__/unit/router_decisions.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_decisions.test.ts
@@ -141,8 +141,8 @@
     held.install(encodeConfiguration(makeConfiguration(2)));
     expect(held.mayServe(0)).toBe(true);
     expect(held.mayServe(1_001)).toBe(false);
-    const island = {...settings, islandPolicy: 'serve'} as const;
-    const serving = new RouterRevisions(island);
+    const serveSettings = {...settings, islandPolicy: 'serve'} as const;
+    const serving = new RouterRevisions(serveSettings);
     serving.confirm(0);
     expect(serving.mayServe(1_001)).toBe(true);
   });
--- a/packages/lovagepond-router/src/router_control_link.ts
+++ b/packages/lovagepond-router/src/router_control_link.ts
@@ -136,7 +136,7 @@
     this.#subscribe();
   }
 
-  /** @param now current time, monotonic ms; called a few times a second */
+  /** @param now current time, monotonic ms; call it a few times a second */
   tick(now: number): void {
     if (!this.#call) return;
     const silentMs = now - this.#lastUpdateAt;
--- a/packages/lovagepond-router/src/router_crash_reporter.ts
+++ b/packages/lovagepond-router/src/router_crash_reporter.ts
@@ -30,7 +30,7 @@
     this.tick(now);
   }
 
-  /** @param now current time, monotonic milliseconds; called frequently */
+  /** @param now current time, monotonic milliseconds; call it often */
   tick(now: number): void {
     const {quarantine, report, clock} = this.#dependencies;
     const pendingReport = quarantine.takeReport(now);
--- a/packages/lovagepond-router/src/router_dispatcher.ts
+++ b/packages/lovagepond-router/src/router_dispatcher.ts
@@ -280,7 +280,11 @@
     return failure ?? eligible;
   }
 
-  /** Adds a first attempt to the pool's retry budget, or charges a retry. */
+  /**
+   * Credits a first attempt to the pool's retry budget, or charges a retry.
+   *
+   * @returns the previous failure when the budget is exhausted
+   */
   #chargeBudget(
     query: PlacementQuery,
     eligible: Eligible,
--- a/packages/lovagepond-router/src/router_evidence.ts
+++ b/packages/lovagepond-router/src/router_evidence.ts
@@ -141,10 +141,10 @@
   }
 
   /**
-   * Returns the probes that are due. A suspected server is probed by a separate
-   * message instead of a caller's request, and at a random time: a thousand
-   * routers that all send to a server as soon as it recovers would overload it
-   * again.
+   * Returns the probes that are due. A suspected server is probed by a
+   * dedicated message instead of a caller's request, and at a random time: a
+   * thousand routers that all send to a server as soon as it recovers would
+   * make it fail again.
    *
    * @param now current time, monotonic milliseconds
    * @returns servers to probe now; each is returned once until its probe's
