--- a/packages/lovagepond-router/src/__tests__/unit/router_request_runner.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_request_runner.test.ts
@@ -1,5 +1,5 @@
 import {expect, test} from 'vitest';
-import {type RunnerHost} from '../../router_request_host.js';
+import {type RunnerContext} from '../../router_request_context.js';
 import {RequestRunner} from '../../router_request_runner.js';
 import {LIMITS} from '../fakes/request_world.js';
 import {
@@ -8,9 +8,10 @@
   makeRequest,
 } from '../fakes/router_fakes.js';
 
-// A fault of this program, met by one request between two turns of the loop,
-// would end the process and cut every caller's stream. It ends that request.
-test('a fault met by one request ends neither the process nor others', async () => {
+// An unexpected error in the asynchronous work of one request would, if
+// uncaught, end the process and truncate every caller's stream. Only that
+// request may fail.
+test('an unexpected error in one request ends neither the process nor others', async () => {
   const {content} = makeConfiguration(1);
   const [workspace] = content.workspaces;
   const [requestKind] = content.requestKinds;
@@ -26,7 +27,7 @@
     noteFault: (_runner: RequestRunner, err: unknown) => faults.push(err),
     completeFailure: (failure: unknown) => failure,
     noteDone: () => {},
-  } as unknown as RunnerHost;
+  } as unknown as RunnerContext;
   const sink = new FakeSink();
   const request = makeRequest({deadline: 1_000});
   const runner = new RequestRunner(host, request, eligible, sink);
--- a/packages/lovagepond-router/src/router_control_link.ts
+++ b/packages/lovagepond-router/src/router_control_link.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps one subscription open to some control member in touch with the leader.
+ * Keeps a subscription to a control-plane member that can reach the leader.
  */
 import {
   type ChannelOptions,
@@ -21,33 +21,33 @@
 
 const {v1} = lovagepond;
 
-/** A control update as it was decoded. */
+/** A decoded update from the control plane. */
 export type ControlUpdate = lovagepond.v1.ControlUpdate.$Properties;
 
-/** What the link asks of the router when it subscribes. */
+/** What a subscriber reports about itself when it subscribes. */
 export interface SubscriberFacts {
   readonly node: string;
   readonly region: string;
-  /** Changes of the configuration held may be sent in place of the whole. */
+  /** The configuration may be sent as a delta against the subscriber's. */
   readonly takesDeltas: boolean;
 }
 
-/** Settings of {@link ControlLink}, as in the router's settings. */
+/** Settings of {@link ControlLink}; see the router's settings. */
 export interface ControlLinkSettings {
   readonly controlAddresses: readonly string[];
   readonly controlSilentAfterMs: number;
   readonly controlRetryMs: number;
 }
 
-/** Hears what control pushes. */
+/** Receives the control plane's updates. */
 export interface ControlListener {
-  /** @returns the revision held, for the next subscription */
+  /** @returns the current revision, which the next subscription reports */
   heldRevision(): number;
   onUpdate(update: ControlUpdate, now: number): void;
 }
 
-/** What the link needs besides its settings. */
-export interface ControlLinkParts {
+/** Dependencies of {@link ControlLink}. */
+export interface ControlLinkDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly random: Random;
@@ -58,21 +58,21 @@
 
 const MAX_BACKOFF_DOUBLINGS = 2;
 
-/** Control forgets a node that it hasn't heard of for some minutes. */
+/** The control plane drops a node that sends no report for some minutes. */
 const REPORT_INTERVAL_MS = 60_000;
 
 const REPORT_TIMEOUT_MS = 1_000;
 
 /**
- * Time that a connection to a member gets, milliseconds. The opening packet to
- * a host that is still without power is lost and sent again only after a second,
- * when the gateways that were up later have long been served. A round trip between
- * regions takes a tenth of a second, and the processes at both ends may just have
- * started.
+ * Timeout for connecting to a member, in milliseconds. The first packet to a
+ * host without power is lost, and the system retransmits it only after a
+ * second. By then, gateways that started later have long received their
+ * updates. A round trip between regions takes a tenth of a second, and the
+ * processes at both ends may have just started.
  */
 const CONNECT_TIMEOUT_MS = 300;
 
-/** Diagnosis and retries of the library are left out: both cost, unused here. */
+/** The library's diagnostics and retries are disabled as unused overhead. */
 const CHANNEL_OPTIONS: ChannelOptions = {
   'grpc.use_local_subchannel_pool': 1,
   'grpc.enable_http_proxy': 0,
@@ -83,17 +83,17 @@
   'grpc.service_config_disable_resolution': 1,
 };
 
-/** Subscribes, watches for silence, and goes on to the next member. */
+/** Subscribes to a member and switches to the next when it goes silent. */
 export class ControlLink {
   readonly #settings: ControlLinkSettings;
   readonly #facts: SubscriberFacts;
-  readonly #parts: ControlLinkParts;
+  readonly #dependencies: ControlLinkDependencies;
   readonly #addresses: ControlAddresses;
   #client: Client | undefined;
   #call: ClientReadableStream<ControlUpdate> | undefined;
-  #heardAt = 0;
-  /** The present subscription has brought something. */
-  #isHeard = false;
+  #lastUpdateAt = 0;
+  /** The current subscription has delivered an update. */
+  #hasReceivedUpdate = false;
   #failures = 0;
   #retryTimer: NodeJS.Timeout | undefined;
   #stopped = false;
@@ -104,16 +104,19 @@
   constructor(
     settings: ControlLinkSettings,
     facts: SubscriberFacts,
-    parts: ControlLinkParts,
+    dependencies: ControlLinkDependencies,
   ) {
     this.#settings = settings;
     this.#facts = facts;
-    this.#parts = parts;
+    this.#dependencies = dependencies;
     const {controlAddresses} = settings;
-    this.#addresses = new ControlAddresses(controlAddresses, parts.random);
+    this.#addresses = new ControlAddresses(
+      controlAddresses,
+      dependencies.random,
+    );
   }
 
-  /** @returns bytes of control updates received since the start */
+  /** @returns bytes of updates received since the start */
   get receivedBytes(): number {
     return this.#receivedBytes;
   }
@@ -123,52 +126,51 @@
     return this.#sentBytes;
   }
 
-  /** @returns `host:port` of the member asked last */
+  /** @returns `host:port` of the current or last member */
   get address(): string {
     return this.#addresses.current;
   }
 
-  /** Starts to subscribe. */
+  /** Opens the first subscription. */
   start(): void {
     this.#subscribe();
   }
 
-  /** @param now present time, monotonic ms; call it a few times a second */
+  /** @param now current time, monotonic ms; call it a few times a second */
   tick(now: number): void {
     if (!this.#call) return;
-    const silence = now - this.#heardAt;
-    if (silence > this.#settings.controlSilentAfterMs) this.#onLost('silent');
+    const silentMs = now - this.#lastUpdateAt;
+    if (silentMs > this.#settings.controlSilentAfterMs) this.#onLost('silent');
     if (now - this.#reportedAt < REPORT_INTERVAL_MS) return;
-    this.reportRevision(this.#parts.listener.heldRevision());
+    this.reportRevision(this.#dependencies.listener.heldRevision());
   }
 
   /**
-   * Tells control which revision is in force here, so that operators see when
-   * a change has taken hold everywhere. A report that gets lost is made up for
-   * by the next one.
+   * Reports which revision this node applies, so that operators see when a
+   * change has reached all nodes. The next report makes up for a lost one.
    *
-   * @param revision the revision held
+   * @param revision the current revision
    */
   reportRevision(revision: number): void {
     void this.confirmRevision(revision);
   }
 
   /**
-   * Reports the revision held, and asks for the newest one.
+   * Reports the current revision and asks for the newest one.
    *
-   * @param revision the revision held
-   * @param atOnce nothing is decided here until there is an answer
+   * @param revision the current revision
+   * @param atOnce true when this node makes no decision until the response
    * @returns the newest revision, confirmed by a majority after the call;
-   *     undefined when there was no such answer
+   *     undefined when there was no such response
    */
   async confirmRevision(
     revision: number,
     atOnce = false,
   ): Promise<number | undefined> {
-    this.#reportedAt = this.#parts.clock.now();
+    this.#reportedAt = this.#dependencies.clock.now();
     const {node} = this.#facts;
     const report = {node, role: ROLE, revision, atOnce};
-    const res = await this.#ask(
+    const res = await this.#callControl(
       CONTROL_SERVICE.reportConvergence,
       new v1.ConvergenceReport(report),
     );
@@ -176,8 +178,9 @@
   }
 
   /**
-   * Tells the other routers what servers do for this one. A report that gets
-   * lost costs some reading, so it isn't sent again.
+   * Reports prompt readings and running requests of this node's servers to the
+   * other routers. A lost report isn't sent again, as it only causes some
+   * additional reading of prompts.
    *
    * @param report what changed since the last report
    */
@@ -198,27 +201,32 @@
       {deadline: Date.now() + REPORT_TIMEOUT_MS},
       err => {
         if (!err) return;
-        this.#parts.log.debug('readings not reported', {reason: err.message});
+        this.#dependencies.log.debug(
+          'failed to report readings to the control plane',
+          {
+            reason: err.message,
+          },
+        );
       },
     );
   }
 
   /**
-   * Tells control of servers that crashed.
+   * Reports crashed servers to the control plane.
    *
-   * @param report what control doesn't have
-   * @returns false when it has to be told again
+   * @param report what the control plane has not recorded yet
+   * @returns false when the report must be sent again
    */
   async reportCrashes(report: CrashReport): Promise<boolean> {
     const {node} = this.#facts;
-    const res = await this.#ask(
+    const res = await this.#callControl(
       CONTROL_SERVICE.reportCrashes,
       new v1.CrashReport({...report, node}),
     );
     return res?.recorded ?? false;
   }
 
-  /** Subscribes anew, saying what is held by now. */
+  /** Subscribes again and reports the current revision. */
   restart(reason: string): void {
     if (this.#call) this.#onLost(reason);
   }
@@ -230,8 +238,8 @@
     this.#close();
   }
 
-  /** @returns the member's answer; undefined when there was none in time */
-  #ask<Req, Res>(
+  /** @returns the member's response; undefined when there was none in time */
+  #callControl<Req, Res>(
     method: MethodDefinition<Req, Res>,
     message: Req,
   ): Promise<Res | undefined> {
@@ -254,8 +262,8 @@
 
   #subscribe(): void {
     if (this.#stopped || this.address === '') return;
-    this.#heardAt = this.#parts.clock.now();
-    this.#isHeard = false;
+    this.#lastUpdateAt = this.#dependencies.clock.now();
+    this.#hasReceivedUpdate = false;
     this.#client = new Client(
       this.address,
       credentials.createInsecure(),
@@ -272,13 +280,13 @@
       new v1.SubscribeRequest({
         ...this.#facts,
         role: ROLE,
-        revision: this.#parts.listener.heldRevision(),
+        revision: this.#dependencies.listener.heldRevision(),
       }),
       new Metadata(),
       {},
     );
     this.#call = call;
-    this.#listen(call);
+    this.#handleUpdates(call);
     this.#watchConnection(this.#client, call);
   }
 
@@ -291,10 +299,12 @@
     });
   }
 
-  #noteHeard(): void {
-    this.#isHeard = true;
+  #noteFirstUpdate(): void {
+    this.#hasReceivedUpdate = true;
     this.#addresses.noteHeard();
-    this.#parts.log.info('control subscription holds', {address: this.address});
+    this.#dependencies.log.info('control subscription holds', {
+      address: this.address,
+    });
   }
 
   #countSent(bytes: Buffer): Buffer {
@@ -302,14 +312,14 @@
     return bytes;
   }
 
-  #listen(call: ClientReadableStream<ControlUpdate>): void {
+  #handleUpdates(call: ClientReadableStream<ControlUpdate>): void {
     call.on('data', (update: ControlUpdate) => {
       if (this.#call !== call) return;
-      if (!this.#isHeard) this.#noteHeard();
+      if (!this.#hasReceivedUpdate) this.#noteFirstUpdate();
       this.#failures = 0;
-      this.#heardAt = this.#parts.clock.now();
-      this.#parts.listener.onUpdate(update, this.#heardAt);
-      this.#learnMembers(update);
+      this.#lastUpdateAt = this.#dependencies.clock.now();
+      this.#dependencies.listener.onUpdate(update, this.#lastUpdateAt);
+      this.#updateMembers(update);
     });
     call.on('error', err => {
       if (this.#call === call) this.#onLost(err.message);
@@ -319,19 +329,19 @@
     });
   }
 
-  #learnMembers({controlMembers}: ControlUpdate): void {
+  #updateMembers({controlMembers}: ControlUpdate): void {
     const addresses = controlMembers?.addresses;
     if (!addresses) return;
     this.#addresses.learn(addresses);
-    this.#parts.log.info('control members known', {
+    this.#dependencies.log.info('control members known', {
       addresses: addresses.join(' '),
     });
-    if (controlMembers.goOn) this.restart('it has no log yet');
+    if (controlMembers.goOn) this.restart('member has no log yet');
   }
 
   #onLost(reason: string): void {
     const address = this.address;
-    this.#parts.log.info('control subscription lost', {address, reason});
+    this.#dependencies.log.info('control subscription lost', {address, reason});
     this.#close();
     this.#addresses.moveOn();
     this.#failures += 1;
@@ -341,11 +351,11 @@
     }, delay);
   }
 
-  /** Waits differ, so that a restarted member isn't met by all at once. */
+  /** Randomizes the delay so that nodes don't reconnect simultaneously. */
   #nextDelay(): number {
     const doublings = Math.min(this.#failures - 1, MAX_BACKOFF_DOUBLINGS);
     const ceiling = this.#settings.controlRetryMs * 2 ** doublings;
-    return ceiling * (0.5 + this.#parts.random.next() / 2);
+    return ceiling * (0.5 + this.#dependencies.random.next() / 2);
   }
 
   #close(): void {
--- a/packages/lovagepond-router/src/router_crash_reporter.ts
+++ b/packages/lovagepond-router/src/router_crash_reporter.ts
@@ -1,41 +1,41 @@
 /**
- * Tells control of crashes until it has recorded them.
+ * Reports crashes to the control plane until they are recorded there.
  */
 import {type Clock, type ServerCrash} from '@lovagepond/core';
 import {type CrashReport, type RequestQuarantine} from './router_quarantine.js';
 
-/** What reports are made with. */
-export interface CrashReporterParts {
+/** Dependencies of {@link CrashReporter}. */
+export interface CrashReporterDependencies {
   readonly clock: Clock;
   readonly quarantine: RequestQuarantine;
-  /** @returns whether control has recorded the report */
+  /** @returns true when the control plane has recorded the report */
   readonly report: (report: CrashReport) => Promise<boolean>;
 }
 
-/** Reports for one router, one report at a time. */
+/** Sends the crash reports of one node, one at a time. */
 export class CrashReporter {
-  readonly #parts: CrashReporterParts;
+  readonly #dependencies: CrashReporterDependencies;
 
-  /** @param parts what reports are made with */
-  constructor(parts: CrashReporterParts) {
-    this.#parts = parts;
+  /** @param dependencies the clock, the quarantine and the report call */
+  constructor(dependencies: CrashReporterDependencies) {
+    this.#dependencies = dependencies;
   }
 
   /**
-   * @param crash a server that ended and this router's requests there
-   * @param now present time, monotonic milliseconds
+   * @param crash the crashed server and this node's requests at it
+   * @param now current time, monotonic milliseconds
    */
   noteCrash(crash: ServerCrash, now: number): void {
-    this.#parts.quarantine.noteCrash(crash, now);
+    this.#dependencies.quarantine.noteCrash(crash, now);
     this.tick(now);
   }
 
-  /** @param now present time, monotonic milliseconds; call it often */
+  /** @param now current time, monotonic milliseconds; call it often */
   tick(now: number): void {
-    const {quarantine, report, clock} = this.#parts;
-    const untold = quarantine.takeReport(now);
-    if (!untold) return;
-    void report(untold).then(isRecorded => {
+    const {quarantine, report, clock} = this.#dependencies;
+    const pendingReport = quarantine.takeReport(now);
+    if (!pendingReport) return;
+    void report(pendingReport).then(isRecorded => {
       quarantine.endReport(isRecorded);
       if (isRecorded) this.tick(clock.now());
     });
--- a/packages/lovagepond-router/src/router_frame_failures.ts
+++ b/packages/lovagepond-router/src/router_frame_failures.ts
@@ -1,5 +1,5 @@
 /**
- * The failures that frames stand for.
+ * Converts `Refused` and `Failed` frames to failures.
  */
 import {
   answerFor,
@@ -10,20 +10,23 @@
 } from '@lovagepond/core';
 import {type FailedBody, type RefusedBody} from './router_frames.js';
 
-/** Refusals of a server that takes nothing for now. */
-const AWAY_KINDS: ReadonlySet<ErrorKind> = new Set(['draining', 'notReady']);
+/** Refusals by a server that accepts no requests for now. */
+const UNAVAILABLE_KINDS: ReadonlySet<ErrorKind> = new Set([
+  'draining',
+  'notReady',
+]);
 
 /**
  * @param body a refusal
- * @returns true when the server would refuse the next request as well
+ * @returns true when the server would also refuse the next request
  */
-export function saysAway(body: RefusedBody): boolean {
-  return AWAY_KINDS.has(body.errorKind);
+export function isUnavailableRefusal(body: RefusedBody): boolean {
+  return UNAVAILABLE_KINDS.has(body.errorKind);
 }
 
 /**
  * @param body a refusal
- * @returns its failure, with the sidecar's message when there is one
+ * @returns the corresponding failure, with the sidecar's message if any
  */
 export function failureOfRefusal(body: RefusedBody): Failure {
   const {errorKind, retryAfterMs, message} = body;
@@ -32,15 +35,15 @@
 }
 
 /**
- * `Failed` comes from what was dispatched: a kind that would tell the caller
- * "not run" is not believed.
+ * Converts a `Failed` frame. The request was dispatched, so an error kind that
+ * means "not run" is replaced by `backendFailed`.
  *
  * @param body a failure after dispatch
- * @returns its failure, never of a kind that says "not run"
+ * @returns the corresponding failure, never of a kind that means "not run"
  */
 export function failureOfFailed(body: FailedBody): Failure {
   const {errorKind, retryAfterMs, message} = body;
-  const untrue = answerFor(errorKind).disposition === DISPOSITION.NOT_RUN;
+  const claimsNotRun = answerFor(errorKind).disposition === DISPOSITION.NOT_RUN;
   const details = message ? {retryAfterMs, message} : {retryAfterMs};
-  return makeFailure(untrue ? 'backendFailed' : errorKind, details);
+  return makeFailure(claimsNotRun ? 'backendFailed' : errorKind, details);
 }
--- a/packages/lovagepond-router/src/router_prober.ts
+++ b/packages/lovagepond-router/src/router_prober.ts
@@ -1,5 +1,5 @@
 /**
- * Probes servers under suspicion over fresh connections.
+ * Probes suspected servers over new connections.
  */
 import {type Clock} from '@lovagepond/core';
 import {type SidecarConnections} from './router_connections.js';
@@ -7,43 +7,43 @@
 import {type AttemptTarget} from './router_request_types.js';
 import {probeSidecar} from './router_sidecar_calls.js';
 
-/** What the prober needs. */
-export interface ProberParts {
+/** Dependencies of {@link SidecarProber}. */
+export interface ProberDependencies {
   readonly clock: Clock;
   readonly connections: SidecarConnections;
   readonly evidence: RouterEvidence;
   readonly timeoutMs: number;
-  /** Called with each probe sent. */
+  /** Called for each probe. */
   readonly onProbe: () => void;
 }
 
-/** Sends the probes that the evidence asks for. */
+/** Sends the probes that are due according to the evidence. */
 export class SidecarProber {
-  readonly #parts: ProberParts;
+  readonly #dependencies: ProberDependencies;
 
-  constructor(parts: ProberParts) {
-    this.#parts = parts;
+  constructor(dependencies: ProberDependencies) {
+    this.#dependencies = dependencies;
   }
 
   /**
-   * @param now present time, monotonic milliseconds
-   * @param revision the revision that this router holds
+   * @param now current time, monotonic milliseconds
+   * @param revision the revision of this router's configuration
    */
   tick(now: number, revision: number): void {
-    for (const target of this.#parts.evidence.takeDueProbes(now)) {
-      this.#parts.onProbe();
+    for (const target of this.#dependencies.evidence.takeDueProbes(now)) {
+      this.#dependencies.onProbe();
       void this.#probe(target, revision);
     }
   }
 
   async #probe(target: AttemptTarget, revision: number): Promise<void> {
-    const {clock, connections, evidence, timeoutMs} = this.#parts;
+    const {clock, connections, evidence, timeoutMs} = this.#dependencies;
     const connection = await connections.openFresh(target.address);
     const answer =
       connection && (await probeSidecar(connection, revision, timeoutMs));
     const now = clock.now();
     if (answer?.incarnation === target.incarnation) {
-      evidence.noteHeard(target.incarnation, now);
+      evidence.noteResponse(target.incarnation, now);
     } else {
       evidence.noteProbeFailed(target, now);
     }
--- a/packages/lovagepond-router/src/router_rendezvous.ts
+++ b/packages/lovagepond-router/src/router_rendezvous.ts
@@ -1,14 +1,16 @@
 /**
- * Rendezvous hashing in less than linear time.
+ * Rendezvous hashing in sublinear time.
  *
- * Every server has a fixed position, the hash of its name; every chat has a
- * permutation of all positions, and wants the servers in the order of their
- * ranks in it. With few servers each one's rank is computed; with many the
- * permutation is walked from rank 0 until enough occupied positions are found,
- * which takes fewer steps the more servers there are. Both ways give the same
- * order, so the way taken never changes a choice. When a server leaves, only
- * the chats that wanted it first move, and two routers whose lists differ
- * disagree only on chats that want a server which stands on one list alone.
+ * Every server has a fixed position, the hash of its name. Every chat has a
+ * permutation of all positions; its servers are ordered by their rank in this
+ * permutation. With few servers, the rank of each one is computed. With many,
+ * the permutation is walked from rank 0 until enough occupied positions are
+ * found, which takes fewer steps the more servers there are. Both methods give
+ * the same order, so the method never changes a choice.
+ *
+ * When a server leaves, only the chats that had it as first choice move. Two
+ * routers with different lists disagree only on chats that prefer a server
+ * which is missing from one of the lists.
  */
 import {type HashKey, type KeyHasher} from './router_rendezvous_hash.js';
 import {
@@ -19,31 +21,31 @@
   rankOfPosition,
 } from './router_rendezvous_permutation.js';
 
-/** A server that can stand in a table. */
+/** A server of a {@link RendezvousTable}. */
 export interface RendezvousServer {
   readonly name: string;
-  /** Position of its byte in the load digest. */
+  /** Position of the server's byte in the load digest. */
   readonly slot: number;
 }
 
 const NONE = -1;
 
-/** The servers that a request may go to, ready to be ordered for any chat. */
+/** The eligible servers, prepared for ordering them by chat. */
 export class RendezvousTable<Server extends RendezvousServer> {
-  /** In the order given. */
+  /** The servers in the order given to the constructor. */
   readonly servers: readonly Server[];
   /** The servers' slots in the load digest, in the same order. */
   readonly slots: Int32Array;
   readonly #positions: Uint16Array;
-  /** Tells servers that share one position apart. */
+  /** Orders servers that share a position. */
   readonly #tieBreakers: Int32Array;
-  /** Made at the first walk: a quarter of a megabyte. */
+  /** Created at the first walk, as it takes a quarter of a megabyte. */
   #occupants: Int32Array | undefined;
-  /** Next server at the same position, or NONE; filled with the occupants. */
-  readonly #nextSharers: Int32Array;
+  /** Next server at the same position, or NONE; set with the occupants. */
+  readonly #nextAtPosition: Int32Array;
 
   /**
-   * @param servers distinct names, fewer than 65,536
+   * @param servers servers with distinct names, fewer than 65,536
    * @param hasher the hasher that all routers use
    */
   constructor(servers: readonly Server[], hasher: KeyHasher) {
@@ -52,26 +54,30 @@
     const keys = servers.map(server => hasher.hash(server.name));
     this.#positions = Uint16Array.from(keys, key => key.low % POSITION_COUNT);
     this.#tieBreakers = Int32Array.from(keys, key => key.high);
-    this.#nextSharers = new Int32Array(servers.length).fill(NONE);
+    this.#nextAtPosition = new Int32Array(servers.length).fill(NONE);
   }
 
   /**
    * @param chatKey hash of the chat's text
-   * @param count how many servers are wanted
-   * @returns indices into {@link servers}, the most wanted first
+   * @param count how many servers to return at most
+   * @returns indices into {@link servers}, the most preferred first
    */
   order(chatKey: HashKey, count: number): number[] {
     const size = this.servers.length;
-    const wanted = Math.min(count, size);
+    const resultCount = Math.min(count, size);
     const key = makePermutationKey(chatKey);
-    const walkLength = (wanted * POSITION_COUNT) / (size + 1);
+    const walkLength = (resultCount * POSITION_COUNT) / (size + 1);
     return walkLength < size
-      ? this.#walk(key, chatKey, wanted)
-      : this.#compare(key, chatKey, wanted);
+      ? this.#orderByWalking(key, chatKey, resultCount)
+      : this.#orderByRanking(key, chatKey, resultCount);
   }
 
-  /** Few servers: ranks each one and keeps the lowest ranks. */
-  #compare(key: PermutationKey, chatKey: HashKey, wanted: number): number[] {
+  /** Computes the rank of each server and keeps the lowest ranks. */
+  #orderByRanking(
+    key: PermutationKey,
+    chatKey: HashKey,
+    resultCount: number,
+  ): number[] {
     const best: number[] = [];
     const ranks: number[] = [];
     for (let index = 0; index < this.servers.length; index++) {
@@ -83,10 +89,10 @@
       ) {
         place--;
       }
-      if (place >= wanted) continue;
+      if (place >= resultCount) continue;
       best.splice(place, 0, index);
       ranks.splice(place, 0, rank);
-      if (best.length > wanted) {
+      if (best.length > resultCount) {
         best.pop();
         ranks.pop();
       }
@@ -94,7 +100,7 @@
     return best;
   }
 
-  /** True when the server goes before the one now at `place - 1`. */
+  /** True when the server precedes the one at `place - 1`. */
   #precedes(
     rank: number,
     index: number,
@@ -108,37 +114,41 @@
     return this.#compareTie(index, best[place - 1] as number, chatKey) < 0;
   }
 
-  /** Many servers: walks the chat's permutation over occupied positions. */
-  #walk(key: PermutationKey, chatKey: HashKey, wanted: number): number[] {
+  /** Walks the chat's permutation and collects occupied positions. */
+  #orderByWalking(
+    key: PermutationKey,
+    chatKey: HashKey,
+    resultCount: number,
+  ): number[] {
     const occupants = (this.#occupants ??= this.#makeOccupants());
     const best: number[] = [];
-    for (let rank = 0; best.length < wanted; rank++) {
+    for (let rank = 0; best.length < resultCount; rank++) {
       const occupant = occupants[positionOfRank(rank, key)] as number;
       if (occupant === NONE) continue;
-      const next = this.#nextSharers[occupant] as number;
+      const next = this.#nextAtPosition[occupant] as number;
       if (next === NONE) best.push(occupant);
-      else best.push(...this.#orderSharers(occupant, chatKey));
+      else best.push(...this.#orderAtPosition(occupant, chatKey));
     }
-    best.length = wanted;
+    best.length = resultCount;
     return best;
   }
 
-  /** The servers that share a position, in the chat's order. */
-  #orderSharers(occupant: number, chatKey: HashKey): number[] {
-    const sharers: number[] = [];
+  /** Orders the servers that share a position for the chat. */
+  #orderAtPosition(occupant: number, chatKey: HashKey): number[] {
+    const atPosition: number[] = [];
     let index = occupant;
     while (index !== NONE) {
-      sharers.push(index);
-      index = this.#nextSharers[index] as number;
+      atPosition.push(index);
+      index = this.#nextAtPosition[index] as number;
     }
-    return sharers.sort((a, b) => this.#compareTie(a, b, chatKey));
+    return atPosition.sort((a, b) => this.#compareTie(a, b, chatKey));
   }
 
-  /** Position to the last server there, or NONE; chains those that share it. */
+  /** Maps positions to their last server, or NONE, and links the others. */
   #makeOccupants(): Int32Array {
     const occupants = new Int32Array(POSITION_COUNT).fill(NONE);
     this.#positions.forEach((position, index) => {
-      this.#nextSharers[index] = occupants[position] as number;
+      this.#nextAtPosition[index] = occupants[position] as number;
       occupants[position] = index;
     });
     return occupants;
--- a/packages/lovagepond-router/src/router_request_runner.ts
+++ b/packages/lovagepond-router/src/router_request_runner.ts
@@ -1,5 +1,6 @@
 /**
- * Runs one request: does what its state machine asks for and reports back.
+ * Runs one request: performs the actions of its state machine and reports the
+ * resulting events.
  */
 import {type AnswerSink, type CallerRequest} from '@lovagepond/caller';
 import {type Failure, makeFailure, type Unregister} from '@lovagepond/core';
@@ -7,7 +8,7 @@
 import {type SidecarConnection} from './router_connections.js';
 import {type Eligible} from './router_eligibility.js';
 import {RequestMachine} from './router_request.js';
-import {type Placed, type RunnerHost} from './router_request_host.js';
+import {type Placed, type RunnerContext} from './router_request_context.js';
 import {fingerprintOf} from './router_quarantine.js';
 import {isReturning} from './router_request_estimate.js';
 import {
@@ -24,7 +25,7 @@
   revokeAttempt,
 } from './router_sidecar_calls.js';
 
-/** More than this waits for the caller: frames are no longer taken in. */
+/** Reading of frames pauses when more bytes than this wait for the caller. */
 const MAX_UNWRITTEN_BYTES = 64 * 1024;
 
 type ActionOf<Kind extends RequestAction['kind']> = Extract<
@@ -39,18 +40,18 @@
   ) => void;
 };
 
-/** States in which no sidecar was offered the request. */
+/** States in which the request has been sent to no sidecar. */
 const UNSENT: ReadonlySet<RequestState> = new Set([
   REQUEST_STATE.RECEIVED,
   REQUEST_STATE.PLACED,
 ]);
 
-/** Callers' requests are all of this method. */
+/** The method of all callers' requests. */
 const METHOD = 'POST';
 
-/** One request in flight. */
+/** Runs one request in flight. */
 export class RequestRunner {
-  // One table for all requests: a request in flight should cost little.
+  // Shared by all requests to keep the memory of each one small.
   static readonly #handlers: ActionHandlers = {
     place: (runner, action) => runner.#place(action),
     offer: (runner, action) => runner.#guard(runner.#offer(action)),
@@ -61,31 +62,32 @@
     write: (runner, {data}) => runner.#guard(runner.#write(data)),
     end: runner => runner.#end(),
     fail: (runner, {failure}) => runner.#fail(failure),
-    install: (runner, {configuration}) => runner.#host.install(configuration),
+    install: (runner, {configuration}) =>
+      runner.#context.install(configuration),
     evidence: (runner, {target, evidence}) =>
-      runner.#host.noteEvidence(target, evidence, runner.#now()),
-    drop: (runner, {reason}) => runner.#host.noteDrop(reason),
+      runner.#context.noteEvidence(target, evidence, runner.#now()),
+    drop: (runner, {reason}) => runner.#context.noteDrop(reason),
   };
 
   readonly request: CallerRequest;
-  /** The same for each repeat. */
+  /** Identifies the request's content; repeats have the same fingerprint. */
   readonly fingerprint: string;
-  /** The request's prompt holds an earlier answer of its chat. */
+  /** The request's prompt contains an earlier answer of its chat. */
   readonly returning: boolean;
-  readonly #host: RunnerHost;
+  readonly #context: RunnerContext;
   #eligible: Eligible;
   readonly #sink: AnswerSink;
   readonly #machine: RequestMachine;
   #placed: Placed | undefined;
   #stream: AttemptStream | undefined;
-  /** The connection used last for the open attempt. */
+  /** The connection that the open attempt used last. */
   #connection: SidecarConnection | undefined;
   #unwrittenBytes = 0;
   #blocked = false;
   #unregister: Unregister = () => {};
 
   constructor(
-    host: RunnerHost,
+    context: RunnerContext,
     request: CallerRequest,
     eligible: Eligible,
     sink: AnswerSink,
@@ -95,25 +97,25 @@
       method: METHOD,
       path: request.path,
       workspace: request.workspace,
-      // Holds the body, and is made already.
+      // Covers the body and is computed already.
       body: request.bodyDigest,
     });
     this.returning = isReturning(request);
-    this.#host = host;
+    this.#context = context;
     this.#eligible = eligible;
     this.#sink = sink;
     const {requestId, deadline} = request;
     const {nonRepeatable} = eligible.requestKind;
     const facts = {requestId, deadline, nonRepeatable};
-    this.#machine = new RequestMachine(facts, host.limits);
+    this.#machine = new RequestMachine(facts, context.limits);
   }
 
-  /** @returns where the request stands */
+  /** @returns the request's state */
   get state(): RequestState {
     return this.#machine.state;
   }
 
-  /** @returns where the open attempt is, if any */
+  /** @returns the placement of the open attempt, if any */
   get placed(): Placed | undefined {
     return this.#machine.attempt && this.#placed;
   }
@@ -122,35 +124,35 @@
   start(): void {
     this.#unregister = this.#sink.onCancel(failure => {
       this.#receive({kind: 'callerGone'});
-      this.#host.noteDone(this, failure);
+      this.#context.noteDone(this, failure);
     });
     if (this.#sink.closed) return;
     this.#perform(this.#machine.start());
   }
 
-  /** @param now present time, monotonic ms; call it every few milliseconds */
+  /** @param now current time, monotonic ms; call it every few milliseconds */
   tick(now: number): void {
     this.#perform(this.#machine.receive({kind: 'tick'}, now));
   }
 
   /**
-   * Ends the request, as servers crash while they run it.
+   * Aborts the request because it was quarantined for crashing servers.
    *
-   * @param unrun the answer if no server got it
+   * @param failureIfUnsent the answer when no server has received the request
    */
-  takeBack(unrun: Failure): void {
+  abortQuarantined(failureIfUnsent: Failure): void {
     const isUnsent = UNSENT.has(this.state);
     this.#receive({kind: 'callerGone'});
-    this.#fail(isUnsent ? unrun : makeFailure('backendFailed'));
+    this.#fail(isUnsent ? failureIfUnsent : makeFailure('backendFailed'));
   }
 
-  /** Takes back the registration at the caller's side. */
+  /** Unregisters the listener for cancellation by the caller. */
   close(): void {
     this.#unregister();
   }
 
   #now(): number {
-    return this.#host.clock.now();
+    return this.#context.clock.now();
   }
 
   #receive(event: RequestEvent): void {
@@ -158,12 +160,12 @@
   }
 
   /**
-   * An error that nothing else catches would end the process, and with it
-   * every caller's stream. The request itself is ended by its deadline.
+   * Catches unexpected errors, which would otherwise end the process and every
+   * caller's stream. The request ends at its deadline.
    */
   #guard(work: Promise<void>): void {
     work.catch((err: unknown) => {
-      this.#host.noteFault(this, err);
+      this.#context.noteFault(this, err);
     });
   }
 
@@ -174,9 +176,9 @@
   }
 
   #place(action: ActionOf<'place'>): void {
-    const {excluded, wanted, after, costsBudget} = action;
-    const query = {runner: this, excluded, wanted, after, costsBudget};
-    const placed = this.#host.place(query, this.#now());
+    const {excluded, preferred, after, costsBudget} = action;
+    const query = {runner: this, excluded, preferred, after, costsBudget};
+    const placed = this.#context.place(query, this.#now());
     if (!('server' in placed)) {
       this.#receive({kind: 'notPlaced', failure: placed});
       return;
@@ -213,7 +215,7 @@
     const message = this.#makeMessage(action);
     return openAttempt(connection, message, {
       onFrame: frame => {
-        this.#host.noteFrame(this, frame, this.#now());
+        this.#context.noteFrame(this, frame, this.#now());
         this.#receive({kind: 'frame', frame});
       },
       onEnd: () => {
@@ -229,24 +231,24 @@
   ): Promise<SidecarConnection | undefined> {
     const silent = freshConnection ? this.#connection : undefined;
     const {address} = attempt.target;
-    return this.#host.connections.open(address, silent);
+    return this.#context.connections.open(address, silent);
   }
 
   /**
-   * A sidecar that control can't reach learns of the held configuration
-   * before it is given an attempt, so that it decides by it.
+   * Installs the current configuration at a sidecar with an older one before
+   * the attempt is sent. The control plane may be unable to reach the sidecar.
    */
   async #connectForOffer(
     attempt: Attempt,
     freshConnection: boolean,
   ): Promise<SidecarConnection | undefined> {
     const connection = await this.#connect(attempt, freshConnection);
-    const newer = this.#host.configurationFor(attempt.target);
+    const newer = this.#context.configurationFor(attempt.target);
     if (!connection || !newer) return connection;
     if (await this.#install(connection, newer)) return connection;
-    // The connection may have gone silent: a fresh one tells.
+    // The connection may have gone silent, so a new one is tried.
     const {address} = attempt.target;
-    const fresh = await this.#host.connections.open(address, connection);
+    const fresh = await this.#context.connections.open(address, connection);
     return fresh && (await this.#install(fresh, newer)) ? fresh : undefined;
   }
 
@@ -254,7 +256,7 @@
     connection: SidecarConnection,
     configuration: Uint8Array,
   ): Promise<boolean> {
-    const limit = this.#host.limits.firstFrameAfterMs;
+    const limit = this.#context.limits.firstFrameAfterMs;
     const held = await installConfiguration(connection, configuration, limit);
     return held !== undefined;
   }
@@ -289,7 +291,7 @@
       estimatedTokens: request.estimatedTokens,
       path: request.path,
       body: request.body,
-      revision: this.#host.heldRevision(),
+      revision: this.#context.heldRevision(),
       nonRepeatable: requestKind.nonRepeatable,
       firstChoice: firstChoice?.name ?? '',
       firstChoiceAddress: firstChoice?.address ?? '',
@@ -311,31 +313,32 @@
           connection,
           attemptId,
           target.incarnation,
-          this.#host.revokeTimeoutMs,
+          this.#context.revokeTimeoutMs,
         )
       : 'lost';
     this.#receive({kind: 'revoked', attemptId, outcome});
   }
 
   /**
-   * A stream that ends looks to the sidecar like a lost connection, whose
-   * attempt it keeps for a router that comes back. So it is told to give up an
-   * abandoned attempt; should that get lost, its own time limit does.
+   * Closes an attempt. To the sidecar, the end of a stream looks like a lost
+   * connection, and the sidecar keeps the attempt for a router that reconnects.
+   * An abandoned attempt is therefore revoked. If the revocation is lost, the
+   * sidecar drops the attempt after its own time limit.
    *
-   * The stream of an attempt that was answered for good is left to end by
-   * itself: its frames no longer count.
+   * The stream of a concluded attempt is left to end by itself; its frames are
+   * ignored.
    */
   #close({attempt, abandoned}: ActionOf<'close'>): void {
     if (abandoned) {
-      this.#guard(this.#giveUp(attempt));
+      this.#guard(this.#revokeAbandoned(attempt));
       this.#stream?.cancel();
     }
     this.#stream = undefined;
     this.#connection = undefined;
   }
 
-  async #giveUp({attemptId, target}: Attempt): Promise<void> {
-    const {connections, revokeTimeoutMs} = this.#host;
+  async #revokeAbandoned({attemptId, target}: Attempt): Promise<void> {
+    const {connections, revokeTimeoutMs} = this.#context;
     const connection = await connections.open(target.address);
     if (!connection) return;
     const {incarnation} = target;
@@ -344,16 +347,16 @@
 
   #end(): void {
     this.#sink.end();
-    this.#host.noteDone(this, undefined);
+    this.#context.noteDone(this, undefined);
   }
 
   #fail(failure: Failure): void {
-    const complete = this.#host.completeFailure(failure, this.#now());
+    const complete = this.#context.completeFailure(failure, this.#now());
     this.#sink.fail(complete);
-    this.#host.noteDone(this, complete);
+    this.#context.noteDone(this, complete);
   }
 
-  /** Frames wait in the connection while the caller can take no more. */
+  /** Pauses reading of frames while the caller reads too slowly. */
   async #write(data: Uint8Array): Promise<void> {
     this.#unwrittenBytes += data.length;
     const written = this.#sink.write(data);
--- a/packages/lovagepond-router/src/router_role.ts
+++ b/packages/lovagepond-router/src/router_role.ts
@@ -1,6 +1,6 @@
 /**
- * The router role: joins control's subscription, the front towards callers
- * and the dispatcher, and takes them through start, drain and stop.
+ * The router role: connects the subscription to the control plane, the
+ * callers' front end and the dispatcher, and manages their lifecycle.
  */
 import {type CallerCounters, type CallerHandler} from '@lovagepond/caller';
 import {
@@ -30,7 +30,7 @@
 import {measureSkew} from './router_skew.js';
 import {RouterState} from './router_state.js';
 
-/** The front towards callers, as `CallerServer` of the caller package is. */
+/** The callers' front end; see `CallerServer` of the caller package. */
 export interface CallerFront {
   readonly port: number;
   readonly counters: CallerCounters;
@@ -39,12 +39,12 @@
   stop(): Promise<void>;
 }
 
-/** What a router needs besides its settings. */
-export interface RouterParts {
+/** Dependencies of {@link RouterRole}. */
+export interface RouterDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly random: Random;
-  /** Makes the front that hands requests to the handler. */
+  /** Creates the front end that passes callers' requests to the handler. */
   readonly createFront: (handler: CallerHandler) => CallerFront;
 }
 
@@ -54,17 +54,17 @@
 
 type UpdateHandler = (update: ControlUpdate, now: number) => void;
 
-/** What exists once the hasher is loaded. */
-interface Running {
+/** Components that are created once the key hasher is loaded. */
+interface RunningComponents {
   readonly dispatcher: RouterDispatcher;
   readonly prober: SidecarProber;
   readonly front: CallerFront;
 }
 
-/** One router. */
+/** Accepts callers' requests and forwards them to backend servers. */
 export class RouterRole implements Role {
   readonly #settings: RouterSettings;
-  readonly #parts: RouterParts;
+  readonly #dependencies: RouterDependencies;
   readonly #counters = new RouterCounters();
   readonly #load = new RouterLoadView();
   readonly #evidence: RouterEvidence;
@@ -72,9 +72,9 @@
   readonly #state: RouterState;
   readonly #link: ControlLink;
   readonly #quarantine = new RequestQuarantine();
-  readonly #crashes: CrashReporter;
+  readonly #crashReporter: CrashReporter;
   #choice: ServerChoice | undefined;
-  #running: Running | undefined;
+  #running: RunningComponents | undefined;
   #timer: NodeJS.Timeout | undefined;
   #draining = false;
 
@@ -89,32 +89,35 @@
       if (membership) this.#state.updateMembership(membership, now);
     },
     load: ({load}, now) => {
-      // Slots of another list's version would name other servers.
+      // In another membership version the slots denote other servers.
       const {version} = this.#state.membership;
       if (load?.membershipVersion !== version || !load.loads) return;
       this.#load.applyDigest(load.loads, now - (load.ageMs ?? 0));
     },
     quarantine: ({quarantine}, now) => {
       for (const request of this.#quarantine.apply(quarantine ?? {}, now)) {
-        this.#parts.log.warn('request quarantined', {fingerprint: request});
-        this.#running?.dispatcher.takeBack(request, now);
+        this.#dependencies.log.warn('request quarantined', {
+          fingerprint: request,
+        });
+        this.#running?.dispatcher.abortQuarantined(request, now);
       }
     },
-    // The link keeps them.
+    // The control link keeps the list of members.
     controlMembers: () => {},
     heartbeat: () => {},
-    // Sidecars know what their engines read; only gateways place by this.
+    // Only gateways use prompt readings for placement: sidecars have the
+    // readings of their own engines.
     readings: () => {},
   };
 
-  constructor(settings: RouterSettings, parts: RouterParts) {
+  constructor(settings: RouterSettings, dependencies: RouterDependencies) {
     this.#settings = settings;
-    this.#parts = parts;
-    const {random, log} = parts;
+    this.#dependencies = dependencies;
+    const {random, log} = dependencies;
     this.#evidence = new RouterEvidence(DEFAULT_EVIDENCE_SETTINGS, random);
     this.#connections = new SidecarConnections(settings.connectTimeoutMs);
-    this.#crashes = new CrashReporter({
-      clock: parts.clock,
+    this.#crashReporter = new CrashReporter({
+      clock: dependencies.clock,
       quarantine: this.#quarantine,
       report: report => this.#link.reportCrashes(report),
     });
@@ -127,7 +130,7 @@
     const facts = {
       node: settings.name,
       region: settings.region,
-      // It hands the whole to sidecars that hold an older one.
+      // The router passes whole configurations on to outdated sidecars.
       takesDeltas: false,
     };
     const listener = {
@@ -135,17 +138,17 @@
       onUpdate: (update: ControlUpdate, now: number) =>
         this.#onUpdate(update, now),
     };
-    this.#link = new ControlLink(settings, facts, {...parts, listener});
+    this.#link = new ControlLink(settings, facts, {...dependencies, listener});
   }
 
-  /** @returns the port for callers, once started */
+  /** @returns the port that callers connect to; 0 before the start */
   get port(): number {
     return this.#running?.front.port ?? 0;
   }
 
   /** See {@link Role.start}. */
   async start(): Promise<void> {
-    const running = await this.#assemble();
+    const running = await this.#createComponents();
     this.#running = running;
     await running.front.start();
     this.#link.start();
@@ -157,13 +160,13 @@
   /** See {@link Role.isReady}. */
   isReady(): boolean {
     if (this.#draining || !this.#running) return false;
-    return this.#state.mayServe(this.#parts.clock.now());
+    return this.#state.mayServe(this.#dependencies.clock.now());
   }
 
   /**
-   * See {@link Role.drain}. Readiness goes at once; the front takes no new
-   * connections after its grace time; requests in flight finish, and the
-   * subscription stays until they have.
+   * See {@link Role.drain}. The router is no longer ready at once. The front
+   * end refuses new connections after its grace period. Requests in flight
+   * finish, and the subscription stays open until they have.
    */
   async drain(limitMs: number): Promise<void> {
     this.#draining = true;
@@ -205,9 +208,9 @@
     return {version: DUMP_VERSION, role: 'router', state};
   }
 
-  async #assemble(): Promise<Running> {
+  async #createComponents(): Promise<RunningComponents> {
     const settings = this.#settings;
-    const {clock, log, random, createFront} = this.#parts;
+    const {clock, log, random, createFront} = this.#dependencies;
     const hasher = await loadKeyHasher();
     const choice = new ServerChoice({
       policy: PLACEMENT_POLICIES[settings.placementPolicy](hasher),
@@ -226,7 +229,7 @@
       counters: this.#counters,
       connections: this.#connections,
       quarantine: this.#quarantine,
-      crashes: this.#crashes,
+      crashes: this.#crashReporter,
     };
     const dispatcher = new RouterDispatcher(settings, {
       ...shared,
@@ -241,16 +244,16 @@
     return {dispatcher, prober, front: createFront(dispatcher)};
   }
 
-  #tick({dispatcher, prober}: Running): void {
-    const now = this.#parts.clock.now();
+  #tick({dispatcher, prober}: RunningComponents): void {
+    const now = this.#dependencies.clock.now();
     this.#link.tick(now);
     dispatcher.tick(now);
-    this.#crashes.tick(now);
+    this.#crashReporter.tick(now);
     prober.tick(now, this.#state.revision);
   }
 
   #onUpdate(update: ControlUpdate, now: number): void {
-    this.#state.revisions.noteControl(now);
+    this.#state.revisions.noteControlMessage(now);
     const handle = this.#updateHandlers[update.kind ?? 'heartbeat'];
     handle(update, now);
   }
--- a/packages/lovagepond-router/src/router_server_choice.ts
+++ b/packages/lovagepond-router/src/router_server_choice.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses a request's backend server: the placement policy's candidates, less
- * those tried before and those that this router has evidence against.
+ * Chooses a request's backend server from the placement policy's candidates,
+ * without servers tried before and, if possible, without suspected ones.
  */
 import {
   type BackendServer,
@@ -19,67 +19,68 @@
 import {RendezvousTable} from './router_rendezvous.js';
 import {type KeyHasher} from './router_rendezvous_hash.js';
 
-/** What a choice is made from. */
+/** The input of a choice. */
 export interface ChoiceQuery {
   readonly request: PlacementRequest;
   readonly set: EligibleSet;
-  /** Names of servers not to choose. */
+  /** Names of servers that must not be chosen. */
   readonly excluded: ReadonlySet<string>;
-  /** A server named by a pointer or hand-over, or undefined. */
-  readonly wanted: string | undefined;
+  /** The server that a pointer or hand-over names, if any. */
+  readonly preferred: string | undefined;
 }
 
-/** A backend server chosen for a request, with what its sidecar is told. */
+/** The backend server chosen for a request, with details for its sidecar. */
 export interface Chosen {
   readonly server: BackendServer;
-  /** The chat's first choice, when that is another server. */
+  /** The chat's first choice when that is another server. */
   readonly firstChoice: BackendServer | undefined;
-  /** Names of servers where the chat may be warm when it isn't here. */
+  /** Names of other servers where the chat may be warm. */
   readonly warmCandidates: readonly string[];
   /** Estimated mean of outstanding tokens over the eligible servers. */
   readonly poolMeanTokens: number;
 }
 
-/** What {@link ServerChoice} decides with. */
-export interface ChoiceParts {
+/** Dependencies of {@link ServerChoice}. */
+export interface ChoiceDependencies {
   readonly policy: PlacementPolicy;
   readonly hasher: KeyHasher;
   readonly load: RouterLoadView;
   readonly random: Random;
-  /** @returns true when this router has evidence against the server */
+  /** @returns true when this router suspects that the server has failed */
   readonly isSuspect: (server: BackendServer, now: number) => boolean;
 }
 
 /**
- * Servers that are listed within this time of the first list count as old. A
- * fleet that starts as a whole joins over some seconds: were only the first
- * server of a router's first list old, that router would send every returning
- * chat there, away from where the others had just begun it.
+ * Servers listed within this time after the first membership update don't
+ * count as new; milliseconds. When a whole fleet starts, its servers join over
+ * some seconds. If only the first server that a router lists didn't count as
+ * new, the router would send every returning chat there, although other routers
+ * have just started these chats elsewhere.
  */
-const FIRST_LISTS_MS = 10_000;
+const INITIAL_MEMBERSHIP_MS = 10_000;
 
 interface Candidate extends PlacementServer {
   readonly server: BackendServer;
 }
 
-/** Keeps a table of servers for each eligible set in use. */
+/** Keeps a rendezvous table for each eligible set in use. */
 export class ServerChoice {
-  readonly #parts: ChoiceParts;
+  readonly #dependencies: ChoiceDependencies;
   readonly #tables = new WeakMap<EligibleSet, RendezvousTable<Candidate>>();
   readonly #readySince = new Map<string, number>();
   #firstListedAt: number | undefined;
 
-  constructor(parts: ChoiceParts) {
-    this.#parts = parts;
+  constructor(dependencies: ChoiceDependencies) {
+    this.#dependencies = dependencies;
   }
 
   /**
-   * @param membership the list of backend servers from now on
-   * @param now present time, monotonic milliseconds
+   * @param membership the new list of backend servers
+   * @param now current time, monotonic milliseconds
    */
   useMembership(membership: Membership, now: number): void {
     this.#firstListedAt ??= now;
-    const settled = now - this.#firstListedAt >= FIRST_LISTS_MS;
+    const settled = now - this.#firstListedAt >= INITIAL_MEMBERSHIP_MS;
     const since = settled ? now : Number.NEGATIVE_INFINITY;
     for (const name of this.#readySince.keys()) {
       if (!membership.servers.has(name)) this.#readySince.delete(name);
@@ -90,9 +91,9 @@
   }
 
   /**
-   * @param query what is to be placed
-   * @param now present time, monotonic milliseconds
-   * @returns the server, or undefined when none is left
+   * @param query the request and its eligible servers
+   * @param now current time, monotonic milliseconds
+   * @returns the chosen server, or undefined when none is left
    */
   choose(query: ChoiceQuery, now: number): Chosen | undefined {
     const pool = query.set.pools[0];
@@ -101,21 +102,22 @@
     const placement = this.#order(query, pool, table, now);
     const {candidates, firstChoice} = placement;
     const server =
-      this.#findWanted(query, now) ?? this.#pick(query, candidates, table, now);
+      this.#findPreferred(query, now) ??
+      this.#pick(query, candidates, table, now);
     if (!server) return undefined;
-    const away = server.name !== firstChoice.name;
+    const isElsewhere = server.name !== firstChoice.name;
     return {
       server,
-      firstChoice: away ? firstChoice.server : undefined,
-      warmCandidates: this.#nameWarm(query, placement, now),
-      poolMeanTokens: this.#parts.load.meanOf(table.slots),
+      firstChoice: isElsewhere ? firstChoice.server : undefined,
+      warmCandidates: this.#listWarmCandidates(query, placement, now),
+      poolMeanTokens: this.#dependencies.load.meanOf(table.slots),
     };
   }
 
   /**
    * @param set an eligible set
-   * @returns the slots of its servers in the load digest; the same object for
-   *     the same set
+   * @returns the slots of the set's servers in the load digest; the same object
+   *     for the same set
    */
   slotsOf(set: EligibleSet): Int32Array {
     return this.#tableOf(set).slots;
@@ -127,42 +129,45 @@
     table: RendezvousTable<Candidate>,
     now: number,
   ): Placement<Candidate> {
-    const {policy, load, random} = this.#parts;
+    const {policy, load, random} = this.#dependencies;
     const {request} = query;
     const servers = table;
     return policy.place({request, servers, load, settings, now, random});
   }
 
   /**
-   * A first attempt names them, and so does the one that follows to such a
-   * server. Named again to the first choice, they would let it send the
-   * request round in a circle.
+   * Lists the warm candidates for a first attempt, or for an attempt that was
+   * redirected to one of them. If the first choice received them again, it
+   * could send the request in a loop.
    */
-  #nameWarm(
-    {wanted, excluded}: ChoiceQuery,
+  #listWarmCandidates(
+    {preferred, excluded}: ChoiceQuery,
     {warmCandidates = []}: Placement<Candidate>,
     now: number,
   ): string[] {
     return warmCandidates
-      .filter(item => wanted === undefined || item.name === wanted)
+      .filter(item => preferred === undefined || item.name === preferred)
       .filter(item => !excluded.has(item.name))
-      .filter(item => !this.#parts.isSuspect(item.server, now))
+      .filter(item => !this.#dependencies.isSuspect(item.server, now))
       .map(item => item.name);
   }
 
-  #findWanted(
-    {set, wanted, excluded}: ChoiceQuery,
+  #findPreferred(
+    {set, preferred, excluded}: ChoiceQuery,
     now: number,
   ): BackendServer | undefined {
-    if (wanted === undefined || excluded.has(wanted)) return undefined;
-    const found = set.servers.find(server => server.name === wanted);
-    return found && !this.#parts.isSuspect(found, now) ? found : undefined;
+    if (preferred === undefined || excluded.has(preferred)) return undefined;
+    const found = set.servers.find(server => server.name === preferred);
+    return found && !this.#dependencies.isSuspect(found, now)
+      ? found
+      : undefined;
   }
 
   /**
-   * The policy's candidates go first, then any other server. A server under
-   * suspicion comes last and is not left out: should all be suspected, the
-   * fault is more likely this router's own, and a try costs little.
+   * Picks the first suitable candidate of the policy, or else any other server.
+   * Suspected servers are a last resort and not excluded: when all are
+   * suspected, the fault is more likely at this router, and an attempt costs
+   * little.
    */
   #pick(
     {excluded}: ChoiceQuery,
@@ -171,15 +176,17 @@
     now: number,
   ): BackendServer | undefined {
     const isSuspect = (item: Candidate): boolean =>
-      this.#parts.isSuspect(item.server, now);
-    const preferred = candidates.find(
+      this.#dependencies.isSuspect(item.server, now);
+    const candidate = candidates.find(
       item => !excluded.has(item.name) && !isSuspect(item),
     );
-    if (preferred) return preferred.server;
+    if (candidate) return candidate.server;
     const rest = table.servers.filter(item => !excluded.has(item.name));
     const trusted = rest.filter(item => !isSuspect(item));
     const pool = trusted.length > 0 ? trusted : rest;
-    return pool.length > 0 ? this.#parts.random.pick(pool).server : undefined;
+    return pool.length > 0
+      ? this.#dependencies.random.pick(pool).server
+      : undefined;
   }
 
   #tableOf(set: EligibleSet): RendezvousTable<Candidate> {
@@ -191,7 +198,7 @@
       readySince: this.#readySince.get(server.name) ?? 0,
       server,
     }));
-    const table = new RendezvousTable(candidates, this.#parts.hasher);
+    const table = new RendezvousTable(candidates, this.#dependencies.hasher);
     this.#tables.set(set, table);
     return table;
   }
