--- a/packages/lovagepond-control/src/__tests__/unit/configuration_history.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/configuration_history.test.ts
@@ -4,7 +4,7 @@
   ConfigurationDocuments,
   type DocumentAnswer,
   type InstallAnswer,
-  type OfferedDocument,
+  type UncheckedDocument,
 } from '../../configuration_documents.js';
 import {ControlCluster, settle} from '../model/control_cluster.js';
 
@@ -46,7 +46,7 @@
   fc.record({kind: fc.constant('wipe' as const), member}),
 );
 
-function offer(number: number, label: string): OfferedDocument {
+function makeDocument(number: number, label: string): UncheckedDocument {
   const name = `v${number}-${label}`;
   return {
     version: number,
@@ -56,7 +56,7 @@
 }
 
 /** Two workspaces share an API key: nobody could say whose a request is. */
-function offerInvalid(number: number): OfferedDocument {
+function makeInvalidDocument(number: number): UncheckedDocument {
   const workspaces = ['a', 'b'].map(name => ({
     name,
     apiKeys: ['the-same-key-of-both'],
@@ -69,7 +69,7 @@
   #accepted = 0;
   readonly #sources = new Map<number, string>();
 
-  noteInstall(answer: InstallAnswer | undefined): void {
+  recordInstall(answer: InstallAnswer | undefined): void {
     if (answer?.kind !== 'accepted') return;
     this.#accepted = Math.max(this.#accepted, answer.version);
   }
@@ -90,7 +90,7 @@
   }
 }
 
-class Play {
+class Simulation {
   readonly #cluster: ControlCluster;
   readonly #history = new History();
 
@@ -106,19 +106,23 @@
     install: async ({version: number, label}) => {
       const leader = await this.#cluster.untilLeader();
       const documents = documentsOf(leader);
-      const answer = await settle(documents.install(offer(number, label)));
-      this.#history.noteInstall(answer);
+      const answer = await settle(
+        documents.install(makeDocument(number, label)),
+      );
+      this.#history.recordInstall(answer);
     },
     lostAnswer: async ({version: number}) => {
       const leader = await this.#cluster.untilLeader();
-      void documentsOf(leader).install(offer(number, 'lost'));
+      void documentsOf(leader).install(makeDocument(number, 'lost'));
       await vi.advanceTimersByTimeAsync(2);
       await this.#cluster.crash(leader);
     },
     invalid: async ({version: number}) => {
       const leader = await this.#cluster.untilLeader();
       const documents = documentsOf(leader);
-      const answer = await settle(documents.install(offerInvalid(number)));
+      const answer = await settle(
+        documents.install(makeInvalidDocument(number)),
+      );
       expect(answer?.kind, 'an invalid one was taken').toBe('invalid');
     },
     read: async ({member: at}) => {
@@ -189,11 +193,11 @@
   vi.useRealTimers();
 });
 
-async function play(steps: readonly Step[]): Promise<void> {
+async function runSteps(steps: readonly Step[]): Promise<void> {
   const cluster = new ControlCluster();
   await cluster.start();
   try {
-    await new Play(cluster).run(steps);
+    await new Simulation(cluster).run(steps);
   } finally {
     await cluster.stop();
   }
@@ -232,7 +236,7 @@
   await fc.assert(
     fc.asyncProperty(
       fc.array(stepArbitrary, {minLength: 8, maxLength: 24}),
-      play,
+      runSteps,
     ),
     {seed: SEED, numRuns: RUNS, endOnFailure: true},
   );
@@ -241,5 +245,5 @@
 // The group was left without a majority for good: a leader had crashed between two
 // steps of a replacement, and the identity that couldn't come back stayed a voter.
 test('a replacement ends though leaders crash', async () => {
-  await play(REPLACED_UNDER_CRASHES);
+  await runSteps(REPLACED_UNDER_CRASHES);
 });
--- a/packages/lovagepond-control/src/__tests__/unit/context_inventory.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/context_inventory.test.ts
@@ -1,5 +1,5 @@
 import {expect, test} from 'vitest';
-import {takeInventory} from '../../context_inventory.js';
+import {collectHeldContexts} from '../../context_inventory.js';
 import {ReadingBoard} from '../../reading_board.js';
 
 const SERVERS = ['x', 'y', 'z'].map(name => ({name, address: `${name}:1`}));
@@ -16,7 +16,7 @@
     error: () => undefined,
   };
   let answerLast = (_ids: readonly string[]): void => undefined;
-  const inventory = takeInventory(SERVERS, {
+  const inventory = collectHeldContexts(SERVERS, {
     log,
     onReport: report => {
       board.post(report);
@@ -52,23 +52,23 @@
     name: `engine-${at}`,
     address: `10.0.0.${at}:1`,
   }));
-  let asked = 0;
-  let most = 0;
-  let told = 0;
-  const silent = (): void => undefined;
-  await takeInventory(servers, {
-    log: {debug: silent, info: silent, warn: silent, error: silent},
+  let active = 0;
+  let maxActive = 0;
+  let reportCount = 0;
+  const ignore = (): void => undefined;
+  await collectHeldContexts(servers, {
+    log: {debug: ignore, info: ignore, warn: ignore, error: ignore},
     onReport: () => {
-      told += 1;
+      reportCount += 1;
     },
     readHeldContexts: async () => {
-      asked += 1;
-      most = Math.max(most, asked);
+      active += 1;
+      maxActive = Math.max(maxActive, active);
       await new Promise(resolve => setImmediate(resolve));
-      asked -= 1;
+      active -= 1;
       return ['a'];
     },
   });
-  expect(told).toBe(80);
-  expect(most).toBeLessThan(10);
+  expect(reportCount).toBe(80);
+  expect(maxActive).toBeLessThan(10);
 });
--- a/packages/lovagepond-control/src/__tests__/unit/direct_server_table.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/direct_server_table.test.ts
@@ -86,7 +86,7 @@
 });
 
 describe('a server that starts again under its name', () => {
-  const life = (startedAtMs: number): JoiningServer => ({
+  const instance = (startedAtMs: number): JoiningServer => ({
     ...server('a', 'host:1'),
     name: `a@${startedAtMs}`,
     startedAtMs,
@@ -98,8 +98,8 @@
   // What routers believe of it belongs to the former life, which has ended.
   test('is another server, at the place that it had', () => {
     const table = new DirectServerTable();
-    table.join(life(1_000), 0);
-    table.join(life(2_000), 30_000);
+    table.join(instance(1_000), 0);
+    table.join(instance(2_000), 30_000);
     expect(placesOf(table)).toEqual({'a@2000': 'a@1000'});
   });
 
@@ -108,16 +108,16 @@
   // to a server that isn't there.
   test('is not put out by a report of a former life', () => {
     const table = new DirectServerTable();
-    table.join(life(1_000), 0);
-    table.join(life(2_000), 30_000);
-    table.join(life(3_000), 60_000);
-    table.join(life(1_000), 60_100);
-    table.join(life(2_000), 60_200);
+    table.join(instance(1_000), 0);
+    table.join(instance(2_000), 30_000);
+    table.join(instance(3_000), 60_000);
+    table.join(instance(1_000), 60_100);
+    table.join(instance(2_000), 60_200);
     expect(namesOf(table)).toEqual(['a@3000']);
     table.end('a@3000', 70_000);
-    table.join(life(2_000), 70_100);
+    table.join(instance(2_000), 70_100);
     expect(namesOf(table)).toEqual([]);
-    table.join(life(4_000), 70_200);
+    table.join(instance(4_000), 70_200);
     expect(namesOf(table)).toEqual(['a@4000']);
   });
 
@@ -125,31 +125,31 @@
   // late: dropped servers may come back, former lives may not.
   test('is not put out by a life that had gone silent', () => {
     const table = new DirectServerTable();
-    table.join(life(1_000), 0);
+    table.join(instance(1_000), 0);
     table.drop('a@1000', 20_000);
-    table.join(life(2_000), 30_000);
-    table.join(life(1_000), 30_100);
+    table.join(instance(2_000), 30_000);
+    table.join(instance(1_000), 30_100);
     expect(namesOf(table)).toEqual(['a@2000']);
   });
 
   // One without a start can't be the server itself, which always tells it.
   test('is not put out by a report that tells no start', () => {
     const table = new DirectServerTable();
-    table.join(life(1_000), 0);
+    table.join(instance(1_000), 0);
     table.join(server('a', 'host:1'), 1_000);
     expect(namesOf(table)).toEqual(['a@1000']);
   });
 
   test('keeps its lives apart after a restart of control', () => {
     const table = new DirectServerTable();
-    table.join(life(1_000), 0);
-    table.join(life(2_000), 1_000);
+    table.join(instance(1_000), 0);
+    table.join(instance(2_000), 1_000);
     table.drop('a@2000', 20_000);
-    const again = new DirectServerTable();
-    again.restore(table.snapshot());
-    again.join(life(1_000), 21_000);
-    expect(namesOf(again)).toEqual([]);
-    again.join(life(2_000), 22_000);
-    expect(namesOf(again)).toEqual(['a@2000']);
+    const restored = new DirectServerTable();
+    restored.restore(table.snapshot());
+    restored.join(instance(1_000), 21_000);
+    expect(namesOf(restored)).toEqual([]);
+    restored.join(instance(2_000), 22_000);
+    expect(namesOf(restored)).toEqual(['a@2000']);
   });
 });
--- a/packages/lovagepond-control/src/__tests__/unit/ledger_state.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/ledger_state.test.ts
@@ -24,9 +24,9 @@
 }
 
 /** Sidecars, the network and the service around two copies of the ledger. */
-class World {
+class Simulation {
   ledger = new LedgerState(() => LIMITS);
-  twin = new LedgerState(() => LIMITS);
+  replica = new LedgerState(() => LIMITS);
   timeMs = 0;
   attempts: Attempt[] = [];
   network: Message[] = [];
@@ -83,7 +83,7 @@
     if (!message) return;
     if (n % 2 === 0) this.network.splice(index, 1);
     const result = this.#apply(this.ledger, message);
-    expect(this.#apply(this.twin, message)).toEqual(result);
+    expect(this.#apply(this.replica, message)).toEqual(result);
     if (message.kind !== 'claim' || answerLost) return;
     this.answer(message.claim, result as ClaimResult);
   }
@@ -103,24 +103,24 @@
   }
 }
 
-const STEPS: Record<string, (world: World, n: number) => void> = {
-  start: (world, n) => world.start(n),
-  deliver: (world, n) => world.deliver(n, false),
-  deliverAgain: (world, n) => world.deliver(n, false),
-  loseAnswer: (world, n) => world.deliver(n, true),
-  end: (world, n) => world.end(n),
-  crash: (world, n) => world.crash(n),
-  wait: (world, n) => (world.timeMs += n * 10),
-  restart: world => {
-    world.twin = new LedgerState(() => LIMITS);
-    const head = JSON.stringify(world.ledger.snapshot());
-    const lines = Buffer.concat(world.ledger.encodeEntries());
-    world.twin.restore(JSON.parse(head), lines);
-    expect(Buffer.concat(world.twin.encodeEntries())).toEqual(lines);
+const STEPS: Record<string, (simulation: Simulation, n: number) => void> = {
+  start: (simulation, n) => simulation.start(n),
+  deliver: (simulation, n) => simulation.deliver(n, false),
+  deliverAgain: (simulation, n) => simulation.deliver(n, false),
+  loseAnswer: (simulation, n) => simulation.deliver(n, true),
+  end: (simulation, n) => simulation.end(n),
+  crash: (simulation, n) => simulation.crash(n),
+  wait: (simulation, n) => (simulation.timeMs += n * 10),
+  restart: simulation => {
+    simulation.replica = new LedgerState(() => LIMITS);
+    const head = JSON.stringify(simulation.ledger.snapshot());
+    const lines = Buffer.concat(simulation.ledger.encodeEntries());
+    simulation.replica.restore(JSON.parse(head), lines);
+    expect(Buffer.concat(simulation.replica.encodeEntries())).toEqual(lines);
   },
 };
 
-class Step implements fc.Command<object, World> {
+class Step implements fc.Command<object, Simulation> {
   constructor(
     readonly kind: string,
     readonly n: number,
@@ -130,8 +130,8 @@
     return true;
   }
 
-  run(_model: object, world: World): void {
-    STEPS[this.kind]!(world, this.n);
+  run(_model: object, simulation: Simulation): void {
+    STEPS[this.kind]!(simulation, this.n);
   }
 
   toString(): string {
@@ -151,7 +151,7 @@
     fc.property(
       fc.commands(steps, {maxCommands: 120, size: 'max'}),
       commands => {
-        fc.modelRun(() => ({model: {}, real: new World()}), commands);
+        fc.modelRun(() => ({model: {}, real: new Simulation()}), commands);
       },
     ),
     {seed: SEED, numRuns: 1_500},
--- a/packages/lovagepond-control/src/__tests__/unit/membership_registry.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/membership_registry.test.ts
@@ -11,7 +11,10 @@
 const LEASE_MS = 3_000;
 const SEED = 20_262;
 
-function said(name: string, changes: Partial<Announcement> = {}): Announcement {
+function makeAnnouncement(
+  name: string,
+  changes: Partial<Announcement> = {},
+): Announcement {
   return {
     name,
     incarnation: 'i1',
@@ -35,7 +38,11 @@
 
   announce(names: readonly string[], now: number, state?: ServerState): void {
     for (const name of names) {
-      this.registry.announce(said(name, state && {state}), 'ready', now);
+      this.registry.announce(
+        makeAnnouncement(name, state && {state}),
+        'ready',
+        now,
+      );
     }
   }
 
@@ -137,7 +144,11 @@
   const leader = startLeader();
   const flap = (name: string, pool: string, now: number): void => {
     const incarnation = `i${now}`;
-    leader.registry.announce(said(name, {pool, incarnation}), 'ready', now);
+    leader.registry.announce(
+      makeAnnouncement(name, {pool, incarnation}),
+      'ready',
+      now,
+    );
   };
   for (let now = 0; now < 8_000; now += 1_000) {
     leader.announce(['a', 'b'], now);
@@ -152,7 +163,7 @@
 // However often a server flapped, it must be let in again a set time after its
 // last flap: a penalty without a ceiling would starve a server that is good.
 test('no server is held longer than the limit after its last flap', () => {
-  const settings = {halfLifeMs: 15_000, longestHoldMs: 60_000};
+  const settings = {halfLifeMs: 15_000, maxHoldMs: 60_000};
   const flaps = fc.array(fc.nat(500), {maxLength: 100, size: 'max'});
   fc.assert(
     fc.property(flaps, gaps => {
@@ -160,9 +171,9 @@
       let now = 0;
       for (const gap of gaps) {
         now += gap;
-        damper.flap('s', now);
+        damper.add('s', now);
       }
-      expect(damper.isHeld('s', now + settings.longestHoldMs + 1)).toBe(false);
+      expect(damper.isHeld('s', now + settings.maxHoldMs + 1)).toBe(false);
     }),
     {seed: SEED, numRuns: 300},
   );
@@ -196,21 +207,21 @@
   const run = (steps: {kind: string; n: number}[]): void => {
     let leader = startLeader();
     const follower = new MembershipLog();
-    const listeners = ['', 'pool-0', 'pool-1'].map(p => new Subscriber(p));
+    const subscribers = ['', 'pool-0', 'pool-1'].map(p => new Subscriber(p));
     let now = LEASE_MS;
     let term = 1;
     leader.registry.tick(now);
     const listen = (): void => {
       const change = leader.log.changesSince(follower.version, '');
       if (change) follower.mirror(change);
-      for (const listener of listeners) listener.update(follower);
+      for (const subscriber of subscribers) subscriber.update(follower);
     };
     const handlers: Record<string, (n: number) => void> = {
       announce: n => {
         const pool = `pool-${n % 2}`;
         const name = `server-${n % 7}`;
         const changes = {pool, incarnation: `i${n % 3}`};
-        leader.registry.announce(said(name, changes), 'ready', now);
+        leader.registry.announce(makeAnnouncement(name, changes), 'ready', now);
       },
       wait: n => {
         now += n * 100;
@@ -230,11 +241,11 @@
     };
     for (const {kind, n} of steps) handlers[kind]?.(n);
     listen();
-    for (const listener of listeners) {
+    for (const subscriber of subscribers) {
       const wanted = [...leader.log.servers()].filter(
-        server => listener.pool === '' || server.pool === listener.pool,
+        server => subscriber.pool === '' || server.pool === subscriber.pool,
       );
-      const held = [...listener.list.values()];
+      const held = [...subscriber.list.values()];
       const byName = (a: BackendServer, b: BackendServer): number =>
         a.name < b.name ? -1 : 1;
       expect(held.sort(byName)).toEqual(wanted.sort(byName));
--- a/packages/lovagepond-control/src/announce_handler.ts
+++ b/packages/lovagepond-control/src/announce_handler.ts
@@ -25,10 +25,10 @@
 const ROUTER_ROLE = 'router';
 
 /** Below every token; tells "known, and nothing was ever passed" from 0. */
-const LOWEST_FLOOR = 1;
+const MIN_FLOOR = 1;
 
 /** What the handler is built from. */
-export interface AnnounceParts {
+export interface AnnounceHandlerDependencies {
   readonly clock: Clock;
   readonly machine: ControlStateMachine;
   readonly registry: MembershipRegistry;
@@ -42,10 +42,10 @@
 
 /** Handles Announce. */
 export class AnnounceHandler {
-  readonly #parts: AnnounceParts;
+  readonly #deps: AnnounceHandlerDependencies;
 
-  constructor(parts: AnnounceParts) {
-    this.#parts = parts;
+  constructor(dependencies: AnnounceHandlerDependencies) {
+    this.#deps = dependencies;
   }
 
   /**
@@ -53,17 +53,17 @@
    * @returns the answer; not accepted by any other member than the leader
    */
   async handle(req: WireAnnounce): Promise<WireAnswer> {
-    if (!this.#serves()) return this.#refuse();
+    if (!this.#canServe()) return this.#refuse();
     if (req.role === ROUTER_ROLE) return this.#answerRouter(req);
     if (!(await this.#registerIncarnation(req))) return this.#refuse();
-    const floorKnown = await this.#confirmFloor(req);
+    const isFloorConfirmed = await this.#confirmFloor(req);
     // The leadership may have ended while a majority was asked.
-    if (!this.#serves()) return this.#refuse();
-    return this.#accept(req, floorKnown);
+    if (!this.#canServe()) return this.#refuse();
+    return this.#accept(req, isFloorConfirmed);
   }
 
-  #serves(): boolean {
-    return this.#parts.proposer.leads() && this.#parts.hasTakenOver();
+  #canServe(): boolean {
+    return this.#deps.proposer.leads() && this.#deps.hasTakenOver();
   }
 
   /**
@@ -73,7 +73,7 @@
   async #registerIncarnation(req: WireAnnounce): Promise<boolean> {
     const server = req.backendServer ?? '';
     const incarnation = req.incarnation ?? '';
-    const {machine, proposer} = this.#parts;
+    const {machine, proposer} = this.#deps;
     if (machine.ledger.currentIncarnation(server) === incarnation) return true;
     const answer = await proposer.propose<
       IncarnationPayload,
@@ -89,35 +89,38 @@
    */
   async #confirmFloor(req: WireAnnounce): Promise<boolean> {
     if ((req.fencingFloor ?? 0) > 0) return true;
-    return this.#parts.proposer.confirm();
+    return this.#deps.proposer.confirm();
   }
 
-  #accept(req: WireAnnounce, floorKnown: boolean): WireAnswer {
-    const {machine, registry, convergence, delivery, clock} = this.#parts;
+  #accept(req: WireAnnounce, isFloorConfirmed: boolean): WireAnswer {
+    const {machine, registry, convergence, delivery, clock} = this.#deps;
     const now = clock.now();
-    const said = readAnnouncement(req);
-    const wanted = machine.wanted.get(said.name);
-    registry.announce(said, wanted, now);
-    convergence.report(said.name, 'sidecar', req.revision ?? 0, now);
-    const mean = registry.poolMean(said.pool, now);
-    const floor = Math.max(LOWEST_FLOOR, machine.orders.floorOf(said.name));
+    const announcement = readAnnouncement(req);
+    const wanted = machine.wanted.get(announcement.name);
+    registry.announce(announcement, wanted, now);
+    convergence.report(announcement.name, 'sidecar', req.revision ?? 0, now);
+    const poolMean = registry.poolMean(announcement.pool, now);
+    const fencingFloor = Math.max(
+      MIN_FLOOR,
+      machine.orders.floorOf(announcement.name),
+    );
     return new v1.AnnounceResponse({
       accepted: true,
-      leaseMs: this.#parts.leaseMs,
-      poolMeanTokens: mean.meanTokens,
-      poolMeanRunningTokens: mean.meanRunningTokens,
-      poolMeanAgeMs: Math.round(mean.ageMs),
-      poolReadyServers: mean.readyServers,
+      leaseMs: this.#deps.leaseMs,
+      poolMeanTokens: poolMean.meanTokens,
+      poolMeanRunningTokens: poolMean.meanRunningTokens,
+      poolMeanAgeMs: Math.round(poolMean.ageMs),
+      poolReadyServers: poolMean.readyServers,
       revision: machine.configuration.current.read().revision,
       wantedState: wanted,
-      orders: delivery.ordersFor(said.name).map(toWireOrder),
-      fencingFloor: floorKnown ? floor : 0,
-      fencingFloorKnown: floorKnown,
+      orders: delivery.ordersFor(announcement.name).map(toWireOrder),
+      fencingFloor: isFloorConfirmed ? fencingFloor : 0,
+      fencingFloorKnown: isFloorConfirmed,
     });
   }
 
   #answerRouter(req: WireAnnounce): WireAnswer {
-    const {machine, convergence, clock} = this.#parts;
+    const {machine, convergence, clock} = this.#deps;
     const node = req.backendServer ?? '';
     convergence.report(node, ROUTER_ROLE, req.revision ?? 0, clock.now());
     const {revision} = machine.configuration.current.read();
@@ -125,7 +128,7 @@
   }
 
   #refuse(): WireAnswer {
-    const leader = this.#parts.proposer.leaderAddress();
+    const leader = this.#deps.proposer.leaderAddress();
     return new v1.AnnounceResponse({accepted: false, leader});
   }
 }
--- a/packages/lovagepond-control/src/configuration_changer.ts
+++ b/packages/lovagepond-control/src/configuration_changer.ts
@@ -33,11 +33,11 @@
   readonly change: AnyChange;
 };
 
-type Checked =
+type CheckResult =
   | {readonly ok: true; readonly edit: ConfigurationEdit}
   | {readonly ok: false; readonly faults: readonly ConfigurationFault[]};
 
-const SECTION_PLACE = /^([A-Za-z]+)\[(\d+)\]/;
+const OBJECT_PLACE = /^([A-Za-z]+)\[(\d+)\]/;
 
 /** Checks, proposes and answers changes of the configuration. */
 export class ConfigurationChanger {
@@ -58,16 +58,16 @@
     if (!(await this.#proposer.confirm())) {
       return {kind: 'notLeader', leader: this.#proposer.leaderAddress()};
     }
-    const known = this.#machine.operations.has(req.operationId);
+    const ran = this.#machine.operations.has(req.operationId);
     const checked = this.#check(req);
-    if (!known && !checked.ok) return {kind: 'invalid', faults: checked.faults};
-    if (req.dryRun) return this.#tryOut(req, checked);
+    if (!ran && !checked.ok) return {kind: 'invalid', faults: checked.faults};
+    if (req.dryRun) return this.#dryRun(req, checked);
     return this.#propose(req, checked);
   }
 
-  #check(req: AnyChangeRequest): Checked {
+  #check(req: AnyChangeRequest): CheckResult {
     if (req.operationId === '') {
-      return refuse('operationId', 'an operation id is needed');
+      return reject('operationId', 'an operation id is needed');
     }
     if (req.change.kind === 'replace') return checkContent(req.change.content);
     const {configuration} = this.#machine;
@@ -78,11 +78,11 @@
     const edited = editConfiguration(edit, current.content, revision =>
       configuration.find(revision),
     );
-    if (!edited) return refuse('change', 'what it names is not there');
+    if (!edited) return reject('change', 'what it names is not there');
     return checkEdit(edit, edited);
   }
 
-  #tryOut(req: AnyChangeRequest, checked: Checked): ChangeAnswer {
+  #dryRun(req: AnyChangeRequest, checked: CheckResult): ChangeAnswer {
     const {configuration} = this.#machine;
     const {revision, content} = configuration.current.read();
     if (req.baseRevision !== revision) {
@@ -95,7 +95,7 @@
 
   async #propose(
     req: AnyChangeRequest,
-    checked: Checked,
+    checked: CheckResult,
   ): Promise<ChangeAnswer> {
     const {operationId, baseRevision, change} = req;
     const edit = checked.ok ? checked.edit : (change as ConfigurationEdit);
@@ -154,11 +154,11 @@
   return {place: 'operationId', message: 'belongs to another operation'};
 }
 
-function refuse(place: string, message: string): Checked {
+function reject(place: string, message: string): CheckResult {
   return {ok: false, faults: [{place, message}]};
 }
 
-function checkContent(content: unknown): Checked {
+function checkContent(content: unknown): CheckResult {
   const check = checkConfiguration(content);
   if (!check.ok) return check;
   return {ok: true, edit: {kind: 'replace', content: check.content}};
@@ -168,10 +168,10 @@
 function checkEdit(
   edit: ConfigurationEdit,
   edited: ConfigurationContent,
-): Checked {
+): CheckResult {
   const check = checkConfiguration(edited);
   if (!check.ok) {
-    const faults = check.faults.map(fault => nameFault(fault, edited));
+    const faults = check.faults.map(fault => addObjectName(fault, edited));
     return {ok: false, faults};
   }
   if (edit.kind !== 'put') return {ok: true, edit};
@@ -179,15 +179,15 @@
   const object = items.find(item => item.name === edit.object.name);
   return object
     ? {ok: true, edit: {...edit, object}}
-    : refuse(edit.section, 'the object has no name');
+    : reject(edit.section, 'the object has no name');
 }
 
 /** Adds the object's name to a place such as `selectors[2].pools`. */
-function nameFault(
+function addObjectName(
   fault: ConfigurationFault,
   edited: ConfigurationContent,
 ): ConfigurationFault {
-  const [, section, index] = SECTION_PLACE.exec(fault.place) ?? [];
+  const [, section, index] = OBJECT_PLACE.exec(fault.place) ?? [];
   if (section === undefined || index === undefined) return fault;
   const items: readonly NamedObject[] | undefined =
     edited[section as ConfigurationSection];
--- a/packages/lovagepond-control/src/configuration_documents.ts
+++ b/packages/lovagepond-control/src/configuration_documents.ts
@@ -28,7 +28,7 @@
   | Extract<NotDone, {kind: 'notLeader'}>;
 
 /** A numbered configuration, translated but not checked yet. */
-export interface OfferedDocument extends ConfigurationDocument {
+export interface UncheckedDocument extends ConfigurationDocument {
   readonly content: unknown;
 }
 
@@ -43,13 +43,13 @@
   }
 
   /**
-   * @param offered the configuration with its version
+   * @param document the configuration with its version
    * @returns `accepted` once a majority has synced it or a higher one
    */
-  async install(offered: OfferedDocument): Promise<InstallAnswer> {
-    const check = checkConfiguration(offered.content);
+  async install(document: UncheckedDocument): Promise<InstallAnswer> {
+    const check = checkConfiguration(document.content);
     if (!check.ok) return {kind: 'invalid', faults: check.faults};
-    const {version, source} = offered;
+    const {version, source} = document;
     const answer = await this.#proposer.propose<
       InstallPayload,
       {version: number}
--- a/packages/lovagepond-control/src/configuration_state.ts
+++ b/packages/lovagepond-control/src/configuration_state.ts
@@ -25,9 +25,9 @@
 import {type OperationResult} from './operation_results.js';
 
 /** History entries that are listed; fewer keep their content. */
-const LISTED_ENTRIES = 1_000;
+const MAX_HISTORY_ENTRIES = 1_000;
 
-interface KeptRevision {
+interface RevisionRecord {
   readonly revision: number;
   readonly operationId: string;
   readonly acceptedAt: number;
@@ -37,7 +37,7 @@
 /** Serialized form. */
 export interface ConfigurationSnapshot {
   readonly current: Configuration;
-  readonly history: readonly KeptRevision[];
+  readonly history: readonly RevisionRecord[];
   readonly contents: readonly Configuration[];
   readonly document?: ConfigurationDocument;
 }
@@ -53,7 +53,7 @@
   /** The configuration in force; listeners hear each accepted change. */
   readonly current = new Published<Configuration>({...EMPTY_CONFIGURATION});
   readonly #readHistoryLimit: () => number;
-  #history: KeptRevision[] = [];
+  #history: RevisionRecord[] = [];
   readonly #contents = new Map<number, ConfigurationContent>();
   #document: ConfigurationDocument | undefined;
 
@@ -79,7 +79,7 @@
     }
     const content = this.edit(edit);
     if (!content) return {kind: 'missing', place: describeTarget(edit)};
-    const revision = this.#advance(operationId, content, stamp);
+    const revision = this.#addRevision(operationId, content, stamp);
     return {kind: 'accepted', revision};
   }
 
@@ -94,11 +94,11 @@
    */
   install(payload: InstallPayload, stamp: CommandStamp): number {
     const {version, content, source} = payload;
-    const held = this.#document?.version ?? 0;
-    if (version <= held) return held;
+    const currentVersion = this.#document?.version ?? 0;
+    if (version <= currentVersion) return currentVersion;
     this.#document = {version, source};
-    const numbered = {...content, documentVersion: version};
-    this.#advance(`document ${version}`, numbered, stamp);
+    const versionedContent = {...content, documentVersion: version};
+    this.#addRevision(`document ${version}`, versionedContent, stamp);
     return version;
   }
 
@@ -170,34 +170,34 @@
     this.current.update(() => snapshot.current);
   }
 
-  #advance(
+  #addRevision(
     operationId: string,
     content: ConfigurationContent,
     stamp: CommandStamp,
   ): number {
     const current = this.current.read();
     const revision = current.revision + 1;
-    const shared = shareObjects(current.content, content);
-    const changed = diffConfigurations(current.content, shared);
+    const newContent = shareObjects(current.content, content);
+    const differences = diffConfigurations(current.content, newContent);
     this.#history.push({
       revision,
       operationId,
       acceptedAt: stamp.wallTimeMs,
-      changed: changed.map(difference => difference.place),
+      changed: differences.map(difference => difference.place),
     });
-    this.#keep(revision, shared);
-    this.current.update(() => ({revision, content: shared}));
+    this.#retainContent(revision, newContent);
+    this.current.update(() => ({revision, content: newContent}));
     return revision;
   }
 
-  #keep(revision: number, content: ConfigurationContent): void {
+  #retainContent(revision: number, content: ConfigurationContent): void {
     this.#contents.set(revision, content);
     const oldest = revision - this.#readHistoryLimit();
     for (const kept of this.#contents.keys()) {
       if (kept > oldest) break;
       this.#contents.delete(kept);
     }
-    if (this.#history.length > LISTED_ENTRIES) this.#history.shift();
+    if (this.#history.length > MAX_HISTORY_ENTRIES) this.#history.shift();
   }
 }
 
--- a/packages/lovagepond-control/src/context_inventory.ts
+++ b/packages/lovagepond-control/src/context_inventory.ts
@@ -19,13 +19,13 @@
 ) => Promise<readonly string[]>;
 
 /** A server to ask. */
-export interface AskedServer {
+export interface InventoryTarget {
   readonly name: string;
   readonly address: string;
 }
 
 /** What an inventory is made with. */
-export interface InventoryParts {
+export interface InventoryDependencies {
   readonly readHeldContexts: HeldContextsReader;
   readonly log: Logger;
   /** Called with what each server holds, as it answers. */
@@ -37,32 +37,32 @@
  * gateway: with eighty servers at once it filled the gateways' links, and the leader
  * was busy with it, while gateways waited for its word to serve anyone.
  */
-const ASKED_AT_ONCE = 8;
+const MAX_CONCURRENT_QUERIES = 8;
 
 /**
  * Asks a few servers at a time: an answer takes a server some milliseconds.
  *
  * @param servers whom to ask
- * @param parts how, and who hears the answers
+ * @param dependencies how, and who hears the answers
  */
-export async function takeInventory(
-  servers: readonly AskedServer[],
-  parts: InventoryParts,
+export async function collectHeldContexts(
+  servers: readonly InventoryTarget[],
+  dependencies: InventoryDependencies,
 ): Promise<void> {
-  const left = [...servers];
-  const askNext = async (): Promise<void> => {
+  const remaining = [...servers];
+  const queryNext = async (): Promise<void> => {
     for (;;) {
-      const server = left.shift();
+      const server = remaining.shift();
       if (!server) return;
-      await askOne(server, parts);
+      await queryServer(server, dependencies);
     }
   };
-  await Promise.all(Array.from({length: ASKED_AT_ONCE}, askNext));
+  await Promise.all(Array.from({length: MAX_CONCURRENT_QUERIES}, queryNext));
 }
 
-async function askOne(
-  {name, address}: AskedServer,
-  {readHeldContexts, log, onReport}: InventoryParts,
+async function queryServer(
+  {name, address}: InventoryTarget,
+  {readHeldContexts, log, onReport}: InventoryDependencies,
 ): Promise<void> {
   try {
     const ids = await readHeldContexts(address);
--- a/packages/lovagepond-control/src/control_commands.ts
+++ b/packages/lovagepond-control/src/control_commands.ts
@@ -29,14 +29,14 @@
 export const LOG_VERSION = 1;
 
 /** Names an operator's operation and what it asks for. */
-export interface OperationHead {
+export interface OperationIdentity {
   readonly operationId: string;
   /** Digest of the operation: another one under the same id is refused. */
   readonly digest: string;
 }
 
 /** Changes the configuration when its base revision is the current one. */
-export interface ChangePayload extends OperationHead {
+export interface ChangePayload extends OperationIdentity {
   readonly baseRevision: number;
   /** Checked by the proposer as a change of the base revision. */
   readonly edit: ConfigurationEdit;
@@ -83,7 +83,7 @@
 }
 
 /** Sets what control wants of a backend server. */
-export interface WantedStatePayload extends OperationHead {
+export interface WantedStatePayload extends OperationIdentity {
   readonly server: string;
   readonly wantedState: WantedState;
 }
@@ -189,7 +189,7 @@
 }
 
 /** Coded form: short member names, as most of a claim's bytes are the head. */
-interface CodedCommand {
+interface EncodedCommand {
   readonly v: number;
   readonly n: string;
   readonly s: readonly [timeMs: number, wallTimeMs: number, term: number];
@@ -197,7 +197,7 @@
 }
 
 /** A failure among results; no result has this member. */
-interface CodedFailure {
+interface EncodedFailure {
   readonly commandFailed: string;
 }
 
@@ -215,13 +215,13 @@
   payload: Payload,
   stamp: CommandStamp,
 ): Uint8Array {
-  const coded: CodedCommand = {
+  const encoded: EncodedCommand = {
     v: COMMAND_VERSION,
     n: command.name,
     s: [stamp.timeMs, stamp.wallTimeMs, stamp.term],
     p: payload,
   };
-  return packText(JSON.stringify(coded));
+  return packText(JSON.stringify(encoded));
 }
 
 /**
@@ -231,10 +231,14 @@
  *     command would make this member's state differ from the others'
  */
 export function decodeCommand(bytes: Uint8Array): LoggedCommand {
-  const coded = JSON.parse(unpackText(bytes)) as CodedCommand;
-  invariant(coded.v === COMMAND_VERSION, 200, 'unknown command version');
-  const [timeMs, wallTimeMs, term] = coded.s;
-  return {name: coded.n, stamp: {timeMs, wallTimeMs, term}, payload: coded.p};
+  const encoded = JSON.parse(unpackText(bytes)) as EncodedCommand;
+  invariant(encoded.v === COMMAND_VERSION, 200, 'unknown command version');
+  const [timeMs, wallTimeMs, term] = encoded.s;
+  return {
+    name: encoded.n,
+    stamp: {timeMs, wallTimeMs, term},
+    payload: encoded.p,
+  };
 }
 
 /**
@@ -250,7 +254,7 @@
  * @returns its bytes for the proposer
  */
 export function encodeFailure(message: string): Uint8Array {
-  const failure: CodedFailure = {commandFailed: message};
+  const failure: EncodedFailure = {commandFailed: message};
   return encodeResult(failure);
 }
 
@@ -260,14 +264,14 @@
  * @throws Error when the command's handler failed
  */
 export function decodeResult<Value>(bytes: Uint8Array): Value {
-  const result = JSON.parse(decoder.decode(bytes)) as Value | CodedFailure;
+  const result = JSON.parse(decoder.decode(bytes)) as Value | EncodedFailure;
   if (isFailure(result)) {
     throw new Error(`command failed: ${result.commandFailed}`);
   }
   return result;
 }
 
-function isFailure(result: unknown): result is CodedFailure {
+function isFailure(result: unknown): result is EncodedFailure {
   return (
     typeof result === 'object' && result !== null && 'commandFailed' in result
   );
--- a/packages/lovagepond-control/src/control_leadership.ts
+++ b/packages/lovagepond-control/src/control_leadership.ts
@@ -4,7 +4,10 @@
  */
 import {type ConsensusNode, MEMBER_ROLE} from '@lovagepond/consensus';
 import {type Clock, type Logger} from '@lovagepond/core';
-import {type HeldContextsReader, takeInventory} from './context_inventory.js';
+import {
+  collectHeldContexts,
+  type HeldContextsReader,
+} from './context_inventory.js';
 import {LIMITS_COMMAND} from './control_commands.js';
 import {type ControlSettings} from './control_settings.js';
 import {type ControlStateMachine, pickLimits} from './control_state_machine.js';
@@ -88,7 +91,7 @@
     if (!(await this.#setLimits())) return;
     const {role, term: current} = node.status();
     if (role !== MEMBER_ROLE.LEADER || current !== term) return;
-    registry.takeOver(term, clock.now(), directServers.known());
+    registry.takeOver(term, clock.now(), directServers.replicatedServers());
     this.#term = term;
     this.#parts.log.info('control leads', {term});
     this.#parts.onTakenOver();
@@ -119,7 +122,7 @@
     const engines = content.pools.filter(({kind}) => kind === 'engine');
     const pools = new Set(engines.map(({name}) => name));
     const servers = machine.directServers.list().map(({server}) => server);
-    takeInventory(
+    collectHeldContexts(
       servers.filter(({pool}) => pools.has(pool)),
       {readHeldContexts, log, onReport},
     ).catch((err: unknown) => {
--- a/packages/lovagepond-control/src/control_member_state.ts
+++ b/packages/lovagepond-control/src/control_member_state.ts
@@ -116,7 +116,7 @@
       log,
       machine,
       proposer: this.#proposer,
-      passOn: report => this.#relay.reportCrashes(report),
+      forwardToLeader: report => this.#relay.reportCrashes(report),
       oldestLogVersion: () => this.#hub.oldestLogVersion,
       publish: () => {
         this.#schedule.soon();
--- a/packages/lovagepond-control/src/control_state_machine.ts
+++ b/packages/lovagepond-control/src/control_state_machine.ts
@@ -205,14 +205,14 @@
 
   #handleCrashCommands(): void {
     this.#handle(CRASHES_COMMAND, (payload, {timeMs}) =>
-      this.#noteCrashes(payload, timeMs),
+      this.#recordCrashes(payload, timeMs),
     );
     this.#handle(LIFT_QUARANTINE_COMMAND, ({request}) => ({
       known: this.crashes.forget(request),
     }));
   }
 
-  #noteCrashes(
+  #recordCrashes(
     {crashes, answered}: CrashesPayload,
     timeMs: number,
   ): CrashesResult {
--- a/packages/lovagepond-control/src/convergence_table.ts
+++ b/packages/lovagepond-control/src/convergence_table.ts
@@ -4,7 +4,7 @@
 import {type ConvergenceView} from './control_administration.js';
 
 /** A node that is silent for this long is dropped from the table. */
-const FORGET_AFTER_MS = 10 * 60_000;
+const REPORT_RETENTION_MS = 10 * 60_000;
 
 interface Report {
   readonly role: string;
@@ -29,7 +29,7 @@
   /** @param now monotonic milliseconds */
   sweep(now: number): void {
     for (const [node, report] of this.#reports) {
-      if (now - report.at > FORGET_AFTER_MS) this.#reports.delete(node);
+      if (now - report.at > REPORT_RETENTION_MS) this.#reports.delete(node);
     }
   }
 
--- a/packages/lovagepond-control/src/crash_reports.ts
+++ b/packages/lovagepond-control/src/crash_reports.ts
@@ -29,16 +29,16 @@
 
 /** What is taken of one report; the router tells the rest with its next one. */
 const MAX_CRASHES = 64;
-const MAX_REQUESTS = 512;
+const MAX_FINGERPRINTS = 512;
 
 /** What reports are taken with. */
-export interface CrashReportsParts {
+export interface CrashReportsDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly machine: ControlStateMachine;
   readonly proposer: Proposer;
   /** Passes a report to the leader. */
-  readonly passOn: (
+  readonly forwardToLeader: (
     report: lovagepond.v1.CrashReport,
   ) => Promise<lovagepond.v1.CrashReportResponse>;
   /** @returns the oldest version of the log's commands that a member knows */
@@ -49,10 +49,10 @@
 
 /** Handles ReportCrashes, and operators' questions about quarantines. */
 export class CrashReports {
-  readonly #parts: CrashReportsParts;
+  readonly #deps: CrashReportsDependencies;
 
-  constructor(parts: CrashReportsParts) {
-    this.#parts = parts;
+  constructor(dependencies: CrashReportsDependencies) {
+    this.#deps = dependencies;
   }
 
   /**
@@ -62,25 +62,25 @@
   async take(
     report: lovagepond.v1.CrashReport,
   ): Promise<lovagepond.v1.CrashReportResponse> {
-    if (!this.#parts.proposer.leads()) return this.#parts.passOn(report);
+    if (!this.#deps.proposer.leads()) return this.#deps.forwardToLeader(report);
     // A member of an earlier release would end at a command that it doesn't know.
-    if (this.#parts.oldestLogVersion() < LOG_VERSION) {
+    if (this.#deps.oldestLogVersion() < LOG_VERSION) {
       return new v1.CrashReportResponse();
     }
     const payload = toPayload(report);
-    const outcome = await this.#parts.proposer.propose<
+    const outcome = await this.#deps.proposer.propose<
       CrashesPayload,
       CrashesResult
     >(CRASHES_COMMAND, payload);
     if (outcome.kind !== 'committed') return new v1.CrashReportResponse();
     this.#log(report.node, payload, outcome.value);
-    this.#parts.publish();
+    this.#deps.publish();
     return new v1.CrashReportResponse({recorded: true});
   }
 
   /** @returns suspected requests, as this member has applied them */
   list(): readonly SuspectView[] {
-    const {machine, clock} = this.#parts;
+    const {machine, clock} = this.#deps;
     const timeMs = machine.time.stamp(clock.now());
     return machine.crashes.suspects(timeMs).map(suspect => ({
       request: suspect.request,
@@ -94,18 +94,17 @@
    * @returns the answer; accepted also where nothing was known of it
    */
   async lift(request: string): Promise<OperationAnswer> {
-    const outcome = await this.#parts.proposer.propose(
-      LIFT_QUARANTINE_COMMAND,
-      {request},
-    );
+    const outcome = await this.#deps.proposer.propose(LIFT_QUARANTINE_COMMAND, {
+      request,
+    });
     if (outcome.kind !== 'committed') return outcome satisfies NotDone;
-    this.#parts.log.info('quarantine lifted', {request});
-    this.#parts.publish();
+    this.#deps.log.info('quarantine lifted', {request});
+    this.#deps.publish();
     return {kind: 'accepted'};
   }
 
   #log(node: string, payload: CrashesPayload, result: CrashesResult): void {
-    const {log, machine, clock} = this.#parts;
+    const {log, machine, clock} = this.#deps;
     for (const {server, requests} of payload.crashes) {
       const backendServer = server;
       log.warn('backend server crashed', {
@@ -146,6 +145,6 @@
 ): string[] {
   return (all ?? [])
     .filter(({length}) => length === FINGERPRINT_BYTES)
-    .slice(0, MAX_REQUESTS)
+    .slice(0, MAX_FINGERPRINTS)
     .map(bytes => Buffer.from(bytes).toString('hex'));
 }
--- a/packages/lovagepond-control/src/direct_server_table.ts
+++ b/packages/lovagepond-control/src/direct_server_table.ts
@@ -50,31 +50,31 @@
  * Servers that join within this time of a pool's first one found the pool
  * together, and each has a place at once; milliseconds.
  */
-const FOUNDING_MS = 10_000;
+const INITIAL_JOIN_WINDOW_MS = 10_000;
 
 /**
  * A newcomer stands by for so long, as the server that it takes over from
  * leaves within seconds; then it gets a place of its own. Milliseconds.
  */
-const STAND_BY_MS = 8_000;
+const STANDBY_MS = 8_000;
 
 /**
  * After this time without a server the prompts of a place have new homes, and
  * to move them back would have them read once more; milliseconds.
  */
-const VACANT_MS = 8_000;
+const VACANCY_RETENTION_MS = 8_000;
 
 /** Servers that ended, remembered so that none is brought back; bounded. */
 const MAX_ENDED = 2_048;
 
 /** Incarnations whose newest life is remembered, for the same reason. */
-const MAX_LIVES = 2_048;
+const MAX_STARTS = 2_048;
 
 /** Servers and places. Part of the replicated state. */
 export class DirectServerTable {
   readonly #records = new Map<string, DirectServerRecord>();
   readonly #ended = new Set<string>();
-  readonly #lives = new Map<string, number>();
+  readonly #starts = new Map<string, number>();
   #vacant: VacantPlace[] = [];
 
   /** @returns all servers, in the order in which they joined */
@@ -100,8 +100,8 @@
    */
   join(server: JoiningServer, timeMs: number): void {
     if (this.#records.has(server.name) || this.#ended.has(server.name)) return;
-    if (this.#isFormerLife(server)) return;
-    this.#rememberLife(server);
+    if (this.#isFormerInstance(server)) return;
+    this.#recordStart(server);
     // A new server at an address means that the one before has ended, as does
     // a later life of an incarnation, wherever it is.
     for (const {server: former} of this.list()) {
@@ -109,7 +109,9 @@
       const isAtAddress = former.address === server.address;
       if (isSame || isAtAddress) this.end(former.name, timeMs);
     }
-    const place = this.#takeVacant(server.pool) ?? this.#found(server, timeMs);
+    const place =
+      this.#claimVacantPlace(server.pool) ??
+      this.#choosePlaceOnJoin(server, timeMs);
     const record = {server, leaving: false, place, joinedAtMs: timeMs};
     this.#records.set(server.name, record);
   }
@@ -132,7 +134,7 @@
     const record = this.#records.get(name);
     if (!record) return;
     this.#records.set(name, {...record, leaving: true, place: ''});
-    this.#handOver(record, timeMs);
+    this.#reassignPlace(record, timeMs);
   }
 
   /**
@@ -156,7 +158,7 @@
     const record = this.#records.get(name);
     if (!record) return;
     this.#records.delete(name);
-    this.#handOver(record, timeMs);
+    this.#reassignPlace(record, timeMs);
   }
 
   /**
@@ -164,7 +166,7 @@
    * @returns true when {@link openPlaces} would change something
    */
   hasPlacesToOpen(timeMs: number): boolean {
-    return this.#standByOver(timeMs).length > 0 || this.#hasLapsed(timeMs);
+    return this.#dueStandbys(timeMs).length > 0 || this.#hasLapsed(timeMs);
   }
 
   /**
@@ -175,11 +177,11 @@
    */
   openPlaces(timeMs: number): void {
     this.#vacant = this.#vacant.filter(
-      ({sinceMs}) => timeMs - sinceMs < VACANT_MS,
+      ({sinceMs}) => timeMs - sinceMs < VACANCY_RETENTION_MS,
     );
-    for (const record of this.#standByOver(timeMs)) {
+    for (const record of this.#dueStandbys(timeMs)) {
       const {name, pool} = record.server;
-      const place = this.#takeVacant(pool) ?? name;
+      const place = this.#claimVacantPlace(pool) ?? name;
       this.#records.set(name, {...record, place});
     }
   }
@@ -187,7 +189,7 @@
   /** @returns the serialized form */
   snapshot(): DirectServerSnapshot {
     const ended = [...this.#ended];
-    const lives = [...this.#lives];
+    const lives = [...this.#starts];
     return {records: this.list(), vacant: this.#vacant, ended, lives};
   }
 
@@ -200,50 +202,56 @@
     this.#vacant = [...(snapshot?.vacant ?? [])];
     this.#ended.clear();
     for (const name of snapshot?.ended ?? []) this.#ended.add(name);
-    this.#lives.clear();
-    for (const [name, at] of snapshot?.lives ?? []) this.#lives.set(name, at);
+    this.#starts.clear();
+    for (const [name, at] of snapshot?.lives ?? []) this.#starts.set(name, at);
   }
 
   /** One without a start, of an incarnation that tells it, is another's word. */
-  #isFormerLife({incarnation, startedAtMs = 0}: JoiningServer): boolean {
-    return startedAtMs < (this.#lives.get(incarnation) ?? 0);
+  #isFormerInstance({incarnation, startedAtMs = 0}: JoiningServer): boolean {
+    return startedAtMs < (this.#starts.get(incarnation) ?? 0);
   }
 
-  #rememberLife({incarnation, startedAtMs}: JoiningServer): void {
+  #recordStart({incarnation, startedAtMs}: JoiningServer): void {
     if (startedAtMs === undefined) return;
-    this.#lives.delete(incarnation);
-    this.#lives.set(incarnation, startedAtMs);
-    for (const oldest of this.#lives.keys()) {
-      if (this.#lives.size <= MAX_LIVES) return;
-      this.#lives.delete(oldest);
+    this.#starts.delete(incarnation);
+    this.#starts.set(incarnation, startedAtMs);
+    for (const oldest of this.#starts.keys()) {
+      if (this.#starts.size <= MAX_STARTS) return;
+      this.#starts.delete(oldest);
     }
   }
 
-  #standByOver(timeMs: number): DirectServerRecord[] {
+  #dueStandbys(timeMs: number): DirectServerRecord[] {
     return this.list().filter(
       ({leaving, place, joinedAtMs}) =>
-        !leaving && place === '' && timeMs - joinedAtMs >= STAND_BY_MS,
+        !leaving && place === '' && timeMs - joinedAtMs >= STANDBY_MS,
     );
   }
 
   #hasLapsed(timeMs: number): boolean {
-    return this.#vacant.some(({sinceMs}) => timeMs - sinceMs >= VACANT_MS);
+    return this.#vacant.some(
+      ({sinceMs}) => timeMs - sinceMs >= VACANCY_RETENTION_MS,
+    );
   }
 
-  #found({name, pool}: JoiningServer, timeMs: number): string {
-    const times = this.list()
+  #choosePlaceOnJoin({name, pool}: JoiningServer, timeMs: number): string {
+    const joinTimes = this.list()
       .filter(({server}) => server.pool === pool)
       .map(({joinedAtMs}) => joinedAtMs);
-    const isFounding = timeMs - Math.min(timeMs, ...times) < FOUNDING_MS;
-    return isFounding ? name : '';
+    const isInitialJoin =
+      timeMs - Math.min(timeMs, ...joinTimes) < INITIAL_JOIN_WINDOW_MS;
+    return isInitialJoin ? name : '';
   }
 
-  #takeVacant(pool: string): string | undefined {
+  #claimVacantPlace(pool: string): string | undefined {
     const at = this.#vacant.findIndex(vacant => vacant.pool === pool);
     return at < 0 ? undefined : this.#vacant.splice(at, 1)[0]?.place;
   }
 
-  #handOver({server: {pool}, place}: DirectServerRecord, timeMs: number): void {
+  #reassignPlace(
+    {server: {pool}, place}: DirectServerRecord,
+    timeMs: number,
+  ): void {
     if (place === '') return;
     const successor = this.list().find(
       record =>
--- a/packages/lovagepond-control/src/direct_servers.ts
+++ b/packages/lovagepond-control/src/direct_servers.ts
@@ -52,7 +52,7 @@
   | {readonly kind: 'unknown'};
 
 /** What the class is built from. */
-export interface DirectServersParts {
+export interface DirectServersDependencies {
   readonly clock: Clock;
   readonly machine: ControlStateMachine;
   readonly registry: MembershipRegistry;
@@ -65,35 +65,37 @@
 
 /** Takes announcements at the leader. */
 export class DirectServers {
-  readonly #parts: DirectServersParts;
+  readonly #deps: DirectServersDependencies;
   /** Numbers of the last announcements, by server. */
   #sequences = new Map<string, number>();
-  #opening = false;
+  #isOpeningPlaces = false;
 
-  constructor(parts: DirectServersParts) {
-    this.#parts = parts;
+  constructor(dependencies: DirectServersDependencies) {
+    this.#deps = dependencies;
   }
 
   /** @returns the servers of the table, for a leader that takes over */
-  known(): readonly Announcement[] {
-    return this.#parts.machine.directServers.list().map(toAnnouncement);
+  replicatedServers(): readonly Announcement[] {
+    return this.#deps.machine.directServers.list().map(toAnnouncement);
   }
 
   /**
-   * @param said the announcement
+   * @param announcement the announcement
    * @returns the answer; not accepted by any other member than the leader
    */
-  async announce(said: DirectAnnouncement): Promise<AnnouncementAnswer> {
-    if (!this.#serves()) return this.#refuse();
-    if (!this.#isKnownPool(said.pool)) return {kind: 'unknownPool'};
-    const name = nameOfLife(said);
+  async announce(
+    announcement: DirectAnnouncement,
+  ): Promise<AnnouncementAnswer> {
+    if (!this.#canServe()) return this.#refuse();
+    if (!this.#isKnownPool(announcement.pool)) return {kind: 'unknownPool'};
+    const name = instanceName(announcement);
     // A late announcement must not bring back an earlier state.
-    const isLate = said.sequence <= (this.#sequences.get(name) ?? -1);
-    if (isLate && !said.leaving) return {kind: 'accepted'};
-    this.#sequences.set(name, said.sequence);
-    const committed = await this.#commit(said);
-    if (committed.kind !== 'committed') return this.#explain(committed);
-    if (!this.#serves()) return this.#refuse();
+    const isLate = announcement.sequence <= (this.#sequences.get(name) ?? -1);
+    if (isLate && !announcement.leaving) return {kind: 'accepted'};
+    this.#sequences.set(name, announcement.sequence);
+    const committed = await this.#commit(announcement);
+    if (committed.kind !== 'committed') return this.#toFailure(committed);
+    if (!this.#canServe()) return this.#refuse();
     this.#renew(name);
     return {kind: 'accepted'};
   }
@@ -101,18 +103,19 @@
   /**
    * A server says that it is gone, or leaves without having said so before.
    *
-   * @param gone the server; without a start the life that is known
+   * @param instance the server; without a start the life that is known
    * @returns the answer; not accepted by any other member than the leader
    */
-  async remove(gone: ServerLife): Promise<AnnouncementAnswer> {
-    if (!this.#serves()) return this.#refuse();
-    const {machine, proposer, registry, clock} = this.#parts;
-    const known = machine.directServers.nameOf(gone.incarnation);
-    const isAnyLife = gone.startedAtMs === undefined;
-    const name = (isAnyLife ? known : undefined) ?? nameOfLife(gone);
+  async remove(instance: ServerInstance): Promise<AnnouncementAnswer> {
+    if (!this.#canServe()) return this.#refuse();
+    const {machine, proposer, registry, clock} = this.#deps;
+    const knownName = machine.directServers.nameOf(instance.incarnation);
+    const isAnyInstance = instance.startedAtMs === undefined;
+    const name =
+      (isAnyInstance ? knownName : undefined) ?? instanceName(instance);
     const ended = await proposer.propose(END_SERVER_COMMAND, {name});
-    if (ended.kind !== 'committed') return this.#explain(ended);
-    if (!this.#serves()) return this.#refuse();
+    if (ended.kind !== 'committed') return this.#toFailure(ended);
+    if (!this.#canServe()) return this.#refuse();
     registry.remove(name, clock.now());
     this.#publishTable();
     return {kind: 'accepted'};
@@ -125,22 +128,25 @@
    * @param now monotonic milliseconds
    */
   async tick(lapsed: readonly string[], now: number): Promise<void> {
-    const {machine, proposer} = this.#parts;
+    const {machine, proposer} = this.#deps;
     const table = machine.directServers;
     const names = lapsed.filter(name => table.get(name));
     if (names.length > 0) {
       await proposer.propose(DROP_SERVERS_COMMAND, {names});
       this.#publishTable();
     }
-    if (this.#opening || !table.hasPlacesToOpen(machine.time.stamp(now))) {
+    if (
+      this.#isOpeningPlaces ||
+      !table.hasPlacesToOpen(machine.time.stamp(now))
+    ) {
       return;
     }
-    this.#opening = true;
+    this.#isOpeningPlaces = true;
     try {
       await proposer.propose(OPEN_PLACES_COMMAND, {});
       this.#publishTable();
     } finally {
-      this.#opening = false;
+      this.#isOpeningPlaces = false;
     }
   }
 
@@ -149,35 +155,35 @@
    * would put the server out that answers at its address.
    */
   #isKnownPool(pool: string): boolean {
-    const {content} = this.#parts.machine.configuration.current.read();
+    const {content} = this.#deps.machine.configuration.current.read();
     const {pools} = content;
     return pools.length === 0 || pools.some(({name}) => name === pool);
   }
 
-  #serves(): boolean {
-    return this.#parts.proposer.leads() && this.#parts.hasTakenOver();
+  #canServe(): boolean {
+    return this.#deps.proposer.leads() && this.#deps.hasTakenOver();
   }
 
   #refuse(): AnnouncementAnswer {
-    const leader = this.#parts.proposer.leaderAddress();
+    const leader = this.#deps.proposer.leaderAddress();
     return {kind: 'notLeader', leader};
   }
 
-  #explain(outcome: {readonly kind: string}): AnnouncementAnswer {
+  #toFailure(outcome: {readonly kind: string}): AnnouncementAnswer {
     return outcome.kind === 'unknown' ? {kind: 'unknown'} : this.#refuse();
   }
 
   /** Proposes what the table lacks; most announcements only renew. */
-  async #commit(said: DirectAnnouncement): Promise<Proposed<unknown>> {
-    const {machine, proposer} = this.#parts;
-    const name = nameOfLife(said);
+  async #commit(announcement: DirectAnnouncement): Promise<Proposed<unknown>> {
+    const {machine, proposer} = this.#deps;
+    const name = instanceName(announcement);
     const table = machine.directServers;
     let outcome: Proposed<unknown> = {kind: 'committed', value: {}};
     if (!table.get(name)) {
-      const server = toJoining(said);
+      const server = toJoiningServer(announcement);
       outcome = await proposer.propose(JOIN_SERVER_COMMAND, {server});
     }
-    if (outcome.kind === 'committed' && said.leaving) {
+    if (outcome.kind === 'committed' && announcement.leaving) {
       if (table.get(name)?.leaving) return outcome;
       outcome = await proposer.propose(LEAVE_SERVER_COMMAND, {name});
     }
@@ -185,7 +191,7 @@
   }
 
   #renew(name: string): void {
-    const {registry, machine, clock} = this.#parts;
+    const {registry, machine, clock} = this.#deps;
     const record = machine.directServers.get(name);
     // It ended while its announcement was on the way.
     if (!record) return;
@@ -197,7 +203,7 @@
 
   /** A change of one server may have given or taken others' places. */
   #publishTable(): void {
-    const {machine, registry, publish, clock} = this.#parts;
+    const {machine, registry, publish, clock} = this.#deps;
     const table = machine.directServers;
     for (const record of table.list()) {
       const {name} = record.server;
@@ -215,7 +221,7 @@
 }
 
 /** One life of a server. */
-export type ServerLife = Pick<
+export type ServerInstance = Pick<
   DirectAnnouncement,
   'incarnation' | 'startedAtMs'
 >;
@@ -224,7 +230,7 @@
  * Each life is a server of its own everywhere: what is known of the one before,
  * such as its warm prompts, its load and its pauses, ends with its name.
  */
-function nameOfLife({incarnation, startedAtMs}: ServerLife): string {
+function instanceName({incarnation, startedAtMs}: ServerInstance): string {
   return startedAtMs === undefined
     ? incarnation
     : `${incarnation}@${startedAtMs}`;
@@ -244,18 +250,20 @@
   };
 }
 
-function toJoining(said: DirectAnnouncement): DirectServerRecord['server'] {
+function toJoiningServer(
+  announcement: DirectAnnouncement,
+): DirectServerRecord['server'] {
   return {
-    name: nameOfLife(said),
-    incarnation: said.incarnation,
-    startedAtMs: said.startedAtMs,
-    pool: said.pool,
-    labels: {version: said.version},
-    availabilityZone: said.availabilityZone,
-    region: said.region,
-    address: said.address,
+    name: instanceName(announcement),
+    incarnation: announcement.incarnation,
+    startedAtMs: announcement.startedAtMs,
+    pool: announcement.pool,
+    labels: {version: announcement.version},
+    availabilityZone: announcement.availabilityZone,
+    region: announcement.region,
+    address: announcement.address,
     capacityTokens: 0,
-    models: said.models,
-    directSlots: said.slots,
+    models: announcement.models,
+    directSlots: announcement.slots,
   };
 }
--- a/packages/lovagepond-control/src/index.ts
+++ b/packages/lovagepond-control/src/index.ts
@@ -27,14 +27,14 @@
   ConfigurationDocuments,
   type DocumentAnswer,
   type InstallAnswer,
-  type OfferedDocument,
+  type UncheckedDocument,
 } from './configuration_documents.js';
 export {type ConfigurationDocument} from './configuration_state.js';
 export {
   type AnnouncementAnswer,
   type DirectAnnouncement,
   DirectServers,
-  type ServerLife,
+  type ServerInstance,
 } from './direct_servers.js';
 export {type ControlParts, ControlRole} from './control_role.js';
 export {MemberTransport} from './member_transport.js';
--- a/packages/lovagepond-control/src/ledger_buckets.ts
+++ b/packages/lovagepond-control/src/ledger_buckets.ts
@@ -26,14 +26,14 @@
 export class LedgerBuckets {
   readonly #buckets = new Map<number, Bucket>();
   readonly #bucketOfKey = new Map<string, number>();
-  #made = 0;
+  #assignedCount = 0;
 
   /** @param key a key whose entry was made or changed */
-  touch(key: string): void {
+  markChanged(key: string): void {
     let id = this.#bucketOfKey.get(key);
     if (id === undefined) {
-      id = Math.floor(this.#made / BUCKET_SIZE);
-      this.#made += 1;
+      id = Math.floor(this.#assignedCount / BUCKET_SIZE);
+      this.#assignedCount += 1;
       this.#bucketOfKey.set(key, id);
     }
     const bucket = this.#buckets.get(id) ?? {
@@ -53,10 +53,10 @@
    * @param encoded its lines
    */
   adopt(keys: readonly string[], encoded: Uint8Array): void {
-    const id = Math.ceil(this.#made / BUCKET_SIZE);
+    const id = Math.ceil(this.#assignedCount / BUCKET_SIZE);
     for (const key of keys) this.#bucketOfKey.set(key, id);
     this.#buckets.set(id, {keys: new Set(keys), encoded});
-    this.#made = (id + 1) * BUCKET_SIZE;
+    this.#assignedCount = (id + 1) * BUCKET_SIZE;
   }
 
   /** @param key a key whose entry is gone */
@@ -75,7 +75,7 @@
   clear(): void {
     this.#buckets.clear();
     this.#bucketOfKey.clear();
-    this.#made = 0;
+    this.#assignedCount = 0;
   }
 
   /**
@@ -83,12 +83,12 @@
    * @returns lines of JSON, one entry each, in the order of their making
    */
   encode(encode: EncodeKey): Uint8Array[] {
-    const parts: Uint8Array[] = [];
+    const chunks: Uint8Array[] = [];
     for (const bucket of this.#buckets.values()) {
       bucket.encoded ??= encodeBucket(bucket, encode);
-      parts.push(bucket.encoded);
+      chunks.push(bucket.encoded);
     }
-    return parts;
+    return chunks;
   }
 }
 
--- a/packages/lovagepond-control/src/ledger_entries.ts
+++ b/packages/lovagepond-control/src/ledger_entries.ts
@@ -78,17 +78,17 @@
    * @param entry the entry; `sinceMs` is the present replicated time
    */
   set(key: string, entry: LedgerEntry): void {
-    this.#unlink(key);
+    this.#releaseEntry(key);
     this.#entries.set(key, entry);
-    this.#buckets.touch(key);
+    this.#buckets.markChanged(key);
     this.#answerCharacters += entry.answer?.length ?? 0;
-    this.#queue(key, entry);
-    this.#dropAnswers();
+    this.#enqueue(key, entry);
+    this.#evictAnswers();
   }
 
   /** @param key the key to forget */
   delete(key: string): void {
-    this.#unlink(key);
+    this.#releaseEntry(key);
     this.#entries.delete(key);
     this.#buckets.delete(key);
   }
@@ -107,7 +107,7 @@
       if (entry?.state === ENTRY_STATE.OPEN) this.settleUnknown(key, timeMs);
     });
     drain(this.#answerQueue, timeMs - answerRetentionMs, key => {
-      if (this.#due(key, timeMs - answerRetentionMs)) this.#dropAnswer(key);
+      if (this.#due(key, timeMs - answerRetentionMs)) this.#evictAnswer(key);
     });
     drain(this.#keyQueue, timeMs - keyRetentionMs, key => {
       if (this.#due(key, timeMs - keyRetentionMs)) this.delete(key);
@@ -152,15 +152,15 @@
       const keys = entries.map(([key]) => key);
       this.#buckets.adopt(keys, bytes);
     }
-    this.#queueAll();
+    this.#enqueueAll();
   }
 
   /** Puts all entries into the queues, which want them by time. */
-  #queueAll(): void {
+  #enqueueAll(): void {
     const byTime = [...this.#entries].sort(
       ([, a], [, b]) => a.sinceMs - b.sinceMs,
     );
-    for (const [key, entry] of byTime) this.#queue(key, entry);
+    for (const [key, entry] of byTime) this.#enqueue(key, entry);
   }
 
   #clear(): void {
@@ -179,9 +179,9 @@
     return entry && entry.sinceMs <= untilMs ? entry : undefined;
   }
 
-  #queue(key: string, entry: LedgerEntry): void {
+  #enqueue(key: string, entry: LedgerEntry): void {
     if (entry.state === ENTRY_STATE.OPEN) {
-      this.#link(key, entry);
+      this.#addOpenClaim(key, entry);
     } else {
       this.#keyQueue.push(key, entry.sinceMs);
     }
@@ -189,24 +189,24 @@
     this.#answerQueue.push(key, entry.sinceMs);
   }
 
-  #dropAnswers(): void {
+  #evictAnswers(): void {
     const {answerCharactersLimit} = this.#readLimits();
     while (this.#answerCharacters > answerCharactersLimit) {
       const key = this.#answerQueue.takeUntil(Infinity);
       if (key === undefined) return;
-      this.#dropAnswer(key);
+      this.#evictAnswer(key);
     }
   }
 
-  #dropAnswer(key: string): void {
+  #evictAnswer(key: string): void {
     const entry = this.#entries.get(key);
     if (entry?.answer === undefined) return;
     this.#answerCharacters -= entry.answer.length;
     this.#entries.set(key, {...entry, answer: undefined});
-    this.#buckets.touch(key);
+    this.#buckets.markChanged(key);
   }
 
-  #link(key: string, entry: LedgerEntry): void {
+  #addOpenClaim(key: string, entry: LedgerEntry): void {
     const {server} = entry.owner;
     const keys = this.#openByServer.get(server) ?? new Set();
     keys.add(key);
@@ -214,7 +214,7 @@
     this.#openQueue.push(key, entry.sinceMs);
   }
 
-  #unlink(key: string): void {
+  #releaseEntry(key: string): void {
     const entry = this.#entries.get(key);
     if (!entry) return;
     this.#answerCharacters -= entry.answer?.length ?? 0;
--- a/packages/lovagepond-control/src/ledger_incarnations.ts
+++ b/packages/lovagepond-control/src/ledger_incarnations.ts
@@ -5,7 +5,7 @@
 import {type ClaimOwner} from './ledger_entry.js';
 
 /** Former incarnations remembered of one sidecar. */
-const FORMER_LIMIT = 8;
+const MAX_FORMER_INCARNATIONS = 8;
 
 /**
  * A sidecar not registered anew for this long is forgotten with its superseded
@@ -14,7 +14,7 @@
  */
 const REGISTRATION_RETENTION_MS = 7 * 24 * 3_600_000;
 
-interface Registered {
+interface Registration {
   readonly owner: ClaimOwner;
   /** Superseded ones: they never come back. */
   readonly former: readonly string[];
@@ -22,11 +22,11 @@
 }
 
 /** Serialized form. */
-export type IncarnationSnapshot = readonly (readonly [string, Registered])[];
+export type IncarnationSnapshot = readonly (readonly [string, Registration])[];
 
 /** The incarnations of sidecars. Part of the replicated state. */
 export class LedgerIncarnations {
-  readonly #registered = new Map<string, Registered>();
+  readonly #registered = new Map<string, Registration>();
   readonly #queue = new ExpiryQueue();
 
   /**
@@ -52,7 +52,10 @@
     if (known?.owner.incarnation === incarnation) return true;
     if (known?.former.includes(incarnation)) return false;
     const former = known
-      ? [known.owner.incarnation, ...known.former].slice(0, FORMER_LIMIT)
+      ? [known.owner.incarnation, ...known.former].slice(
+          0,
+          MAX_FORMER_INCARNATIONS,
+        )
       : [];
     const owner = {server, incarnation};
     this.#registered.set(server, {owner, former, sinceMs: timeMs});
@@ -64,15 +67,15 @@
    * Forgets sidecars that registered long ago.
    *
    * @param timeMs replicated time
-   * @param keep says which sidecars have open claims and stay
+   * @param hasOpenClaims says which sidecars have open claims and stay
    */
-  expire(timeMs: number, keep: (server: string) => boolean): void {
+  expire(timeMs: number, hasOpenClaims: (server: string) => boolean): void {
     const untilMs = timeMs - REGISTRATION_RETENTION_MS;
     for (;;) {
       const server = this.#queue.takeUntil(untilMs);
       if (server === undefined) return;
       const known = this.#registered.get(server);
-      if (!known || known.sinceMs > untilMs || keep(server)) continue;
+      if (!known || known.sinceMs > untilMs || hasOpenClaims(server)) continue;
       this.#registered.delete(server);
     }
   }
--- a/packages/lovagepond-control/src/ledger_state.ts
+++ b/packages/lovagepond-control/src/ledger_state.ts
@@ -105,7 +105,7 @@
     const key = keyOf(claim);
     const entry = this.#entries.get(key);
     if (entry) return answerRepeat(entry, claim);
-    const refusal = this.#refuseNew(claim);
+    const refusal = this.#findRefusal(claim);
     if (refusal) return {kind: refusal};
     this.#entries.set(key, {
       digest: claim.digest,
@@ -129,11 +129,11 @@
     this.#expire(timeMs);
     const key = keyOf(record);
     const entry = this.#entries.get(key);
-    if (record.outcome === 'notRun') this.#release(key, record, timeMs);
+    if (record.outcome === 'notRun') this.#revokeAttempt(key, record, timeMs);
     if (entry?.attempt !== record.attempt) {
       return {recorded: record.outcome === 'notRun'};
     }
-    const handle = RECORDERS[record.outcome];
+    const handle = OUTCOME_HANDLERS[record.outcome];
     return handle(this.#entries, {key, entry, record, timeMs});
   }
 
@@ -192,7 +192,7 @@
     }
   }
 
-  #refuseNew(
+  #findRefusal(
     claim: ClaimPayload,
   ): 'revoked' | 'wrongIncarnation' | 'ledgerUnavailable' | undefined {
     if (this.#released.has(attemptKeyOf(keyOf(claim), claim.attempt))) {
@@ -219,7 +219,7 @@
    * says so here. Its claim may still come later: granted then, the key would
    * stay open with nobody to dispatch it, and every repeat would wait.
    */
-  #release(key: string, record: RecordPayload, timeMs: number): void {
+  #revokeAttempt(key: string, record: RecordPayload, timeMs: number): void {
     const attempt = attemptKeyOf(key, record.attempt);
     if (this.#released.has(attempt)) return;
     this.#released.set(attempt, timeMs);
@@ -254,7 +254,7 @@
  * may still learn that the call ran, as its own sidecar says so; it is never
  * released, as only an open claim is certain to be its sidecar's alone.
  */
-const RECORDERS: Readonly<
+const OUTCOME_HANDLERS: Readonly<
   Record<
     CallOutcome,
     (entries: LedgerEntries, recording: Recording) => RecordResult
--- a/packages/lovagepond-control/src/membership_flapping.ts
+++ b/packages/lovagepond-control/src/membership_flapping.ts
@@ -12,18 +12,18 @@
   /** The penalty halves in this time. */
   readonly halfLifeMs: number;
   /** Longest time a server is held back after its last flap. */
-  readonly longestHoldMs: number;
+  readonly maxHoldMs: number;
 }
 
 /** Damps from the third flap in quick succession, for a minute at most. */
 const FLAP_DEFAULTS: FlapSettings = {
   halfLifeMs: 15_000,
-  longestHoldMs: 60_000,
+  maxHoldMs: 60_000,
 };
 
 const FLAP_PENALTY = 1_000;
-const HOLD_ABOVE = 2_500;
-const RELEASE_BELOW = 1_000;
+const HOLD_THRESHOLD = 2_500;
+const RELEASE_THRESHOLD = 1_000;
 
 /** Below this a server is forgotten. */
 const NEGLIGIBLE = 50;
@@ -42,19 +42,19 @@
 
   constructor(settings: FlapSettings = FLAP_DEFAULTS) {
     this.#settings = settings;
-    const halvings = settings.longestHoldMs / settings.halfLifeMs;
-    this.#ceiling = RELEASE_BELOW * 2 ** halvings;
+    const halvings = settings.maxHoldMs / settings.halfLifeMs;
+    this.#ceiling = RELEASE_THRESHOLD * 2 ** halvings;
   }
 
   /**
    * @param name the server that came back or changed its mind
    * @param now monotonic milliseconds
    */
-  flap(name: string, now: number): void {
+  add(name: string, now: number): void {
     const known = this.#penalties.get(name);
     const decayed = known ? this.#decay(known, now) : 0;
     const value = Math.min(this.#ceiling, decayed + FLAP_PENALTY);
-    const held = (known?.held ?? false) || value > HOLD_ABOVE;
+    const held = (known?.held ?? false) || value > HOLD_THRESHOLD;
     this.#penalties.set(name, {value, at: now, held});
   }
 
@@ -66,7 +66,7 @@
   isHeld(name: string, now: number): boolean {
     const known = this.#penalties.get(name);
     if (!known?.held) return false;
-    known.held = this.#decay(known, now) >= RELEASE_BELOW;
+    known.held = this.#decay(known, now) >= RELEASE_THRESHOLD;
     return known.held;
   }
 
--- a/packages/lovagepond-control/src/membership_log.ts
+++ b/packages/lovagepond-control/src/membership_log.ts
@@ -5,7 +5,7 @@
 import {type BackendServer} from '@lovagepond/core';
 
 /** Departures that are remembered; an older version gets the whole list. */
-const KEPT_DEPARTURES = 4_096;
+const MAX_DEPARTURES = 4_096;
 
 /** What changed between two versions. */
 export interface MembershipChange {
@@ -32,12 +32,12 @@
   #complete = false;
   #completeVersion = 0;
   /** Departures up to this version are forgotten. */
-  #forgotten = 0;
+  #trimmedVersion = 0;
   readonly #servers = new Map<string, VersionedServer>();
   #departures: Departure[] = [];
   /** Changes up to the present version, which many subscribers ask for. */
-  readonly #answers = new Map<string, MembershipChange>();
-  #answersVersion = 0;
+  readonly #changeCache = new Map<string, MembershipChange>();
+  #changeCacheVersion = 0;
 
   /** Rises with every change. */
   get version(): number {
@@ -141,13 +141,13 @@
    */
   changesSince(version: number, pool: string): MembershipChange | undefined {
     if (version >= this.#version) return undefined;
-    if (this.#answersVersion !== this.#version) this.#answers.clear();
-    this.#answersVersion = this.#version;
-    const request = `${version} ${pool}`;
-    const known = this.#answers.get(request);
-    if (known) return known;
+    if (this.#changeCacheVersion !== this.#version) this.#changeCache.clear();
+    this.#changeCacheVersion = this.#version;
+    const cacheKey = `${version} ${pool}`;
+    const cached = this.#changeCache.get(cacheKey);
+    if (cached) return cached;
     const change = this.#collectChanges(version, pool);
-    this.#answers.set(request, change);
+    this.#changeCache.set(cacheKey, change);
     return change;
   }
 
@@ -157,8 +157,8 @@
     const whole = this.#needsWhole(version);
     const members: BackendServer[] = [];
     for (const known of this.#servers.values()) {
-      const wanted = whole || known.version > version;
-      if (wanted && inPool(known.server)) members.push(known.server);
+      const isIncluded = whole || known.version > version;
+      if (isIncluded && inPool(known.server)) members.push(known.server);
     }
     const gone = whole ? [] : this.#goneSince(version, inPool);
     return {version: this.#version, whole, members, gone};
@@ -170,7 +170,7 @@
    */
   #needsWhole(version: number): boolean {
     if (!this.#complete) return false;
-    return version < Math.max(this.#completeVersion, this.#forgotten);
+    return version < Math.max(this.#completeVersion, this.#trimmedVersion);
   }
 
   #removeOthers(members: readonly BackendServer[], version: number): void {
@@ -190,7 +190,9 @@
     inPool: (server: BackendServer) => boolean,
   ): string[] {
     return this.#departures
-      .filter(left => left.version > version && inPool(left.server))
+      .filter(
+        departure => departure.version > version && inPool(departure.server),
+      )
       .map(left => left.server.name)
       .filter(name => {
         const known = this.#servers.get(name)?.server;
@@ -200,9 +202,10 @@
 
   #addDeparture(server: BackendServer): void {
     this.#departures.push({server, version: this.#version});
-    if (this.#departures.length <= KEPT_DEPARTURES) return;
-    const cut = this.#departures.length - KEPT_DEPARTURES / 2;
-    this.#forgotten = this.#departures[cut - 1]?.version ?? this.#forgotten;
+    if (this.#departures.length <= MAX_DEPARTURES) return;
+    const cut = this.#departures.length - MAX_DEPARTURES / 2;
+    this.#trimmedVersion =
+      this.#departures[cut - 1]?.version ?? this.#trimmedVersion;
     this.#departures = this.#departures.slice(cut);
   }
 }
--- a/packages/lovagepond-control/src/membership_registry.ts
+++ b/packages/lovagepond-control/src/membership_registry.ts
@@ -54,7 +54,7 @@
   renewedAt: number;
   held: boolean;
   /** False until it announced itself to this leader. */
-  reported: boolean;
+  hasAnnounced: boolean;
   /** Its part in the pool's mean, when it has one. */
   share: PoolShare | undefined;
 }
@@ -63,7 +63,7 @@
 const VERSIONS_PER_TERM = 2 ** 32;
 
 /** A freed slot rests this many leases. */
-const SLOT_REST_LEASES = 4;
+const SLOT_REUSE_DELAY_LEASES = 4;
 
 /** A mass lapse: more than this part of all servers lapse at once. */
 const MASS_LAPSE_FRACTION = 0.5;
@@ -72,7 +72,7 @@
 const MASS_LAPSE_MIN_SERVERS = 4;
 
 /** Leases that expiry is suspended for in a mass lapse. */
-const MASS_LAPSE_WAIT_LEASES = 10;
+const MASS_LAPSE_SUSPENSION_LEASES = 10;
 
 /** Part of a pool that must stay ready for a flapping server to be held. */
 const MIN_READY_FRACTION = 0.5;
@@ -97,7 +97,7 @@
     this.#settings = settings;
     this.#log = log;
     this.#damper = new FlapDamper(settings.flapping);
-    this.#slots = new SlotTable(settings.leaseMs * SLOT_REST_LEASES);
+    this.#slots = new SlotTable(settings.leaseMs * SLOT_REUSE_DELAY_LEASES);
   }
 
   /**
@@ -118,30 +118,30 @@
     this.#records.clear();
     this.#poolSizes.clear();
     this.#means = new PoolMeans();
-    this.#slots = new SlotTable(leaseMs * SLOT_REST_LEASES);
+    this.#slots = new SlotTable(leaseMs * SLOT_REUSE_DELAY_LEASES);
     this.#massLapseSince = undefined;
     this.#log.raiseVersion(term * VERSIONS_PER_TERM);
     for (const server of this.#log.servers()) this.#adopt(server, now);
     // Without a mirrored list, one lease shows who is there.
     this.#completeAt = now + leaseMs;
     if (this.#records.size === 0) this.#log.markIncomplete();
-    for (const said of known) this.announce(said, WANTED_STATE.READY, now);
+    for (const server of known) this.announce(server, WANTED_STATE.READY, now);
   }
 
   /**
    * Takes one announcement: joins or renews.
    *
-   * @param said what the sidecar says
+   * @param announcement what the sidecar says
    * @param wanted what operators want of the server
    * @param now monotonic milliseconds
    */
-  announce(said: Announcement, wanted: WantedState, now: number): void {
-    const known = this.#records.get(said.name);
-    if (isFlap(known, said)) this.#damper.flap(said.name, now);
-    const slot = this.#slots.assign(said.name, now);
-    const held = this.#isHeld(said, now);
-    const state = decideState(said.state, wanted, held);
-    const server = toBackendServer(said, state, slot);
+  announce(announcement: Announcement, wanted: WantedState, now: number): void {
+    const known = this.#records.get(announcement.name);
+    if (isFlap(known, announcement)) this.#damper.add(announcement.name, now);
+    const slot = this.#slots.assign(announcement.name, now);
+    const held = this.#isHeld(announcement, now);
+    const state = decideState(announcement.state, wanted, held);
+    const server = toBackendServer(announcement, state, slot);
     if (!known) this.#resizePool(server.pool, 1);
     if (known && known.server.pool !== server.pool) {
       this.#resizePool(known.server.pool, -1);
@@ -151,15 +151,15 @@
     const record: ServerRecord = {
       server:
         known && isSameServer(known.server, server) ? known.server : server,
-      announcedState: said.state,
-      runningTokens: said.runningTokens,
-      queuedTokens: said.queuedTokens,
+      announcedState: announcement.state,
+      runningTokens: announcement.runningTokens,
+      queuedTokens: announcement.queuedTokens,
       renewedAt: now,
       held,
-      reported: true,
+      hasAnnounced: true,
       share: undefined,
     };
-    this.#records.set(said.name, record);
+    this.#records.set(announcement.name, record);
     this.#addShare(record);
     if (record.server !== known?.server) this.#log.put(server);
   }
@@ -189,7 +189,7 @@
     const lapsed = [...this.#records.values()].filter(
       record => now - record.renewedAt > this.#settings.leaseMs,
     );
-    const gone = this.#suspendsExpiry(lapsed, now)
+    const gone = this.#isExpirySuspended(lapsed, now)
       ? lapsed.filter(isLeaving)
       : lapsed;
     for (const record of gone) this.#remove(record, now);
@@ -262,7 +262,7 @@
       queuedTokens: 0,
       renewedAt: now,
       held: false,
-      reported: false,
+      hasAnnounced: false,
       share: undefined,
     });
   }
@@ -271,12 +271,12 @@
    * A flapping server is held in `joining`, unless its pool would be left with
    * less than half of its servers: a server that flaps beats none.
    */
-  #isHeld(said: Announcement, now: number): boolean {
-    if (!this.#damper.isHeld(said.name, now)) return false;
-    const size = this.#poolSizes.get(said.pool) ?? 0;
-    const ready = this.#means.read(said.pool, now).readyServers;
-    const own = this.#records.get(said.name)?.share ? 1 : 0;
-    return ready - own >= size * MIN_READY_FRACTION;
+  #isHeld(announcement: Announcement, now: number): boolean {
+    if (!this.#damper.isHeld(announcement.name, now)) return false;
+    const size = this.#poolSizes.get(announcement.pool) ?? 0;
+    const ready = this.#means.read(announcement.pool, now).readyServers;
+    const ownReady = this.#records.get(announcement.name)?.share ? 1 : 0;
+    return ready - ownReady >= size * MIN_READY_FRACTION;
   }
 
   /**
@@ -285,18 +285,18 @@
    * the lapses would empty every router's list although the servers are well.
    * Routers find by themselves which of them are really gone.
    */
-  #suspendsExpiry(lapsed: readonly ServerRecord[], now: number): boolean {
+  #isExpirySuspended(lapsed: readonly ServerRecord[], now: number): boolean {
     const failed = lapsed.filter(record => !isLeaving(record)).length;
     const total = this.#records.size;
-    const many =
+    const isMassLapse =
       failed > total * MASS_LAPSE_FRACTION && total >= MASS_LAPSE_MIN_SERVERS;
-    if (!many) {
+    if (!isMassLapse) {
       this.#massLapseSince = undefined;
       return false;
     }
     this.#massLapseSince ??= now;
-    const waitMs = this.#settings.leaseMs * MASS_LAPSE_WAIT_LEASES;
-    return now - this.#massLapseSince < waitMs;
+    const suspensionMs = this.#settings.leaseMs * MASS_LAPSE_SUSPENSION_LEASES;
+    return now - this.#massLapseSince < suspensionMs;
   }
 
   #remove(record: ServerRecord, now: number): void {
@@ -319,8 +319,8 @@
     this.#means.add(record.share);
   }
 
-  #resizePool(pool: string, by: number): void {
-    const size = (this.#poolSizes.get(pool) ?? 0) + by;
+  #resizePool(pool: string, change: number): void {
+    const size = (this.#poolSizes.get(pool) ?? 0) + change;
     if (size > 0) {
       this.#poolSizes.set(pool, size);
     } else {
@@ -335,11 +335,14 @@
 }
 
 /** A restart, or a ready server that says it isn't ready after all. */
-function isFlap(known: ServerRecord | undefined, said: Announcement): boolean {
-  if (!known?.reported) return known === undefined;
-  if (known.server.incarnation !== said.incarnation) return true;
+function isFlap(
+  known: ServerRecord | undefined,
+  announcement: Announcement,
+): boolean {
+  if (!known?.hasAnnounced) return known === undefined;
+  if (known.server.incarnation !== announcement.incarnation) return true;
   const wasReady = known.announcedState === SERVER_STATE.READY;
-  return wasReady && said.state === SERVER_STATE.JOINING;
+  return wasReady && announcement.state === SERVER_STATE.JOINING;
 }
 
 function decideState(
@@ -353,25 +356,25 @@
 }
 
 function toBackendServer(
-  said: Announcement,
+  announcement: Announcement,
   state: ServerState,
   slot: number,
 ): BackendServer {
   return {
-    name: said.name,
-    incarnation: said.incarnation,
-    pool: said.pool,
-    labels: said.labels,
-    availabilityZone: said.availabilityZone,
-    region: said.region,
-    address: said.address,
+    name: announcement.name,
+    incarnation: announcement.incarnation,
+    pool: announcement.pool,
+    labels: announcement.labels,
+    availabilityZone: announcement.availabilityZone,
+    region: announcement.region,
+    address: announcement.address,
     state,
-    capacityTokens: said.capacityTokens,
-    models: said.models,
+    capacityTokens: announcement.capacityTokens,
+    models: announcement.models,
     slot,
-    ...(said.directSlots && {
-      directSlots: said.directSlots,
-      place: said.place ?? '',
+    ...(announcement.directSlots && {
+      directSlots: announcement.directSlots,
+      place: announcement.place ?? '',
     }),
   };
 }
--- a/packages/lovagepond-control/src/membership_slots.ts
+++ b/packages/lovagepond-control/src/membership_slots.ts
@@ -14,14 +14,14 @@
  * would read the newcomer's load as that of the server that left.
  */
 export class SlotTable {
-  readonly #restMs: number;
+  readonly #reuseDelayMs: number;
   readonly #slots = new Map<string, number>();
   #freed: FreedSlot[] = [];
   #length = 0;
 
-  /** @param restMs time a freed slot rests */
-  constructor(restMs: number) {
-    this.#restMs = restMs;
+  /** @param reuseDelayMs time a freed slot rests */
+  constructor(reuseDelayMs: number) {
+    this.#reuseDelayMs = reuseDelayMs;
   }
 
   /** Number of slots, and so of bytes in the digest. */
@@ -37,7 +37,7 @@
   assign(name: string, now: number): number {
     const known = this.#slots.get(name);
     if (known !== undefined) return known;
-    const slot = this.#takeRested(now) ?? this.#length;
+    const slot = this.#claimReusable(now) ?? this.#length;
     this.#length = Math.max(this.#length, slot + 1);
     this.#slots.set(name, slot);
     return slot;
@@ -72,10 +72,10 @@
   }
 
   /** Lowest first, so that the digest stays short. */
-  #takeRested(now: number): number | undefined {
+  #claimReusable(now: number): number | undefined {
     let best: FreedSlot | undefined;
     for (const freed of this.#freed) {
-      if (now - freed.at < this.#restMs) continue;
+      if (now - freed.at < this.#reuseDelayMs) continue;
       if (!best || freed.slot < best.slot) best = freed;
     }
     if (!best) return undefined;
--- a/packages/lovagepond-control/src/operation_results.ts
+++ b/packages/lovagepond-control/src/operation_results.ts
@@ -2,7 +2,7 @@
  * Results of operators' operations by their ids, so that a resend after a lost
  * answer gets the first answer, also from the next leader.
  */
-import {type OperationHead} from './control_commands.js';
+import {type OperationIdentity} from './control_commands.js';
 
 /** What is kept of an operation's answer; the rest follows from the state. */
 export type OperationResult =
@@ -17,37 +17,43 @@
   /** The id belongs to another operation. */
   | {readonly kind: 'operationReuse'};
 
-interface KeptResult {
+interface StoredResult {
   readonly digest: string;
   readonly result: OperationResult;
 }
 
 /** Serialized form. */
-export type OperationSnapshot = readonly (readonly [string, KeptResult])[];
+export type OperationSnapshot = readonly (readonly [string, StoredResult])[];
 
 /** Eight days of the operations that the largest user plans for. */
-const KEPT_RESULTS = 10_000;
+const MAX_RESULTS = 10_000;
 
 /** Keeps the results of the latest operations. Part of the replicated state. */
 export class OperationResults {
-  readonly #results = new Map<string, KeptResult>();
+  readonly #results = new Map<string, StoredResult>();
 
   /**
    * Runs an operation unless its id has run already.
    *
-   * @param head the operation's id and digest
+   * @param operation the operation's id and digest
    * @param run makes the result of a first run
    * @returns the result of this or of the first run
    */
-  runOnce(head: OperationHead, run: () => OperationResult): OperationResult {
-    const former = this.#results.get(head.operationId);
-    if (former) {
-      const same = former.digest === head.digest;
-      return same ? former.result : {kind: 'operationReuse'};
+  runOnce(
+    operation: OperationIdentity,
+    run: () => OperationResult,
+  ): OperationResult {
+    const previous = this.#results.get(operation.operationId);
+    if (previous) {
+      const isSameOperation = previous.digest === operation.digest;
+      return isSameOperation ? previous.result : {kind: 'operationReuse'};
     }
     const result = run();
-    this.#results.set(head.operationId, {digest: head.digest, result});
-    this.#dropOldest();
+    this.#results.set(operation.operationId, {
+      digest: operation.digest,
+      result,
+    });
+    this.#evictOldest();
     return result;
   }
 
@@ -70,8 +76,8 @@
     for (const [id, kept] of snapshot) this.#results.set(id, kept);
   }
 
-  #dropOldest(): void {
-    if (this.#results.size <= KEPT_RESULTS) return;
+  #evictOldest(): void {
+    if (this.#results.size <= MAX_RESULTS) return;
     for (const id of this.#results.keys()) {
       this.#results.delete(id);
       return;
--- a/packages/lovagepond-control/src/order_state.ts
+++ b/packages/lovagepond-control/src/order_state.ts
@@ -12,13 +12,13 @@
 const TOKENS_PER_TERM = 2 ** 20;
 
 /** Ended orders that are kept with their outcome. */
-const KEPT_ENDED = 2_000;
+const MAX_ENDED_ORDERS = 2_000;
 
 /** Orders that may wait; one more is refused. */
-const MAX_WAITING = 10_000;
+const MAX_WAITING_ORDERS = 10_000;
 
 /** Backend servers whose fencing floor is kept by itself. */
-const KEPT_FLOORS = 10_000;
+const MAX_FLOORS = 10_000;
 
 /** Answer to an order. */
 export type IssueResult =
@@ -43,7 +43,7 @@
   /** Highest token of each server that has an outcome. */
   readonly #floors = new Map<string, number>();
   /** Stands for servers whose own floor was dropped; it only errs upwards. */
-  #oldFloor = 0;
+  #sharedFloor = 0;
 
   /**
    * Issues an order. Its token is above every earlier one: a later term's
@@ -54,13 +54,13 @@
    * @returns the token, also of the first order
    */
   issue(order: OrderRequest, term: number): IssueResult {
-    const former = this.find(order.orderId);
-    if (former) {
-      return isSameOrder(former, order)
-        ? {kind: 'accepted', fencingToken: former.fencingToken}
+    const previous = this.find(order.orderId);
+    if (previous) {
+      return isSameOrder(previous, order)
+        ? {kind: 'accepted', fencingToken: previous.fencingToken}
         : {kind: 'operationReuse'};
     }
-    if (this.#waiting.size >= MAX_WAITING) return {kind: 'tooMany'};
+    if (this.#waiting.size >= MAX_WAITING_ORDERS) return {kind: 'tooMany'};
     this.#lastToken = Math.max(this.#lastToken + 1, term * TOKENS_PER_TERM);
     const fencingToken = this.#lastToken;
     this.#waiting.set(order.orderId, {...order, fencingToken, message: ''});
@@ -82,7 +82,7 @@
     this.#waiting.delete(orderId);
     this.#ended.set(orderId, {...order, outcome, message});
     this.#raiseFloor(order, outcome);
-    this.#dropOldest();
+    this.#evictOldest();
     return true;
   }
 
@@ -104,7 +104,7 @@
    * @returns no order at or below this token may still be passed to it
    */
   floorOf(server: string): number {
-    return this.#floors.get(server) ?? this.#oldFloor;
+    return this.#floors.get(server) ?? this.#sharedFloor;
   }
 
   /** @returns number of orders without and with an outcome */
@@ -123,7 +123,7 @@
   snapshot(): OrderSnapshot {
     return {
       lastToken: this.#lastToken,
-      oldFloor: this.#oldFloor,
+      oldFloor: this.#sharedFloor,
       orders: [...this.#ended.values(), ...this.#waiting.values()],
       floors: [...this.#floors],
     };
@@ -132,7 +132,7 @@
   /** @param snapshot what {@link snapshot} gave */
   restore(snapshot: OrderSnapshot): void {
     this.#lastToken = snapshot.lastToken;
-    this.#oldFloor = snapshot.oldFloor;
+    this.#sharedFloor = snapshot.oldFloor;
     this.#waiting.clear();
     this.#ended.clear();
     this.#floors.clear();
@@ -154,24 +154,24 @@
     this.#floors.set(backendServer, floor);
   }
 
-  #dropOldest(): void {
-    if (this.#ended.size > KEPT_ENDED) {
+  #evictOldest(): void {
+    if (this.#ended.size > MAX_ENDED_ORDERS) {
       const [oldest] = this.#ended.keys();
       this.#ended.delete(oldest as string);
     }
-    if (this.#floors.size > KEPT_FLOORS) {
+    if (this.#floors.size > MAX_FLOORS) {
       const [oldest] = this.#floors.entries();
       const [server, token] = oldest as [string, number];
       this.#floors.delete(server);
-      this.#oldFloor = Math.max(this.#oldFloor, token);
+      this.#sharedFloor = Math.max(this.#sharedFloor, token);
     }
   }
 }
 
-function isSameOrder(former: OrderRequest, order: OrderRequest): boolean {
+function isSameOrder(previous: OrderRequest, order: OrderRequest): boolean {
   return (
-    former.backendServer === order.backendServer &&
-    former.action === order.action &&
-    JSON.stringify(former.arguments) === JSON.stringify(order.arguments)
+    previous.backendServer === order.backendServer &&
+    previous.action === order.action &&
+    JSON.stringify(previous.arguments) === JSON.stringify(order.arguments)
   );
 }
--- a/packages/lovagepond-control/src/replicated_time.ts
+++ b/packages/lovagepond-control/src/replicated_time.ts
@@ -11,7 +11,7 @@
 export class ReplicatedTime {
   #timeMs = 0;
   /** Local monotonic time when `#timeMs` last rose. */
-  #seenAt: number | undefined;
+  #advancedAt: number | undefined;
 
   /** @returns the time of the last applied command */
   get timeMs(): number {
@@ -23,8 +23,8 @@
    * @returns the time to put into a command proposed now
    */
   stamp(now: number): number {
-    this.#seenAt ??= now;
-    return this.#timeMs + Math.max(0, Math.floor(now - this.#seenAt));
+    this.#advancedAt ??= now;
+    return this.#timeMs + Math.max(0, Math.floor(now - this.#advancedAt));
   }
 
   /**
@@ -38,7 +38,7 @@
   advance(timeMs: number, now: number | undefined): number {
     if (timeMs > this.#timeMs) {
       this.#timeMs = timeMs;
-      this.#seenAt = now;
+      this.#advancedAt = now;
     }
     return this.#timeMs;
   }
@@ -46,6 +46,6 @@
   /** @param timeMs the time of a restored snapshot */
   restore(timeMs: number): void {
     this.#timeMs = timeMs;
-    this.#seenAt = undefined;
+    this.#advancedAt = undefined;
   }
 }
--- a/packages/lovagepond-control/src/wanted_states.ts
+++ b/packages/lovagepond-control/src/wanted_states.ts
@@ -10,10 +10,10 @@
 
   /**
    * @param server a backend server, announced or not
-   * @param wanted what is wanted of it from now on
+   * @param wantedState what is wanted of it from now on
    */
-  set(server: string, wanted: WantedState): void {
-    if (wanted === WANTED_STATE.DRAINING) {
+  set(server: string, wantedState: WantedState): void {
+    if (wantedState === WANTED_STATE.DRAINING) {
       this.#draining.add(server);
     } else {
       this.#draining.delete(server);
