--- a/packages/lovagepond-control/src/announce_handler.ts
+++ b/packages/lovagepond-control/src/announce_handler.ts
@@ -1,5 +1,5 @@
 /**
- * Answers announcements of sidecars at the leader.
+ * Handles the announcements of sidecars and routers at the leader.
  */
 import {type Clock} from '@lovagepond/core';
 import {lovagepond} from '@lovagepond/protocol';
@@ -21,13 +21,16 @@
 type WireAnnounce = lovagepond.v1.AnnounceRequest.$Properties;
 type WireAnswer = lovagepond.v1.AnnounceResponse;
 
-/** Role of an announcement that is no backend server's. */
+/** Role of an announcement that a router sends. */
 const ROUTER_ROLE = 'router';
 
-/** Below every token; tells "known, and nothing was ever passed" from 0. */
+/**
+ * Floor of a backend server that has completed no order. It is below every
+ * fencing token, and differs from 0, which means that the floor is unknown.
+ */
 const MIN_FLOOR = 1;
 
-/** What the handler is built from. */
+/** Dependencies of {@link AnnounceHandler}. */
 export interface AnnounceHandlerDependencies {
   readonly clock: Clock;
   readonly machine: ControlStateMachine;
@@ -36,11 +39,11 @@
   readonly delivery: OrderDelivery;
   readonly proposer: Proposer;
   readonly leaseMs: number;
-  /** @returns true once the registry has been taken over in this term */
+  /** @returns true once the registry was initialized for this term */
   readonly hasTakenOver: () => boolean;
 }
 
-/** Handles Announce. */
+/** Handles the Announce call. */
 export class AnnounceHandler {
   readonly #deps: AnnounceHandlerDependencies;
 
@@ -50,14 +53,14 @@
 
   /**
    * @param req the announcement
-   * @returns the answer; not accepted by any other member than the leader
+   * @returns the response; only the leader accepts an announcement
    */
   async handle(req: WireAnnounce): Promise<WireAnswer> {
     if (!this.#canServe()) return this.#refuse();
     if (req.role === ROUTER_ROLE) return this.#answerRouter(req);
     if (!(await this.#registerIncarnation(req))) return this.#refuse();
     const isFloorConfirmed = await this.#confirmFloor(req);
-    // The leadership may have ended while a majority was asked.
+    // Leadership may have been lost during the quorum round trips.
     if (!this.#canServe()) return this.#refuse();
     return this.#accept(req, isFloorConfirmed);
   }
@@ -67,8 +70,8 @@
   }
 
   /**
-   * The ledger must know a new incarnation before the sidecar takes work: only
-   * then are its predecessor's open claims settled.
+   * Registers a new incarnation in the ledger before the sidecar accepts work.
+   * The registration settles the open claims of the previous incarnation.
    */
   async #registerIncarnation(req: WireAnnounce): Promise<boolean> {
     const server = req.backendServer ?? '';
@@ -83,9 +86,11 @@
   }
 
   /**
-   * A restarted sidecar asks with floor 0. It gets the floor from a leader
-   * that a majority confirmed after it asked: a deposed leader would give a
-   * floor below an order that has been passed on since.
+   * Confirms leadership with a quorum when a restarted sidecar requests its
+   * fencing floor, that is, announces floor 0. A deposed leader could return a
+   * floor below the token of an order that was delivered in the meantime.
+   *
+   * @returns true when the sidecar's floor is known or may be sent
    */
   async #confirmFloor(req: WireAnnounce): Promise<boolean> {
     if ((req.fencingFloor ?? 0) > 0) return true;
--- a/packages/lovagepond-control/src/configuration_changer.ts
+++ b/packages/lovagepond-control/src/configuration_changer.ts
@@ -1,5 +1,5 @@
 /**
- * Checks operators' changes before they are proposed.
+ * Validates operators' configuration changes before they are proposed.
  */
 import {createHash} from 'node:crypto';
 import {
@@ -24,11 +24,11 @@
 import {type OperationResult} from './operation_results.js';
 import {type Proposer} from './proposer.js';
 
-/** A change as operators may ask for it, restores included. */
+/** A change that an operator requests, or a restore of a revision. */
 export type AnyChange =
   WantedChange | {readonly kind: 'restore'; readonly revision: number};
 
-/** A request for any change. */
+/** A request for a change or a restore. */
 export type AnyChangeRequest = Omit<ChangeRequest, 'change'> & {
   readonly change: AnyChange;
 };
@@ -39,7 +39,7 @@
 
 const OBJECT_PLACE = /^([A-Za-z]+)\[(\d+)\]/;
 
-/** Checks, proposes and answers changes of the configuration. */
+/** Validates and proposes configuration changes, and builds the answers. */
 export class ConfigurationChanger {
   readonly #machine: ControlStateMachine;
   readonly #proposer: Proposer;
@@ -51,10 +51,11 @@
 
   /**
    * @param req the change
-   * @returns the answer; a resend gets the first one
+   * @returns the answer; a retry under the same operation id gets the first one
    */
   async change(req: AnyChangeRequest): Promise<ChangeAnswer> {
-    // A change is checked against its base, so the base must be applied here.
+    // The change is validated against its base revision, so this member must
+    // have applied that revision.
     if (!(await this.#proposer.confirm())) {
       return {kind: 'notLeader', leader: this.#proposer.leaderAddress()};
     }
@@ -67,18 +68,19 @@
 
   #check(req: AnyChangeRequest): CheckResult {
     if (req.operationId === '') {
-      return reject('operationId', 'an operation id is needed');
+      return reject('operationId', 'an operation id is required');
     }
     if (req.change.kind === 'replace') return checkContent(req.change.content);
     const {configuration} = this.#machine;
     const current = configuration.current.read();
     const edit = req.change as ConfigurationEdit;
-    // A conflict anyway: nothing to check the object against.
+    // Applying the change yields a conflict, and this member may not have the
+    // base revision to validate against.
     if (req.baseRevision !== current.revision) return {ok: true, edit};
     const edited = editConfiguration(edit, current.content, revision =>
       configuration.find(revision),
     );
-    if (!edited) return reject('change', 'what it names is not there');
+    if (!edited) return reject('change', 'the target does not exist');
     return checkEdit(edit, edited);
   }
 
@@ -134,7 +136,7 @@
 
 /**
  * @param content any JSON value
- * @returns a digest to tell operations under one id apart
+ * @returns a digest that distinguishes operations under the same id
  */
 export function digestOf(content: unknown): string {
   const text = JSON.stringify(content);
@@ -143,13 +145,13 @@
 
 /**
  * @param result a result that is neither accepted nor a conflict
- * @returns the fault to answer
+ * @returns the fault to report
  */
 export function describeRefusal(
   result: Extract<OperationResult, {kind: 'missing' | 'operationReuse'}>,
 ): ConfigurationFault {
   if (result.kind === 'missing') {
-    return {place: result.place, message: 'is not there'};
+    return {place: result.place, message: 'does not exist'};
   }
   return {place: 'operationId', message: 'belongs to another operation'};
 }
@@ -164,7 +166,7 @@
   return {ok: true, edit: {kind: 'replace', content: check.content}};
 }
 
-/** Checks the whole edited configuration, and fills defaults into the edit. */
+/** Validates the edited configuration, and fills defaults into the edit. */
 function checkEdit(
   edit: ConfigurationEdit,
   edited: ConfigurationContent,
@@ -182,7 +184,7 @@
     : reject(edit.section, 'the object has no name');
 }
 
-/** Adds the object's name to a place such as `selectors[2].pools`. */
+/** Adds the object's name to a fault at, for example, `selectors[2].pools`. */
 function addObjectName(
   fault: ConfigurationFault,
   edited: ConfigurationContent,
--- a/packages/lovagepond-control/src/configuration_documents.ts
+++ b/packages/lovagepond-control/src/configuration_documents.ts
@@ -1,9 +1,10 @@
 /**
- * Whole configurations that the operators' own system numbers.
+ * Complete configurations with versions assigned by the operators' own system.
  *
- * Such a system sends all of a configuration under a rising version, from
- * several places at once, and again after a lost answer. The highest version
- * wins; the replicated state decides, so the order of arrival doesn't matter.
+ * That system submits the complete configuration under an increasing version,
+ * possibly from several clients at once, and retries when an answer is lost.
+ * The replicated state machine keeps the highest version, so the order of
+ * arrival doesn't matter.
  */
 import {checkConfiguration, type ConfigurationFault} from '@lovagepond/core';
 import {type NotDone} from './control_administration.js';
@@ -14,7 +15,7 @@
 
 /** Answer to an install. */
 export type InstallAnswer =
-  /** Committed; `version` is the one in force, which may be a higher one. */
+  /** Committed; `version` is in force, and may be higher than the submitted. */
   | {readonly kind: 'accepted'; readonly version: number}
   | {readonly kind: 'invalid'; readonly faults: readonly ConfigurationFault[]}
   | NotDone;
@@ -27,12 +28,12 @@
     }
   | Extract<NotDone, {kind: 'notLeader'}>;
 
-/** A numbered configuration, translated but not checked yet. */
+/** A versioned configuration, translated but not validated yet. */
 export interface UncheckedDocument extends ConfigurationDocument {
   readonly content: unknown;
 }
 
-/** Installs and reads numbered configurations at one member. */
+/** Installs and reads versioned configurations at one member. */
 export class ConfigurationDocuments {
   readonly #machine: ControlStateMachine;
   readonly #proposer: Proposer;
@@ -44,7 +45,7 @@
 
   /**
    * @param document the configuration with its version
-   * @returns `accepted` once a majority has synced it or a higher one
+   * @returns `accepted` once a majority has synced this or a higher version
    */
   async install(document: UncheckedDocument): Promise<InstallAnswer> {
     const check = checkConfiguration(document.content);
@@ -59,8 +60,10 @@
   }
 
   /**
-   * @returns the newest document, once a majority has confirmed that this
-   *     member holds the newest; an older one must never be read as current
+   * Reads the latest document behind a read barrier, so that an outdated one is
+   * never returned as current.
+   *
+   * @returns the latest document; `notLeader` when the barrier fails
    */
   async read(): Promise<DocumentAnswer> {
     if (!(await this.#proposer.confirm())) {
--- a/packages/lovagepond-control/src/configuration_edit.ts
+++ b/packages/lovagepond-control/src/configuration_edit.ts
@@ -1,5 +1,5 @@
 /**
- * Edits of a configuration, and the differences between two.
+ * Edits of a configuration, and the differences between two configurations.
  */
 import {
   CONFIGURATION_SECTIONS,
@@ -10,7 +10,7 @@
 } from '@lovagepond/core';
 import {type ConfigurationDifference} from './control_administration.js';
 
-/** A change in the form that stands in the log: checked, defaults filled in. */
+/** A change as logged: validated, with defaults filled in. */
 export type ConfigurationEdit =
   | {readonly kind: 'replace'; readonly content: ConfigurationContent}
   | {
@@ -25,7 +25,7 @@
     }
   | {readonly kind: 'restore'; readonly revision: number};
 
-/** Finds the content of a kept revision. */
+/** Finds the content of a retained revision. */
 export type FindRevision = (
   revision: number,
 ) => ConfigurationContent | undefined;
@@ -69,9 +69,10 @@
 
 /**
  * @param edit the edit
- * @param base the content it starts from
- * @param findRevision finds kept contents, for a restore
- * @returns the edited content, or undefined when what it names isn't there
+ * @param base the content to edit
+ * @param findRevision finds retained contents, for a restore
+ * @returns the edited content, or undefined when the object to delete or the
+ *     revision to restore doesn't exist
  */
 export function editConfiguration(
   edit: ConfigurationEdit,
--- a/packages/lovagepond-control/src/configuration_state.ts
+++ b/packages/lovagepond-control/src/configuration_state.ts
@@ -24,7 +24,7 @@
 } from './configuration_edit.js';
 import {type OperationResult} from './operation_results.js';
 
-/** History entries that are listed; fewer keep their content. */
+/** Limit of history entries; only the latest ones retain their content. */
 const MAX_HISTORY_ENTRIES = 1_000;
 
 interface RevisionRecord {
@@ -42,7 +42,7 @@
   readonly document?: ConfigurationDocument;
 }
 
-/** The newest configuration as the operators' own system sent it. */
+/** The latest configuration as the operators' own system sent it. */
 export interface ConfigurationDocument {
   readonly version: number;
   readonly source: string;
@@ -50,25 +50,26 @@
 
 /** Revisions of the configuration. Part of the replicated state. */
 export class ConfigurationState {
-  /** The configuration in force; listeners hear each accepted change. */
+  /** The configuration in force; listeners are called at each change. */
   readonly current = new Published<Configuration>({...EMPTY_CONFIGURATION});
   readonly #readHistoryLimit: () => number;
   #history: RevisionRecord[] = [];
   readonly #contents = new Map<number, ConfigurationContent>();
   #document: ConfigurationDocument | undefined;
 
-  /** @param readHistoryLimit reads how many revisions keep their content */
+  /** @param readHistoryLimit reads how many revisions retain their content */
   constructor(readHistoryLimit: () => number) {
     this.#readHistoryLimit = readHistoryLimit;
   }
 
   /**
-   * Applies a change. Of changes that race under one base revision the first
-   * in the log wins; the others find the base no longer current.
+   * Applies a change under optimistic concurrency control. Of concurrent
+   * changes with the same base revision, the first in the log is accepted and
+   * the others result in a conflict.
    *
    * @param payload the change
    * @param stamp the proposer's stamp
-   * @returns the result to keep under the operation's id
+   * @returns the result to store under the operation's id
    */
   apply(payload: ChangePayload, stamp: CommandStamp): OperationResult {
     const current = this.current.read();
@@ -84,13 +85,13 @@
   }
 
   /**
-   * Puts a whole configuration in force by the number that the operators' own
-   * system gave it. The highest number wins, whatever order they arrive in: a
-   * resend and an overtaken change leave the state as it is.
+   * Installs a complete configuration under a version that the operators' own
+   * system assigned. The highest version wins in any order of arrival: a
+   * retried or outdated install changes nothing.
    *
-   * @param payload the configuration, checked by the proposer
+   * @param payload the configuration, validated by the proposer
    * @param stamp the proposer's stamp
-   * @returns the number in force after it
+   * @returns the version in force afterwards
    */
   install(payload: InstallPayload, stamp: CommandStamp): number {
     const {version, content, source} = payload;
@@ -102,14 +103,14 @@
     return version;
   }
 
-  /** The newest document of the operators' own system; undefined before one. */
+  /** The latest document of the operators' own system, if any. */
   get document(): ConfigurationDocument | undefined {
     return this.#document;
   }
 
   /**
    * @param edit an edit of the current revision
-   * @returns the content it makes, or undefined when its target is missing
+   * @returns the edited content, or undefined when the target doesn't exist
    */
   edit(edit: ConfigurationEdit): ConfigurationContent | undefined {
     const {content} = this.current.read();
@@ -118,7 +119,7 @@
 
   /**
    * @param revision any revision
-   * @returns its content while it is kept
+   * @returns its content, while it is retained
    */
   find(revision: number): ConfigurationContent | undefined {
     if (revision === 0) return EMPTY_CONFIGURATION.content;
@@ -128,7 +129,7 @@
   /**
    * @param from the older revision
    * @param to the newer revision
-   * @returns their differences; empty when either is no longer kept
+   * @returns their differences; empty when either is no longer retained
    */
   differences(from: number, to: number): ConfigurationDifference[] {
     const before = this.find(from);
@@ -159,7 +160,7 @@
     };
   }
 
-  /** @param snapshot what {@link snapshot} gave */
+  /** @param snapshot the result of {@link snapshot} */
   restore(snapshot: ConfigurationSnapshot): void {
     this.#history = [...snapshot.history];
     this.#document = snapshot.document;
@@ -214,7 +215,7 @@
 
 /**
  * @param edit an edit
- * @returns the place it names, for a message
+ * @returns the place of its target, for a message
  */
 function describeTarget(edit: ConfigurationEdit): string {
   return TARGETS[edit.kind](edit as never);
--- a/packages/lovagepond-control/src/confirmation_rounds.ts
+++ b/packages/lovagepond-control/src/confirmation_rounds.ts
@@ -1,15 +1,18 @@
 /**
- * Confirms subscriptions by read barriers, many by one barrier.
+ * Confirms subscriptions by read barriers, each of which covers many.
  */
 import {type SubscriptionFeed} from './subscription_feed.js';
 
-/** Resolves the revision in force at a barrier that began with the call. */
+/**
+ * Starts a read barrier and resolves with the revision that it confirms, or
+ * with undefined when it fails.
+ */
 export type ConfirmRevision = () => Promise<number | undefined>;
 
 /**
- * Collects subscriptions that wait for a confirmation. A barrier confirms only
- * those that were there before it began: one that began earlier may have been
- * answered by a leader that a partition has cut off since.
+ * Collects the feeds that wait for a confirmation. A barrier confirms only the
+ * feeds added before it began. For a later feed it proves nothing: a partition
+ * may have cut off the leader that answered it.
  */
 export class ConfirmationRounds {
   readonly #confirmRevision: ConfirmRevision;
@@ -20,7 +23,7 @@
     this.#confirmRevision = confirmRevision;
   }
 
-  /** @param feed a feed that waits from now on */
+  /** @param feed a feed to confirm */
   add(feed: SubscriptionFeed): void {
     this.#waiting.add(feed);
   }
@@ -31,8 +34,8 @@
   }
 
   /**
-   * Starts a round when feeds wait and none runs; call it again later, as a
-   * failed round leaves its feeds waiting.
+   * Starts a round when feeds wait and no round is running. The feeds of a
+   * failed round keep waiting, so the caller repeats this call.
    *
    * @returns true when feeds were confirmed
    */
--- a/packages/lovagepond-control/src/context_inventory.ts
+++ b/packages/lovagepond-control/src/context_inventory.ts
@@ -1,49 +1,52 @@
 /**
- * Asks engines which parts of prompts they hold, when nobody remembers.
+ * Queries engines for the parts of prompts in their caches.
  *
- * After a stop of all processes the engines still hold what they read, and the
- * routers know nothing of it. They would have it read a second time elsewhere,
- * and callers' first tokens would wait for that.
+ * After a restart of all other processes the engines still hold these parts,
+ * but no router has a record of them. Without the query, routers would send
+ * prompts to other engines, which process them again and so delay the first
+ * tokens.
  */
 import {type Logger} from '@lovagepond/core';
 import {type ReadingReport} from './reading_board.js';
 
 /**
- * Reads from a backend server which parts of prompts it holds.
+ * Reads the parts of prompts that a backend server holds.
  *
  * @param address `host:port` of the server
- * @returns ids of the parts; rejects when the server doesn't say
+ * @returns ids of the parts; rejects when the server doesn't return them
  */
 export type HeldContextsReader = (
   address: string,
 ) => Promise<readonly string[]>;
 
-/** A server to ask. */
+/** A server to query. */
 export interface InventoryTarget {
   readonly name: string;
   readonly address: string;
 }
 
-/** What an inventory is made with. */
+/** Dependencies of {@link collectHeldContexts}. */
 export interface InventoryDependencies {
   readonly readHeldContexts: HeldContextsReader;
   readonly log: Logger;
-  /** Called with what each server holds, as it answers. */
+  /** Called with the contexts of each server, as the answers arrive. */
   readonly onReport: (report: ReadingReport) => void;
 }
 
 /**
- * Servers asked at once. What one holds is hundreds of ids, and goes to every
- * gateway: with eighty servers at once it filled the gateways' links, and the leader
- * was busy with it, while gateways waited for its word to serve anyone.
+ * Limit of concurrent queries. A server returns hundreds of ids, and the leader
+ * forwards them to every gateway. With 80 servers at once this saturates the
+ * gateways' links and keeps the leader busy while gateways wait for the leader
+ * before they can serve requests.
  */
 const MAX_CONCURRENT_QUERIES = 8;
 
 /**
- * Asks a few servers at a time: an answer takes a server some milliseconds.
+ * Queries the servers, a few at a time. This costs little time, as each server
+ * answers within some milliseconds.
  *
- * @param servers whom to ask
- * @param dependencies how, and who hears the answers
+ * @param servers the servers to query
+ * @param dependencies the reader, the log and the callback for the answers
  */
 export async function collectHeldContexts(
   servers: readonly InventoryTarget[],
@@ -68,13 +71,14 @@
     const ids = await readHeldContexts(address);
     log.info('held contexts told', {server: name, parts: ids.length});
     if (ids.length === 0) return;
-    // One reading for all parts: with one for each, a dozen engines' five
-    // thousand kept a new leader busy for 0.3 s, and it lost its group.
+    // All parts go into one reading. One reading for each part, 5,000 in all
+    // from a dozen engines, would keep a new leader busy for 0.3 s and cost it
+    // the leadership.
     const prefix = ids.map(id => `/${id}`).join('');
     const readings = [{backendServer: name, prefix, tokens: 0}];
     onReport({node: '', readings, running: []});
   } catch (err) {
     const reason = err instanceof Error ? err.message : String(err);
-    log.warn('held contexts not told', {server: name, reason});
+    log.warn('failed to read held contexts', {server: name, reason});
   }
 }
--- a/packages/lovagepond-control/src/convergence_table.ts
+++ b/packages/lovagepond-control/src/convergence_table.ts
@@ -1,9 +1,9 @@
 /**
- * Which revision each router and sidecar last said it holds.
+ * The configuration revision that each router and sidecar last reported.
  */
 import {type ConvergenceView} from './control_administration.js';
 
-/** A node that is silent for this long is dropped from the table. */
+/** A node that sends no report for this long is removed from the table. */
 const REPORT_RETENTION_MS = 10 * 60_000;
 
 interface Report {
@@ -12,21 +12,25 @@
   readonly at: number;
 }
 
-/** Soft state of one member. */
+/** Latest reports of all nodes. Soft state of one member. */
 export class ConvergenceTable {
   readonly #reports = new Map<string, Report>();
 
   /**
    * @param node the node's name
    * @param role `router` or `sidecar`
-   * @param revision the revision it holds
+   * @param revision the revision that the node holds
    * @param now monotonic milliseconds
    */
   report(node: string, role: string, revision: number, now: number): void {
     this.#reports.set(node, {role, revision, at: now});
   }
 
-  /** @param now monotonic milliseconds */
+  /**
+   * Removes expired reports.
+   *
+   * @param now monotonic milliseconds
+   */
   sweep(now: number): void {
     for (const [node, report] of this.#reports) {
       if (now - report.at > REPORT_RETENTION_MS) this.#reports.delete(node);
@@ -35,7 +39,7 @@
 
   /**
    * @param now monotonic milliseconds
-   * @returns every node, the one furthest behind first
+   * @returns every node, sorted by revision, lowest first
    */
   list(now: number): ConvergenceView[] {
     return [...this.#reports]
--- a/packages/lovagepond-control/src/crash_reports.ts
+++ b/packages/lovagepond-control/src/crash_reports.ts
@@ -1,6 +1,6 @@
 /**
- * Takes routers' reports of crashed servers at the leader, and tells every
- * router which requests the crashes are put down to.
+ * Handles routers' reports of crashed backend servers at the leader, and
+ * publishes to all routers which requests are suspected of the crashes.
  */
 import {type Clock, type Logger} from '@lovagepond/core';
 import {lovagepond} from '@lovagepond/protocol';
@@ -24,30 +24,30 @@
 type WireReport = lovagepond.v1.CrashReport.$Properties;
 type WireCrash = lovagepond.v1.CrashedServer.$Properties;
 
-/** Bytes of a fingerprint; a report may come from another program. */
+/** Bytes of a fingerprint; others are dropped, as any program may report. */
 const FINGERPRINT_BYTES = 16;
 
-/** What is taken of one report; the router tells the rest with its next one. */
+/** Limits of one report; the router sends the rest with its next report. */
 const MAX_CRASHES = 64;
 const MAX_FINGERPRINTS = 512;
 
-/** What reports are taken with. */
+/** Dependencies of {@link CrashReports}. */
 export interface CrashReportsDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly machine: ControlStateMachine;
   readonly proposer: Proposer;
-  /** Passes a report to the leader. */
+  /** Forwards a report to the leader. */
   readonly forwardToLeader: (
     report: lovagepond.v1.CrashReport,
   ) => Promise<lovagepond.v1.CrashReportResponse>;
-  /** @returns the oldest version of the log's commands that a member knows */
+  /** @returns the lowest log version among the members */
   readonly oldestLogVersion: () => number;
-  /** Sends subscribers what changed. */
+  /** Sends changes to the subscribers. */
   readonly publish: () => void;
 }
 
-/** Handles ReportCrashes, and operators' questions about quarantines. */
+/** Handles ReportCrashes, and operators' requests about quarantines. */
 export class CrashReports {
   readonly #deps: CrashReportsDependencies;
 
@@ -56,14 +56,15 @@
   }
 
   /**
-   * @param report what a router says
-   * @returns whether a majority has it; the router tells it again otherwise
+   * @param report a router's report
+   * @returns whether a majority has stored the report; otherwise the router
+   *     sends it again
    */
   async take(
     report: lovagepond.v1.CrashReport,
   ): Promise<lovagepond.v1.CrashReportResponse> {
     if (!this.#deps.proposer.leads()) return this.#deps.forwardToLeader(report);
-    // A member of an earlier release would end at a command that it doesn't know.
+    // A member of an earlier release would stop at an unknown command.
     if (this.#deps.oldestLogVersion() < LOG_VERSION) {
       return new v1.CrashReportResponse();
     }
@@ -78,7 +79,7 @@
     return new v1.CrashReportResponse({recorded: true});
   }
 
-  /** @returns suspected requests, as this member has applied them */
+  /** @returns the suspected requests in this member's applied state */
   list(): readonly SuspectView[] {
     const {machine, clock} = this.#deps;
     const timeMs = machine.time.stamp(clock.now());
@@ -90,8 +91,8 @@
   }
 
   /**
-   * @param request fingerprint of a request that may run again
-   * @returns the answer; accepted also where nothing was known of it
+   * @param request fingerprint of the request to release from quarantine
+   * @returns the answer; accepted also when the request wasn't suspected
    */
   async lift(request: string): Promise<OperationAnswer> {
     const outcome = await this.#deps.proposer.propose(LIFT_QUARANTINE_COMMAND, {
--- a/packages/lovagepond-control/src/direct_server_table.ts
+++ b/packages/lovagepond-control/src/direct_server_table.ts
@@ -1,22 +1,23 @@
 /**
- * Backend servers without a sidecar, as all members agree on them.
+ * Replicated table of backend servers without a sidecar.
  *
- * Without the table a restart of all members would leave gateways without any
- * server until each has announced itself again, and a leader lost right after
- * it heard that a server leaves would take that knowledge with it.
+ * Because the table is replicated, gateways have backend servers right after a
+ * restart of all members, before the servers announce themselves again, and the
+ * notice that a server is leaving survives the loss of the leader.
  *
- * The table also gives out places. Prompts have their home at a place, and a
- * place moves from a leaving server to its successor as a whole. With homes
- * tied to servers' names, each newcomer would draw a share of all prompts to
- * itself, and have them read again although a server still holds them.
+ * The table also assigns places. A place is a stable hash key to which gateways
+ * assign prompts, and it passes as a whole from a leaving server to its
+ * successor. If prompts were assigned by server name instead, each new server
+ * would attract a share of all prompts and process them again, although another
+ * server still caches them.
  */
 import {type BackendServer} from '@lovagepond/core';
 
 /** A server as it joined. */
 export type JoiningServer = Omit<BackendServer, 'slot' | 'state' | 'place'> & {
   /**
-   * Start of this life, milliseconds since the Unix epoch: tells lives of one
-   * incarnation apart, in which a server may start again.
+   * Start of this instance, milliseconds since the Unix epoch. It distinguishes
+   * instances when a server restarts under the same incarnation.
    */
   readonly startedAtMs?: number | undefined;
 };
@@ -25,9 +26,9 @@
 export interface DirectServerRecord {
   readonly server: JoiningServer;
   readonly leaving: boolean;
-  /** Empty while it stands by without a place. */
+  /** Empty for a standby, which has no place yet, and for a leaving server. */
   readonly place: string;
-  /** Replicated time, milliseconds. */
+  /** Replicated time of the join, milliseconds. */
   readonly joinedAtMs: number;
 }
 
@@ -42,42 +43,44 @@
   readonly records: readonly DirectServerRecord[];
   readonly vacant: readonly VacantPlace[];
   readonly ended: readonly string[];
-  /** Start of the newest life of each incarnation; absent in older ones. */
+  /** Start of each incarnation's latest instance; absent in old snapshots. */
   readonly lives?: readonly (readonly [string, number])[];
 }
 
 /**
- * Servers that join within this time of a pool's first one found the pool
- * together, and each has a place at once; milliseconds.
+ * Servers that join within this time after the first server of their pool get
+ * a place immediately; milliseconds.
  */
 const INITIAL_JOIN_WINDOW_MS = 10_000;
 
 /**
- * A newcomer stands by for so long, as the server that it takes over from
- * leaves within seconds; then it gets a place of its own. Milliseconds.
+ * A server that joins later is a standby for this time, as the server that it
+ * replaces leaves within seconds. After this time it gets a place of its own;
+ * milliseconds.
  */
 const STANDBY_MS = 8_000;
 
 /**
- * After this time without a server the prompts of a place have new homes, and
- * to move them back would have them read once more; milliseconds.
+ * A place that is vacant for this time is discarded. Other servers have taken
+ * over its prompts by then, and moving these back would have them processed
+ * once more; milliseconds.
  */
 const VACANCY_RETENTION_MS = 8_000;
 
-/** Servers that ended, remembered so that none is brought back; bounded. */
+/** Limit of ended servers that are remembered so that none joins again. */
 const MAX_ENDED = 2_048;
 
-/** Incarnations whose newest life is remembered, for the same reason. */
+/** Limit of incarnations whose latest start is remembered likewise. */
 const MAX_STARTS = 2_048;
 
-/** Servers and places. Part of the replicated state. */
+/** Servers and their places. Part of the replicated state. */
 export class DirectServerTable {
   readonly #records = new Map<string, DirectServerRecord>();
   readonly #ended = new Set<string>();
   readonly #starts = new Map<string, number>();
   #vacant: VacantPlace[] = [];
 
-  /** @returns all servers, in the order in which they joined */
+  /** @returns all servers, in the order of joining */
   list(): readonly DirectServerRecord[] {
     return [...this.#records.values()];
   }
@@ -91,19 +94,19 @@
   }
 
   /**
-   * Takes a server in, unless it ended or a later life of it is known: an
-   * announcement that a partition held up may arrive after its sender's end,
-   * and would put the server out that now answers at its address.
+   * Adds a server, unless it has ended or a later instance of it is known. A
+   * partition may delay an announcement until after its sender has ended; if it
+   * were accepted, it would remove the server now running at that address.
    *
-   * @param server a server that is new to the table
+   * @param server a server, which may be in the table already
    * @param timeMs replicated time
    */
   join(server: JoiningServer, timeMs: number): void {
     if (this.#records.has(server.name) || this.#ended.has(server.name)) return;
     if (this.#isFormerInstance(server)) return;
     this.#recordStart(server);
-    // A new server at an address means that the one before has ended, as does
-    // a later life of an incarnation, wherever it is.
+    // A server has ended when another one joins at its address, or when a later
+    // instance of its incarnation joins at any address.
     for (const {server: former} of this.list()) {
       const isSame = former.incarnation === server.incarnation;
       const isAtAddress = former.address === server.address;
@@ -117,8 +120,8 @@
   }
 
   /**
-   * @param incarnation a server's
-   * @returns the name of the life of it that is in the table
+   * @param incarnation a server's incarnation
+   * @returns the name of its instance in the table, if any
    */
   nameOf(incarnation: string): string | undefined {
     const records = this.list();
@@ -127,7 +130,9 @@
   }
 
   /**
-   * @param name a server that says it leaves
+   * Marks a server as leaving and passes its place on.
+   *
+   * @param name the server
    * @param timeMs replicated time
    */
   leave(name: string, timeMs: number): void {
@@ -138,7 +143,9 @@
   }
 
   /**
-   * @param name a server that is gone for good
+   * Removes a server permanently.
+   *
+   * @param name the server
    * @param timeMs replicated time
    */
   end(name: string, timeMs: number): void {
@@ -151,7 +158,9 @@
   }
 
   /**
-   * @param name a server that went silent; it may announce itself again
+   * Removes a server that may join again, such as one whose lease expired.
+   *
+   * @param name the server
    * @param timeMs replicated time
    */
   drop(name: string, timeMs: number): void {
@@ -170,8 +179,8 @@
   }
 
   /**
-   * Gives places to servers that stood by long enough, and closes those that
-   * have been vacant for long.
+   * Assigns places to servers that have been standbys for long enough, and
+   * discards places that have been vacant for too long.
    *
    * @param timeMs replicated time
    */
@@ -193,7 +202,7 @@
     return {records: this.list(), vacant: this.#vacant, ended, lives};
   }
 
-  /** @param snapshot what {@link snapshot} gave; absent in older ones */
+  /** @param snapshot the result of {@link snapshot}; absent in older ones */
   restore(snapshot: DirectServerSnapshot | undefined): void {
     this.#records.clear();
     for (const record of snapshot?.records ?? []) {
@@ -206,7 +215,11 @@
     for (const [name, at] of snapshot?.lives ?? []) this.#starts.set(name, at);
   }
 
-  /** One without a start, of an incarnation that tells it, is another's word. */
+  /**
+   * @returns true when a later instance of the incarnation is known. This holds
+   *     for any announcement without a start once the incarnation has reported
+   *     one: such an announcement can't come from the server itself.
+   */
   #isFormerInstance({incarnation, startedAtMs = 0}: JoiningServer): boolean {
     return startedAtMs < (this.#starts.get(incarnation) ?? 0);
   }
--- a/packages/lovagepond-control/src/direct_servers.ts
+++ b/packages/lovagepond-control/src/direct_servers.ts
@@ -1,8 +1,9 @@
 /**
- * Backend servers that announce themselves, without a sidecar.
+ * Handles backend servers that announce themselves, without a sidecar.
  *
- * Who is there and who leaves is committed to the log before it is answered;
- * that a server is still alive is soft state of the leader, as with sidecars.
+ * Joining and leaving are committed to the log before they are acknowledged.
+ * The renewal of a server's lease is soft state of the leader, as it is for
+ * servers with a sidecar.
  */
 import {type Clock, SERVER_STATE, type ServerState} from '@lovagepond/core';
 import {
@@ -20,53 +21,53 @@
 } from './membership_registry.js';
 import {type Proposed, type Proposer} from './proposer.js';
 
-/** What a server says of itself. */
+/** An announcement by a backend server. */
 export interface DirectAnnouncement {
-  /** The name under which the server answers; it may start again under it. */
+  /** Name of the server, which it may keep when it restarts. */
   readonly incarnation: string;
   /**
-   * Start of this life, milliseconds since the Unix epoch; undefined where
-   * each start has an incarnation of its own.
+   * Start of this instance, milliseconds since the Unix epoch; undefined where
+   * each start has its own incarnation.
    */
   readonly startedAtMs: number | undefined;
   readonly pool: string;
   readonly address: string;
   readonly availabilityZone: string;
   readonly region: string;
-  /** Requests that it processes at once. */
+  /** Requests that the server processes concurrently. */
   readonly slots: number;
   readonly version: string;
   readonly models: readonly string[];
   readonly leaving: boolean;
-  /** Rises with each announcement, so that a late one is recognised. */
+  /** Increases with each announcement, so that late ones are recognized. */
   readonly sequence: number;
 }
 
-/** What became of an announcement. */
+/** Answer to an announcement. */
 export type AnnouncementAnswer =
   | {readonly kind: 'accepted'}
   /** The configuration in force has no such pool. */
   | {readonly kind: 'unknownPool'}
   | {readonly kind: 'notLeader'; readonly leader: string}
-  /** It may have been committed: the server says it again. */
+  /** It may or may not have been committed: the server must resend it. */
   | {readonly kind: 'unknown'};
 
-/** What the class is built from. */
+/** Dependencies of {@link DirectServers}. */
 export interface DirectServersDependencies {
   readonly clock: Clock;
   readonly machine: ControlStateMachine;
   readonly registry: MembershipRegistry;
   readonly proposer: Proposer;
-  /** @returns true once the registry has been taken over in this term */
+  /** @returns true once the registry was initialized for this term */
   readonly hasTakenOver: () => boolean;
-  /** Sends subscribers what changed, at once. */
+  /** Sends changes to the subscribers immediately. */
   readonly publish: () => void;
 }
 
-/** Takes announcements at the leader. */
+/** Handles announcements of servers without a sidecar at the leader. */
 export class DirectServers {
   readonly #deps: DirectServersDependencies;
-  /** Numbers of the last announcements, by server. */
+  /** Sequence number of the last announcement, by server. */
   #sequences = new Map<string, number>();
   #isOpeningPlaces = false;
 
@@ -74,14 +75,14 @@
     this.#deps = dependencies;
   }
 
-  /** @returns the servers of the table, for a leader that takes over */
+  /** @returns the servers in the replicated table, for a new leader */
   replicatedServers(): readonly Announcement[] {
     return this.#deps.machine.directServers.list().map(toAnnouncement);
   }
 
   /**
    * @param announcement the announcement
-   * @returns the answer; not accepted by any other member than the leader
+   * @returns the answer; only the leader accepts an announcement
    */
   async announce(
     announcement: DirectAnnouncement,
@@ -89,7 +90,7 @@
     if (!this.#canServe()) return this.#refuse();
     if (!this.#isKnownPool(announcement.pool)) return {kind: 'unknownPool'};
     const name = instanceName(announcement);
-    // A late announcement must not bring back an earlier state.
+    // A late announcement must not restore an earlier state.
     const isLate = announcement.sequence <= (this.#sequences.get(name) ?? -1);
     if (isLate && !announcement.leaving) return {kind: 'accepted'};
     this.#sequences.set(name, announcement.sequence);
@@ -101,10 +102,11 @@
   }
 
   /**
-   * A server says that it is gone, or leaves without having said so before.
+   * Removes a server that reports its end, whether or not it has announced
+   * before that it is leaving.
    *
-   * @param instance the server; without a start the life that is known
-   * @returns the answer; not accepted by any other member than the leader
+   * @param instance the server; without a start, its instance in the table
+   * @returns the answer; only the leader accepts the report
    */
   async remove(instance: ServerInstance): Promise<AnnouncementAnswer> {
     if (!this.#canServe()) return this.#refuse();
@@ -122,9 +124,9 @@
   }
 
   /**
-   * Follows what the registry found, and opens places that are due.
+   * Drops servers whose lease expired, and opens places that are due.
    *
-   * @param lapsed servers that went silent
+   * @param lapsed names of servers whose lease expired, with or without sidecar
    * @param now monotonic milliseconds
    */
   async tick(lapsed: readonly string[], now: number): Promise<void> {
@@ -151,8 +153,9 @@
   }
 
   /**
-   * What names a pool that nobody configured may come from another writer, and
-   * would put the server out that answers at its address.
+   * Checks the announced pool. An announcement for a pool that isn't configured
+   * may come from a foreign sender, and accepting it would remove the server
+   * running at that address. Without configured pools any pool is accepted.
    */
   #isKnownPool(pool: string): boolean {
     const {content} = this.#deps.machine.configuration.current.read();
@@ -173,7 +176,7 @@
     return outcome.kind === 'unknown' ? {kind: 'unknown'} : this.#refuse();
   }
 
-  /** Proposes what the table lacks; most announcements only renew. */
+  /** Proposes changes to the table; most announcements need none. */
   async #commit(announcement: DirectAnnouncement): Promise<Proposed<unknown>> {
     const {machine, proposer} = this.#deps;
     const name = instanceName(announcement);
@@ -193,7 +196,7 @@
   #renew(name: string): void {
     const {registry, machine, clock} = this.#deps;
     const record = machine.directServers.get(name);
-    // It ended while its announcement was on the way.
+    // The server ended while its announcement was being processed.
     if (!record) return;
     const wanted = machine.wanted.get(name);
     const isNew = !registry.has(name);
@@ -201,13 +204,17 @@
     if (isNew || record.leaving) this.#publishTable();
   }
 
-  /** A change of one server may have given or taken others' places. */
+  /**
+   * Copies the whole table to the registry, as a change to one server may have
+   * changed the places of others.
+   */
   #publishTable(): void {
     const {machine, registry, publish, clock} = this.#deps;
     const table = machine.directServers;
     for (const record of table.list()) {
       const {name} = record.server;
-      // Otherwise the registry decides: it may hold a server that flaps.
+      // The registry decides the other states: it may hold back a flapping
+      // server.
       const leaving = record.leaving && {state: SERVER_STATE.DRAINING};
       registry.update(name, {place: record.place, ...leaving});
     }
@@ -220,15 +227,16 @@
   }
 }
 
-/** One life of a server. */
+/** One instance of a server: a single run of its process. */
 export type ServerInstance = Pick<
   DirectAnnouncement,
   'incarnation' | 'startedAtMs'
 >;
 
 /**
- * Each life is a server of its own everywhere: what is known of the one before,
- * such as its warm prompts, its load and its pauses, ends with its name.
+ * Each instance has its own name and so counts as a separate server everywhere.
+ * State of the previous instance, such as its cached prompts, load and pauses,
+ * isn't carried over.
  */
 function instanceName({incarnation, startedAtMs}: ServerInstance): string {
   return startedAtMs === undefined
