--- a/packages/lovagepond-control/src/control_commands.ts
+++ b/packages/lovagepond-control/src/control_commands.ts
@@ -1,6 +1,6 @@
 /**
  * The commands of control's replicated log: typed constants, their payloads,
- * and their coding as versioned JSON.
+ * and their encoding as versioned JSON.
  */
 import {
   type Command,
@@ -19,34 +19,34 @@
 import {type JoiningServer} from './direct_server_table.js';
 import {type LedgerLimits} from './ledger_entries.js';
 
-/** Version of the coding; a member stops at one it doesn't know. */
+/** Version of the encoding; a member stops at a version it can't decode. */
 const COMMAND_VERSION = 1;
 
 /**
  * Version of the set of commands. A leader proposes a command that this version
- * has brought only while no member that follows it is of an earlier one.
+ * added only while all of its followers have at least this version.
  */
 export const LOG_VERSION = 1;
 
-/** Names an operator's operation and what it asks for. */
+/** Identifies an operator's operation and its content. */
 export interface OperationIdentity {
   readonly operationId: string;
-  /** Digest of the operation: another one under the same id is refused. */
+  /** Digest of the operation; an id can't be reused with another digest. */
   readonly digest: string;
 }
 
 /** Changes the configuration when its base revision is the current one. */
 export interface ChangePayload extends OperationIdentity {
   readonly baseRevision: number;
-  /** Checked by the proposer as a change of the base revision. */
+  /** Validated by the proposer against the base revision. */
   readonly edit: ConfigurationEdit;
 }
 
-/** Puts a whole configuration in force when its version is the highest. */
+/** Installs a complete configuration when its version is the highest. */
 export interface InstallPayload {
   readonly version: number;
   readonly content: ConfigurationContent;
-  /** What the operators sent, to be read back as it was. */
+  /** The document as the operators sent it, to be read back unchanged. */
   readonly source: string;
 }
 
@@ -61,28 +61,28 @@
   readonly attempt: string;
 }
 
-/** What became of a claimed call. */
+/** Outcome of a claimed call. */
 export type CallOutcome = 'ran' | 'notRun' | 'unknown';
 
-/** Records what became of a claimed call. */
+/** Records the outcome of a claimed call. */
 export interface RecordPayload {
   readonly workspace: string;
   readonly key: string;
   readonly attempt: string;
   readonly outcome: CallOutcome;
   readonly status: number;
-  /** The answer's body, base64; absent when it is too large to keep. */
+  /** The answer's body, base64; absent when it is too large to store. */
   readonly answer?: string;
   readonly contentType: string;
 }
 
-/** Makes an incarnation the only one of its sidecar that may claim. */
+/** Makes an incarnation the only one of its sidecar that may claim calls. */
 export interface IncarnationPayload {
   readonly server: string;
   readonly incarnation: string;
 }
 
-/** Sets what control wants of a backend server. */
+/** Sets the wanted state of a backend server. */
 export interface WantedStatePayload extends OperationIdentity {
   readonly server: string;
   readonly wantedState: WantedState;
@@ -97,73 +97,74 @@
   readonly message: string;
 }
 
-/** Records which requests ran at servers that crashed. */
+/** Records which requests were running on backend servers that crashed. */
 export interface CrashesPayload {
   readonly crashes: readonly {
     readonly server: string;
     readonly requests: readonly string[];
-    /** Milliseconds since the crash when this was proposed. */
+    /** Milliseconds from the crash to the proposal of this command. */
     readonly ageMs: number;
   }[];
-  /** Suspected requests that a server answered whole. */
+  /** Suspected requests that a backend server has since answered completely. */
   readonly answered: readonly string[];
 }
 
 /** Result of {@link CRASHES_COMMAND}. */
 export interface CrashesResult {
-  /** Requests that are quarantined by it. */
+  /** Requests that the command quarantines. */
   readonly quarantined: readonly string[];
 }
 
 /**
- * Limits of the replicated state. They travel in the log: members that read
- * them from their own settings would expire differently and come apart.
+ * Limits of the replicated state. They are replicated through the log: if each
+ * member read them from its own settings, members would expire entries at
+ * different commands and their states would diverge.
  */
 export interface ControlLimits extends LedgerLimits {
-  /** Revisions whose content is kept for a restore. */
+  /** Revisions whose content is retained for a restore. */
   readonly historyLimit: number;
 }
 
 /** Sets the limits that all members share. */
 export const LIMITS_COMMAND = createCommand<ControlLimits>('limits');
-/** Puts a configuration in force when its base revision is the current one. */
+/** Changes the configuration if its base revision is the current one. */
 export const CHANGE_COMMAND = createCommand<ChangePayload>('change');
-/** Puts a whole configuration in force by the operators' own numbers. */
+/** Installs a complete configuration under the operators' own version. */
 export const INSTALL_COMMAND = createCommand<InstallPayload>('install');
-/** Claims a call that may not be repeated, before it is dispatched. */
+/** Claims a non-repeatable call before it is dispatched. */
 export const CLAIM_COMMAND = createCommand<ClaimPayload>('claim');
 /** Records the outcome of a claimed call. */
 export const RECORD_COMMAND = createCommand<RecordPayload>('record');
-/** Registers a sidecar's incarnation, which supersedes those before it. */
+/** Registers a sidecar's incarnation, which supersedes all previous ones. */
 export const INCARNATION_COMMAND =
   createCommand<IncarnationPayload>('incarnation');
-/** Drains a backend server, or lets it serve again. */
+/** Drains a backend server, or returns it to service. */
 export const WANTED_STATE_COMMAND =
   createCommand<WantedStatePayload>('wantedState');
 /** Issues an order with the next fencing token. */
 export const ORDER_COMMAND = createCommand<OrderRequest>('order');
-/** Takes a backend server without a sidecar into the table. */
+/** Adds a backend server without a sidecar to the table. */
 export const JOIN_SERVER_COMMAND = createCommand<{
   readonly server: JoiningServer;
 }>('joinServer');
-/** Says that such a server leaves and gets no new work. */
+/** Marks such a server as leaving, so that it gets no new work. */
 export const LEAVE_SERVER_COMMAND = createCommand<{
   readonly name: string;
 }>('leaveServer');
-/** Takes a server out for good. */
+/** Removes a server permanently. */
 export const END_SERVER_COMMAND = createCommand<{
   readonly name: string;
 }>('endServer');
-/** Takes servers out that went silent. */
+/** Removes servers whose lease expired; they may join again. */
 export const DROP_SERVERS_COMMAND = createCommand<{
   readonly names: readonly string[];
 }>('dropServers');
-/** Gives places to servers that stood by, and closes vacant ones. */
+/** Assigns places to standby servers, and discards places long vacant. */
 export const OPEN_PLACES_COMMAND =
   createCommand<Readonly<Record<string, never>>>('openPlaces');
-/** Records crashes of servers and the requests that they ran. */
+/** Records crashes of backend servers and the requests running on them. */
 export const CRASHES_COMMAND = createCommand<CrashesPayload>('crashes');
-/** Lets a quarantined request run again. */
+/** Lifts the quarantine of a request. */
 export const LIFT_QUARANTINE_COMMAND = createCommand<{
   readonly request: string;
 }>('liftQuarantine');
@@ -171,24 +172,24 @@
 export const ORDER_OUTCOME_COMMAND =
   createCommand<OrderOutcomePayload>('orderOutcome');
 
-/** What the proposer adds to each command, so that all members agree on it. */
+/** Metadata that the proposer adds, so that all members apply the same. */
 export interface CommandStamp {
   /** Replicated time, milliseconds; see {@link ReplicatedTime}. */
   readonly timeMs: number;
-  /** Milliseconds since the Unix epoch; shown to operators, decides nothing. */
+  /** Milliseconds since the Unix epoch; for display, not for decisions. */
   readonly wallTimeMs: number;
   /** Term of the proposing leader. */
   readonly term: number;
 }
 
-/** A command as it stands in the log. */
+/** A decoded command from the log. */
 export interface LoggedCommand<Payload = unknown> {
   readonly name: string;
   readonly stamp: CommandStamp;
   readonly payload: Payload;
 }
 
-/** Coded form: short member names, as most of a claim's bytes are the head. */
+/** Encoded form. Names are short, as they dominate the size of a claim. */
 interface EncodedCommand {
   readonly v: number;
   readonly n: string;
@@ -196,7 +197,7 @@
   readonly p: unknown;
 }
 
-/** A failure among results; no result has this member. */
+/** An encoded failure; no result has this property. */
 interface EncodedFailure {
   readonly commandFailed: string;
 }
@@ -207,7 +208,7 @@
 /**
  * @param command the command constant
  * @param payload its payload
- * @param stamp time and term of the proposer
+ * @param stamp the proposer's stamp
  * @returns the bytes for the log
  */
 export function encodeCommand<Payload>(
@@ -227,12 +228,16 @@
 /**
  * @param bytes a command from the log
  * @returns the command
- * @throws InvariantError for a version this program doesn't know: to skip the
- *     command would make this member's state differ from the others'
+ * @throws InvariantError for an unknown version: if this member skipped the
+ *     command, its state would diverge from that of the others
  */
 export function decodeCommand(bytes: Uint8Array): LoggedCommand {
   const encoded = JSON.parse(unpackText(bytes)) as EncodedCommand;
-  invariant(encoded.v === COMMAND_VERSION, 200, 'unknown command version');
+  invariant(
+    encoded.v === COMMAND_VERSION,
+    200,
+    'log command has an unknown encoding version',
+  );
   const [timeMs, wallTimeMs, term] = encoded.s;
   return {
     name: encoded.n,
@@ -242,8 +247,8 @@
 }
 
 /**
- * @param result what a command's handler returned
- * @returns its bytes for the proposer
+ * @param result the return value of a command's handler
+ * @returns the encoded result for the proposer
  */
 export function encodeResult(result: unknown): Uint8Array {
   return encoder.encode(JSON.stringify(result));
@@ -251,7 +256,7 @@
 
 /**
  * @param message why a command's handler failed
- * @returns its bytes for the proposer
+ * @returns the encoded failure for the proposer
  */
 export function encodeFailure(message: string): Uint8Array {
   const failure: EncodedFailure = {commandFailed: message};
@@ -259,7 +264,7 @@
 }
 
 /**
- * @param bytes what {@link encodeResult} or {@link encodeFailure} made
+ * @param bytes the output of {@link encodeResult} or {@link encodeFailure}
  * @returns the result
  * @throws Error when the command's handler failed
  */
--- a/packages/lovagepond-control/src/control_state_machine.ts
+++ b/packages/lovagepond-control/src/control_state_machine.ts
@@ -1,8 +1,9 @@
 /**
- * Control's replicated state: configuration, ledger, orders, wanted states.
+ * Control's replicated state: configuration, ledger, orders, wanted states,
+ * backend servers without a sidecar, and crash evidence.
  *
- * Deterministic: every member that applied the same commands holds the same
- * state and gave the same results.
+ * The state machine is deterministic: members that applied the same commands
+ * hold the same state and returned the same results.
  */
 import {
   type Command,
@@ -70,10 +71,10 @@
   readonly crashes?: CrashEvidenceSnapshot;
 }
 
-/** Runs one command. */
+/** Applies one command. */
 type Handler = (payload: unknown, stamp: CommandStamp) => unknown;
 
-/** The state machine behind control's log. */
+/** The replicated state machine of control. */
 export class ControlStateMachine implements StateMachine {
   readonly configuration = new ConfigurationState(
     () => this.#limits.historyLimit,
@@ -91,7 +92,8 @@
 
   /**
    * @param limits limits until the log sets others; the same at all members
-   * @param now reads local monotonic time, only to pace replicated time
+   * @param now reads the local monotonic time, which advances replicated time
+   *     between commands and has no other effect
    */
   constructor(limits: ControlLimits, now: () => number) {
     this.#limits = pickLimits(limits);
@@ -110,7 +112,7 @@
   apply(command: Uint8Array, _index: number): Uint8Array {
     const {name, stamp, payload} = decodeCommand(command);
     const handler = this.#handlers.get(name);
-    invariant(handler, 201, `unknown command ${name}`);
+    invariant(handler, 201, `log holds an unknown command ${name}`);
     const timeMs = this.time.advance(stamp.timeMs, this.#now());
     return runHandler(() => handler(payload, {...stamp, timeMs}));
   }
@@ -136,7 +138,11 @@
     const headEnd = bytes.indexOf(NEWLINE);
     const head = bytes.subarray(0, headEnd);
     const snapshot = unpackHead(head);
-    invariant(snapshot.version === SNAPSHOT_VERSION, 202, 'snapshot version');
+    invariant(
+      snapshot.version === SNAPSHOT_VERSION,
+      202,
+      'snapshot has an unknown version',
+    );
     this.time.restore(snapshot.timeMs);
     this.#limits = snapshot.limits;
     this.ledger.restore(snapshot.ledger, bytes.subarray(headEnd + 1));
@@ -241,8 +247,9 @@
 }
 
 /**
- * A command that fails does so at every member and at each replay of the log. Passed
- * on, its error would end them all, one leader after the other, for good.
+ * Returns a handler's error as a result. The command fails in the same way at
+ * every member and at each replay of the log, so a thrown error would terminate
+ * all members, one leader after another, and again after each restart.
  */
 function runHandler(run: () => unknown): Uint8Array {
   try {
@@ -252,21 +259,22 @@
   }
 }
 
-/** The longest head of a snapshot: it holds some configurations. */
+/** Limit of a snapshot's unpacked head, which holds several configurations. */
 const MAX_HEAD_BYTES = 256 * 1024 * 1024;
 
 const PACKED_HEAD_ENCODING = 'base64';
 
 /**
- * A snapshot goes to each host that joins, and its head holds the last
- * configurations whole. Packed bytes may hold a line end, so they are coded.
+ * Compresses the head, which holds complete configurations, as a snapshot is
+ * sent to each host that joins. The compressed bytes may contain a newline,
+ * which ends the head, and are therefore base64-encoded.
  */
 function packHead(head: ControlSnapshot): Buffer {
   const bytes = packText(JSON.stringify(head));
   return Buffer.from(Buffer.from(bytes).toString(PACKED_HEAD_ENCODING));
 }
 
-/** Heads of earlier versions are plain JSON. */
+/** Decodes a head; earlier versions wrote it as plain JSON. */
 function unpackHead(bytes: Uint8Array): ControlSnapshot {
   const text = Buffer.from(bytes).toString();
   const isPlain = text.startsWith('{');
@@ -276,8 +284,8 @@
 }
 
 /**
- * @param settings settings that hold the limits among others
- * @returns the limits alone, in one order, so that they can be compared
+ * @param settings settings that include the limits
+ * @returns only the limits, in a fixed order, so that their JSON is comparable
  */
 export function pickLimits(settings: ControlLimits): ControlLimits {
   const {historyLimit, ledgerLimit, answerCharactersLimit} = settings;
--- a/packages/lovagepond-control/src/deciders.ts
+++ b/packages/lovagepond-control/src/deciders.ts
@@ -1,5 +1,6 @@
 /**
- * The deciding classes of control, without I/O, for proofs in other packages.
+ * The classes with control's decision logic, which do no I/O, for property
+ * tests and simulations in other packages.
  */
 export {
   type AnyChangeRequest,
--- a/packages/lovagepond-control/src/expiry_queue.ts
+++ b/packages/lovagepond-control/src/expiry_queue.ts
@@ -1,11 +1,11 @@
 /**
- * Keys in the order of the times they were put in, which never fall.
+ * A queue of keys ordered by their times, for expiry.
  */
 
-/** Below this length a compaction isn't worth its copy. */
+/** With fewer removed keys, compaction costs more than it saves. */
 const COMPACT_LENGTH = 1_024;
 
-/** A queue of keys with non-decreasing times, in amortized constant time. */
+/** A queue of keys with non-decreasing times; amortized constant time. */
 export class ExpiryQueue {
   #keys: string[] = [];
   #times: number[] = [];
@@ -13,7 +13,7 @@
 
   /**
    * @param key the key
-   * @param timeMs its time, not before any time put in earlier
+   * @param timeMs its time, not earlier than that of any key pushed before
    */
   push(key: string, timeMs: number): void {
     this.#keys.push(key);
@@ -22,7 +22,7 @@
 
   /**
    * @param timeMs a time
-   * @returns the oldest key if its time is at or before `timeMs`, taken out
+   * @returns the oldest key, now removed, if its time is at or before `timeMs`
    */
   takeUntil(timeMs: number): string | undefined {
     const oldest = this.#times[this.#head];
@@ -33,7 +33,7 @@
     return key;
   }
 
-  /** Takes everything out. */
+  /** Removes all keys. */
   clear(): void {
     this.#keys = [];
     this.#times = [];
--- a/packages/lovagepond-control/src/operation_results.ts
+++ b/packages/lovagepond-control/src/operation_results.ts
@@ -1,10 +1,10 @@
 /**
- * Results of operators' operations by their ids, so that a resend after a lost
- * answer gets the first answer, also from the next leader.
+ * Results of operators' operations by id, which make operations idempotent: a
+ * retry after a lost answer gets the first answer, also from a new leader.
  */
 import {type OperationIdentity} from './control_commands.js';
 
-/** What is kept of an operation's answer; the rest follows from the state. */
+/** The stored part of an answer; the rest is derived from the state. */
 export type OperationResult =
   | {readonly kind: 'accepted'; readonly revision: number}
   | {
@@ -12,9 +12,9 @@
       readonly baseRevision: number;
       readonly currentRevision: number;
     }
-  /** What a delete or a restore names is not there. */
+  /** The object to delete or the revision to restore doesn't exist. */
   | {readonly kind: 'missing'; readonly place: string}
-  /** The id belongs to another operation. */
+  /** The id was used for another operation. */
   | {readonly kind: 'operationReuse'};
 
 interface StoredResult {
@@ -25,18 +25,18 @@
 /** Serialized form. */
 export type OperationSnapshot = readonly (readonly [string, StoredResult])[];
 
-/** Eight days of the operations that the largest user plans for. */
+/** Eight days of operations at the rate that the largest user plans for. */
 const MAX_RESULTS = 10_000;
 
-/** Keeps the results of the latest operations. Part of the replicated state. */
+/** Results of the latest operations. Part of the replicated state. */
 export class OperationResults {
   readonly #results = new Map<string, StoredResult>();
 
   /**
-   * Runs an operation unless its id has run already.
+   * Runs an operation unless its id was used before.
    *
    * @param operation the operation's id and digest
-   * @param run makes the result of a first run
+   * @param run runs the operation and returns its result
    * @returns the result of this or of the first run
    */
   runOnce(
@@ -59,7 +59,7 @@
 
   /**
    * @param operationId an operation's id
-   * @returns true when it has run, so that its answer is fixed
+   * @returns true when the id was used, so that its answer is final
    */
   has(operationId: string): boolean {
     return this.#results.has(operationId);
@@ -70,7 +70,7 @@
     return [...this.#results];
   }
 
-  /** @param snapshot what {@link snapshot} gave */
+  /** @param snapshot the result of {@link snapshot} */
   restore(snapshot: OperationSnapshot): void {
     this.#results.clear();
     for (const [id, kept] of snapshot) this.#results.set(id, kept);
--- a/packages/lovagepond-control/src/order_state.ts
+++ b/packages/lovagepond-control/src/order_state.ts
@@ -8,22 +8,22 @@
 } from './control_administration.js';
 import {type OrderOutcomePayload} from './control_commands.js';
 
-/** Tokens of one term: a safe integer holds 2^33 terms of these. */
+/** Fencing tokens of one term; a safe integer can hold 2^33 such terms. */
 const TOKENS_PER_TERM = 2 ** 20;
 
-/** Ended orders that are kept with their outcome. */
+/** Limit of ended orders that are stored with their outcome. */
 const MAX_ENDED_ORDERS = 2_000;
 
-/** Orders that may wait; one more is refused. */
+/** Limit of orders without an outcome; further orders are refused. */
 const MAX_WAITING_ORDERS = 10_000;
 
-/** Backend servers whose fencing floor is kept by itself. */
+/** Limit of backend servers with a fencing floor of their own. */
 const MAX_FLOORS = 10_000;
 
 /** Answer to an order. */
 export type IssueResult =
   | {readonly kind: 'accepted'; readonly fencingToken: number}
-  /** The id belongs to another order. */
+  /** The id was used for another order. */
   | {readonly kind: 'operationReuse'}
   | {readonly kind: 'tooMany'};
 
@@ -40,18 +40,18 @@
   #lastToken = 0;
   readonly #waiting = new Map<string, OrderView>();
   readonly #ended = new Map<string, OrderView>();
-  /** Highest token of each server that has an outcome. */
+  /** Highest token of each server's orders that ended without being fenced. */
   readonly #floors = new Map<string, number>();
-  /** Stands for servers whose own floor was dropped; it only errs upwards. */
+  /** Floor of servers whose own floor was evicted; never below that floor. */
   #sharedFloor = 0;
 
   /**
-   * Issues an order. Its token is above every earlier one: a later term's
-   * tokens start above all of an earlier term's, and within a term they count.
+   * Issues an order. Its fencing token is higher than all previous ones: each
+   * term's tokens start above those of earlier terms, and increase within it.
    *
-   * @param order the order; a second one under its id is the first
+   * @param order the order; a retry under the same id issues no second order
    * @param term term of the proposing leader
-   * @returns the token, also of the first order
+   * @returns the order's token; for a retry, that of the first order
    */
   issue(order: OrderRequest, term: number): IssueResult {
     const previous = this.find(order.orderId);
@@ -68,10 +68,10 @@
   }
 
   /**
-   * Records how an order ended. The first outcome stands.
+   * Records the outcome of an order; later outcomes don't replace the first.
    *
    * @param report the sidecar's report
-   * @returns false when there is no such order with that token
+   * @returns false when no order matches the report's id, token and server
    */
   recordOutcome(report: OrderOutcomePayload): boolean {
     const {orderId, outcome, message} = report;
@@ -88,7 +88,7 @@
 
   /**
    * @param orderId an order's id
-   * @returns the order while it is kept
+   * @returns the order, while it is stored
    */
   find(orderId: string): OrderView | undefined {
     return this.#waiting.get(orderId) ?? this.#ended.get(orderId);
@@ -101,7 +101,8 @@
 
   /**
    * @param server a backend server
-   * @returns no order at or below this token may still be passed to it
+   * @returns the server's fencing floor: no order with this or a lower token
+   *     may be delivered to the server
    */
   floorOf(server: string): number {
     return this.#floors.get(server) ?? this.#sharedFloor;
@@ -129,7 +130,7 @@
     };
   }
 
-  /** @param snapshot what {@link snapshot} gave */
+  /** @param snapshot the result of {@link snapshot} */
   restore(snapshot: OrderSnapshot): void {
     this.#lastToken = snapshot.lastToken;
     this.#sharedFloor = snapshot.oldFloor;
@@ -146,7 +147,7 @@
   }
 
   #raiseFloor(order: OrderView, outcome: OrderOutcomeKind): void {
-    // A fenced order was never passed on: something newer was.
+    // A fenced order wasn't delivered, as a newer one already was.
     if (outcome === 'fenced') return;
     const {backendServer, fencingToken} = order;
     const floor = Math.max(this.#floors.get(backendServer) ?? 0, fencingToken);
--- a/packages/lovagepond-control/src/replicated_time.ts
+++ b/packages/lovagepond-control/src/replicated_time.ts
@@ -1,26 +1,27 @@
 /**
- * Time that travels inside commands, so that all members expire alike.
+ * Time that is replicated inside commands, so that all members expire entries
+ * alike.
  *
- * It counts the monotonic time that leaders saw pass. Wall clocks are not
- * used: a leader whose clock stands a day ahead would expire every key of the
- * ledger at once, and the keys' calls would be granted a second time. A gap
- * without any leader isn't counted, which only lengthens retention.
+ * It accumulates the monotonic time that elapses at the leaders. Wall clocks
+ * aren't used: a leader whose clock is a day ahead would expire every key of
+ * the ledger at once, and its call could be granted a second time. Time without
+ * a leader isn't counted, which only lengthens retention.
  */
 
-/** Reads and advances replicated time. */
+/** The replicated time of one member. */
 export class ReplicatedTime {
   #timeMs = 0;
-  /** Local monotonic time when `#timeMs` last rose. */
+  /** Local monotonic time when `#timeMs` last increased. */
   #advancedAt: number | undefined;
 
-  /** @returns the time of the last applied command */
+  /** @returns the highest time among the applied commands */
   get timeMs(): number {
     return this.#timeMs;
   }
 
   /**
    * @param now local monotonic time
-   * @returns the time to put into a command proposed now
+   * @returns the time with which to stamp a command that is proposed now
    */
   stamp(now: number): number {
     this.#advancedAt ??= now;
@@ -28,12 +29,12 @@
   }
 
   /**
-   * Takes the time of a command that is applied. It never falls: a command
-   * stamped by a former leader changes nothing.
+   * Advances to the time of a command that is being applied. Replicated time
+   * never decreases: a lower time, stamped by a previous leader, is ignored.
    *
    * @param timeMs the command's time
    * @param now local monotonic time; undefined while the log is replayed
-   * @returns the replicated time that the command runs at
+   * @returns the replicated time at which the command is applied
    */
   advance(timeMs: number, now: number | undefined): number {
     if (timeMs > this.#timeMs) {
--- a/packages/lovagepond-control/src/wanted_states.ts
+++ b/packages/lovagepond-control/src/wanted_states.ts
@@ -1,16 +1,16 @@
 /**
- * What operators want of each backend server: to serve or to drain.
+ * The state that operators request of each backend server: ready or draining.
  */
 import {WANTED_STATE, type WantedState} from './control_administration.js';
 
-/** Wanted states. Part of the replicated state. */
+/** Wanted states of backend servers. Part of the replicated state. */
 export class WantedStates {
-  /** Only what differs from `ready`, the state of any unnamed server. */
+  /** Servers to drain; the wanted state of all others is `ready`. */
   readonly #draining = new Set<string>();
 
   /**
    * @param server a backend server, announced or not
-   * @param wantedState what is wanted of it from now on
+   * @param wantedState the new wanted state
    */
   set(server: string, wantedState: WantedState): void {
     if (wantedState === WANTED_STATE.DRAINING) {
@@ -22,7 +22,7 @@
 
   /**
    * @param server a backend server
-   * @returns what is wanted of it
+   * @returns the server's wanted state
    */
   get(server: string): WantedState {
     const draining = this.#draining.has(server);
@@ -34,7 +34,7 @@
     return [...this.#draining];
   }
 
-  /** @param snapshot what {@link snapshot} gave */
+  /** @param snapshot the result of {@link snapshot} */
   restore(snapshot: readonly string[]): void {
     this.#draining.clear();
     for (const server of snapshot) this.#draining.add(server);
