--- a/packages/lovagepond-control/src/ledger_buckets.ts
+++ b/packages/lovagepond-control/src/ledger_buckets.ts
@@ -1,13 +1,15 @@
 /**
- * Encoded entries in buckets, so that a snapshot encodes only what changed.
+ * Buckets of encoded ledger entries, so that a snapshot encodes only changed
+ * buckets.
  *
- * Encoded at once, a million entries would hold up the loop for longer than an
- * election timeout, and the leader would lose its office at each snapshot. An
- * entry changes soon after it is made and then rests until it expires, so
- * nearly all buckets are as they were at the last snapshot.
+ * Encoding a million entries at once would block the event loop for longer than
+ * an election timeout, and the leader would lose its leadership at each
+ * snapshot. An entry changes soon after its creation and then stays the same
+ * until it expires, so nearly all buckets are unchanged since the previous
+ * snapshot.
  */
 
-/** Entries of one bucket, in the order in which they were made. */
+/** Entries of one bucket, in the order of their creation. */
 const BUCKET_SIZE = 1_024;
 
 const NEWLINE = 0x0a;
@@ -17,18 +19,18 @@
   encoded: Uint8Array | undefined;
 }
 
-/** Encodes the entry of a key. */
+/** Encodes the entry of a key as JSON. */
 export type EncodeKey = (key: string) => string;
 
 const encoder = new TextEncoder();
 
-/** The buckets of all entries. */
+/** Buckets of the keys of all entries, with their cached encoding. */
 export class LedgerBuckets {
   readonly #buckets = new Map<number, Bucket>();
   readonly #bucketOfKey = new Map<string, number>();
   #assignedCount = 0;
 
-  /** @param key a key whose entry was made or changed */
+  /** @param key a key whose entry was created or changed */
   markChanged(key: string): void {
     let id = this.#bucketOfKey.get(key);
     if (id === undefined) {
@@ -46,11 +48,11 @@
   }
 
   /**
-   * Takes over a bucket of a snapshot with its bytes, so that the first
-   * snapshot after a restart doesn't encode all entries anew.
+   * Adds a bucket from a snapshot together with its encoding, so that the first
+   * snapshot after a restart doesn't encode all entries again.
    *
-   * @param keys its keys, in the order of the lines
-   * @param encoded its lines
+   * @param keys keys of the bucket, in the order of the lines
+   * @param encoded lines of the bucket
    */
   adopt(keys: readonly string[], encoded: Uint8Array): void {
     const id = Math.ceil(this.#assignedCount / BUCKET_SIZE);
@@ -59,7 +61,7 @@
     this.#assignedCount = (id + 1) * BUCKET_SIZE;
   }
 
-  /** @param key a key whose entry is gone */
+  /** @param key a key whose entry was removed */
   delete(key: string): void {
     const id = this.#bucketOfKey.get(key);
     if (id === undefined) return;
@@ -71,7 +73,7 @@
     if (bucket.keys.size === 0) this.#buckets.delete(id);
   }
 
-  /** Forgets all. */
+  /** Removes all keys. */
   clear(): void {
     this.#buckets.clear();
     this.#bucketOfKey.clear();
@@ -80,7 +82,7 @@
 
   /**
    * @param encode encodes one entry as JSON
-   * @returns lines of JSON, one entry each, in the order of their making
+   * @returns lines of JSON, one entry each, in the order of creation
    */
   encode(encode: EncodeKey): Uint8Array[] {
     const chunks: Uint8Array[] = [];
@@ -98,19 +100,19 @@
   return encoder.encode(text);
 }
 
-/** Rows of one bucket, parsed, with their bytes. */
+/** Parsed rows of one bucket, with their bytes. */
 export interface SplitRows {
   readonly rows: readonly unknown[];
-  /** A copy: the whole snapshot's memory is freed. */
+  /** A copy, so that the memory of the complete snapshot can be freed. */
   readonly bytes: Uint8Array;
 }
 
 /**
- * Splits lines into buckets. They are parsed bucket by bucket: all together
- * may be longer than any string can be.
+ * Splits lines into buckets and parses each separately, as all lines together
+ * may exceed the maximum length of a string.
  *
  * @param lines lines of JSON, each with its line end
- * @returns the buckets in their order
+ * @returns the buckets in order
  */
 export function* splitRows(lines: Uint8Array): IterableIterator<SplitRows> {
   const decoder = new TextDecoder();
@@ -118,7 +120,7 @@
   while (start < lines.length) {
     const end = findBucketEnd(lines, start);
     const text = decoder.decode(lines.subarray(start, end - 1));
-    // A line end inside a JSON string is escaped, so each one ends a row.
+    // JSON escapes newlines inside strings, so each newline byte ends a row.
     const rows = JSON.parse(`[${text.replaceAll('\n', ',')}]`) as unknown[];
     yield {rows, bytes: lines.slice(start, end)};
     start = end;
--- a/packages/lovagepond-control/src/ledger_entries.ts
+++ b/packages/lovagepond-control/src/ledger_entries.ts
@@ -1,5 +1,5 @@
 /**
- * Entries of the ledger of calls that may not be repeated, and their expiry.
+ * Entries of the ledger of non-repeatable calls, and their expiry.
  */
 import {invariant} from '@lovagepond/core';
 import {ExpiryQueue} from './expiry_queue.js';
@@ -12,25 +12,25 @@
   readEntry,
 } from './ledger_entry.js';
 
-/** How long entries live. */
+/** Retention and size limits of the ledger. */
 export interface LedgerLimits {
   readonly answerRetentionMs: number;
   readonly keyRetentionMs: number;
   readonly openClaimLimitMs: number;
-  /** Most entries at one time. */
+  /** Limit of entries. */
   readonly ledgerLimit: number;
-  /** Most characters of all kept answers; the oldest go first. */
+  /** Limit of characters of all stored answers; the oldest go first. */
   readonly answerCharactersLimit: number;
 }
 
 /**
- * The entries by key. Time runs only by {@link LedgerEntries.expire}, so that
- * every member expires the same entries at the same command.
+ * The entries by key. Entries expire only in {@link LedgerEntries.expire}, so
+ * that every member expires the same entries at the same command.
  */
 export class LedgerEntries {
   readonly #readLimits: () => LedgerLimits;
   readonly #entries = new Map<string, LedgerEntry>();
-  /** Open keys of each sidecar, to settle them when it restarts. */
+  /** Keys with an open claim of each sidecar, settled when it restarts. */
   readonly #openByServer = new Map<string, Set<string>>();
   readonly #buckets = new LedgerBuckets();
   #answerCharacters = 0;
@@ -43,12 +43,12 @@
     this.#readLimits = readLimits;
   }
 
-  /** Entries held, whatever their state. */
+  /** Number of entries in any state. */
   get size(): number {
     return this.#entries.size;
   }
 
-  /** Claimed calls without an outcome; counts anew on each read. */
+  /** Number of claimed calls without an outcome; computed on each read. */
   get openCount(): number {
     let count = 0;
     for (const keys of this.#openByServer.values()) count += keys.size;
@@ -57,7 +57,7 @@
 
   /**
    * @param key the entry's key
-   * @returns the entry, or undefined when the call isn't known
+   * @returns the entry, or undefined when there is none for the key
    */
   get(key: string): LedgerEntry | undefined {
     return this.#entries.get(key);
@@ -65,17 +65,17 @@
 
   /**
    * @param server a sidecar's backend server
-   * @returns its open keys
+   * @returns the keys with an open claim of this sidecar
    */
   openKeysOf(server: string): readonly string[] {
     return [...(this.#openByServer.get(server) ?? [])];
   }
 
   /**
-   * Puts an entry in, or the next state of it.
+   * Adds an entry or replaces its state.
    *
-   * @param key its key
-   * @param entry the entry; `sinceMs` is the present replicated time
+   * @param key the entry's key
+   * @param entry the entry; its `sinceMs` is the current replicated time
    */
   set(key: string, entry: LedgerEntry): void {
     this.#releaseEntry(key);
@@ -86,7 +86,7 @@
     this.#evictAnswers();
   }
 
-  /** @param key the key to forget */
+  /** @param key the key to remove */
   delete(key: string): void {
     this.#releaseEntry(key);
     this.#entries.delete(key);
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Expires what is due: open claims become unknown, answers are dropped
-   * before their keys, and keys are forgotten last.
+   * Expires entries that are due: open claims become unknown, answers are
+   * dropped before their keys, and keys are removed last.
    *
    * @param timeMs replicated time
    */
@@ -115,7 +115,9 @@
   }
 
   /**
-   * @param key an open key whose outcome nobody can tell any more
+   * Sets an entry's state to unknown.
+   *
+   * @param key a key whose claim can no longer get a certain outcome
    * @param timeMs replicated time
    */
   settleUnknown(key: string, timeMs: number): void {
@@ -124,16 +126,16 @@
     this.set(key, {...entry, state: ENTRY_STATE.UNKNOWN, sinceMs: timeMs});
   }
 
-  /** @returns lines of JSON, one entry each, in the order of their making */
+  /** @returns lines of JSON, one entry each, in the order of creation */
   encode(): Uint8Array[] {
     return this.#buckets.encode(key => {
       const entry = this.#entries.get(key);
-      invariant(entry, 204, 'a bucket holds a key without entry');
+      invariant(entry, 204, 'a ledger bucket holds a key that has no entry');
       return encodeEntry(key, entry);
     });
   }
 
-  /** @param lines what {@link encode} gave, in one piece */
+  /** @param lines the concatenated result of {@link encode} */
   restore(lines: Uint8Array): void {
     this.#clear();
     const owners = new Map<string, ClaimOwner>();
@@ -155,7 +157,7 @@
     this.#enqueueAll();
   }
 
-  /** Puts all entries into the queues, which want them by time. */
+  /** Adds all entries to the expiry queues, which require time order. */
   #enqueueAll(): void {
     const byTime = [...this.#entries].sort(
       ([, a], [, b]) => a.sinceMs - b.sinceMs,
@@ -173,7 +175,7 @@
     this.#answerCharacters = 0;
   }
 
-  /** @returns the entry of a queued key, unless it changed since. */
+  /** @returns the entry of a dequeued key, unless it changed later */
   #due(key: string, untilMs: number): LedgerEntry | undefined {
     const entry = this.#entries.get(key);
     return entry && entry.sinceMs <= untilMs ? entry : undefined;
--- a/packages/lovagepond-control/src/ledger_entry.ts
+++ b/packages/lovagepond-control/src/ledger_entry.ts
@@ -1,27 +1,27 @@
 /**
- * One claimed key of the ledger, and its form in a snapshot.
+ * The ledger's entry for one claimed key, and its encoding in a snapshot.
  */
 
 /** State of a claimed key. */
 export const ENTRY_STATE = {
-  /** Granted to one attempt, which may dispatch or has dispatched. */
+  /** Granted to one attempt, which may have dispatched the call already. */
   OPEN: 'open',
-  /** The call has run; its answer is or was kept. */
+  /** The call ran; its answer is stored, has expired or was too large. */
   RECORDED: 'recorded',
-  /** Dispatched perhaps; nobody can tell any more. */
+  /** The call may have been dispatched; its outcome can't be determined. */
   UNKNOWN: 'unknown',
 } as const;
 
 /** One of the values of {@link ENTRY_STATE}. */
 export type EntryState = (typeof ENTRY_STATE)[keyof typeof ENTRY_STATE];
 
-/** The sidecar incarnation that holds a claim; shared by all of its claims. */
+/** The sidecar incarnation that holds a claim; its claims share one object. */
 export interface ClaimOwner {
   readonly server: string;
   readonly incarnation: string;
 }
 
-/** What is kept of one claimed key. */
+/** The ledger's entry for one claimed key. */
 export interface LedgerEntry {
   /** Digest of the request body, base64. */
   readonly digest: string;
@@ -31,12 +31,12 @@
   /** Replicated time of the claim, or of the last change of state. */
   readonly sinceMs: number;
   readonly status: number;
-  /** Answer body, base64; undefined when none is kept. */
+  /** Answer body, base64; undefined when none is stored. */
   readonly answer: string | undefined;
   readonly contentType: string;
 }
 
-/** An entry in a snapshot: no member names, as there are very many. */
+/** An entry in a snapshot; an array, as names would repeat in each entry. */
 type EntryRow = readonly [
   key: string,
   digest: string,
@@ -53,7 +53,7 @@
 /**
  * @param key the entry's key
  * @param entry the entry
- * @returns its JSON
+ * @returns the entry as JSON
  */
 export function encodeEntry(key: string, entry: LedgerEntry): string {
   const {server, incarnation} = entry.owner;
@@ -74,7 +74,7 @@
 
 /**
  * @param row a parsed row
- * @param shareOwner gives the one object of an owner
+ * @param shareOwner returns the shared object of an owner
  * @returns the key and the entry
  */
 export function readEntry(
--- a/packages/lovagepond-control/src/ledger_handler.ts
+++ b/packages/lovagepond-control/src/ledger_handler.ts
@@ -1,5 +1,5 @@
 /**
- * Answers claims, records and order outcomes at the leader.
+ * Handles claims, records and order outcomes at the leader.
  */
 import {lovagepond} from '@lovagepond/protocol';
 import {
@@ -24,7 +24,7 @@
 type WireRecord = lovagepond.v1.RecordRequest.$Properties;
 type WireOutcome = lovagepond.v1.OrderOutcome.$Properties;
 
-/** A larger answer is not kept; a repeat then hears `answerNotKept`. */
+/** Larger answers aren't stored; a repeated call gets `answerNotKept`. */
 const MAX_ANSWER_BYTES = 64 * 1024;
 
 const CALL_OUTCOMES: ReadonlySet<string> = new Set<CallOutcome>([
@@ -61,8 +61,8 @@
   }
 
   /**
-   * @param req what became of a claimed call
-   * @returns whether a majority has it now
+   * @param req the outcome of a claimed call
+   * @returns whether the outcome is committed
    */
   async record(req: WireRecord): Promise<lovagepond.v1.RecordResponse> {
     const outcome = req.outcome ?? '';
@@ -85,8 +85,8 @@
   }
 
   /**
-   * @param req how an order ended
-   * @returns whether a majority has it now
+   * @param req the outcome of an order
+   * @returns whether the outcome is committed
    */
   async reportOrder(
     req: WireOutcome,
@@ -126,8 +126,8 @@
   answer: Proposed<ClaimResult>,
 ): lovagepond.v1.ClaimResponse {
   if (answer.kind !== 'committed') {
-    // The claim may still be committed. Nobody may dispatch on that: the
-    // sidecar asks again under the same attempt, or reports "not run".
+    // The claim may still be committed, but the sidecar must not dispatch the
+    // call. It retries under the same attempt id, or records "notRun".
     const outcome =
       answer.kind === 'unknown' ? 'ledgerUnavailable' : 'notLeader';
     return new v1.ClaimResponse({outcome, leader: leaderOf(answer)});
--- a/packages/lovagepond-control/src/ledger_incarnations.ts
+++ b/packages/lovagepond-control/src/ledger_incarnations.ts
@@ -1,22 +1,23 @@
 /**
- * Which incarnation of each sidecar may claim, and which attempts gave up.
+ * The current and the superseded incarnations of each sidecar.
  */
 import {ExpiryQueue} from './expiry_queue.js';
 import {type ClaimOwner} from './ledger_entry.js';
 
-/** Former incarnations remembered of one sidecar. */
+/** Limit of superseded incarnations that are remembered for one sidecar. */
 const MAX_FORMER_INCARNATIONS = 8;
 
 /**
- * A sidecar not registered anew for this long is forgotten with its superseded
- * incarnations. Names of replaced hosts would pile up for ever otherwise; a
- * sidecar that still runs registers again with its next announcement.
+ * A sidecar without a new registration for this long is removed, together with
+ * its superseded incarnations, as the names of replaced hosts would otherwise
+ * accumulate. A sidecar that is still running registers again with its next
+ * announcement.
  */
 const REGISTRATION_RETENTION_MS = 7 * 24 * 3_600_000;
 
 interface Registration {
   readonly owner: ClaimOwner;
-  /** Superseded ones: they never come back. */
+  /** Superseded incarnations, which can't register again. */
   readonly former: readonly string[];
   readonly sinceMs: number;
 }
@@ -31,16 +32,17 @@
 
   /**
    * @param server a sidecar's backend server
-   * @returns its incarnation that may claim, if one registered
+   * @returns the sidecar's current incarnation, if one is registered
    */
   current(server: string): ClaimOwner | undefined {
     return this.#registered.get(server)?.owner;
   }
 
   /**
-   * Makes an incarnation the current one. A superseded one is refused: its
-   * announcement delivered late would turn the claims of the running
-   * incarnation to unknown, and the two would supersede each other for ever.
+   * Makes an incarnation the current one, unless it was superseded. If the late
+   * announcement of a superseded incarnation were accepted, the open claims of
+   * the running one would become unknown, and the two would supersede each
+   * other forever.
    *
    * @param server the sidecar's backend server
    * @param incarnation the incarnation
@@ -64,10 +66,10 @@
   }
 
   /**
-   * Forgets sidecars that registered long ago.
+   * Removes sidecars whose registration has expired.
    *
    * @param timeMs replicated time
-   * @param hasOpenClaims says which sidecars have open claims and stay
+   * @param hasOpenClaims returns true for sidecars with open claims, which stay
    */
   expire(timeMs: number, hasOpenClaims: (server: string) => boolean): void {
     const untilMs = timeMs - REGISTRATION_RETENTION_MS;
@@ -85,7 +87,7 @@
     return [...this.#registered];
   }
 
-  /** @param snapshot what {@link snapshot} gave */
+  /** @param snapshot the result of {@link snapshot} */
   restore(snapshot: IncarnationSnapshot): void {
     this.#registered.clear();
     this.#queue.clear();
--- a/packages/lovagepond-control/src/ledger_state.ts
+++ b/packages/lovagepond-control/src/ledger_state.ts
@@ -1,9 +1,9 @@
 /**
- * The ledger of calls that may not be repeated.
+ * The ledger of non-repeatable calls, which are dispatched at most once.
  *
  * A key (workspace and idempotency key) is granted to one attempt of one
- * sidecar incarnation. Nobody else is granted it while it is kept, unless that
- * attempt reported that it never dispatched the call.
+ * sidecar incarnation. While the key is retained it is granted to no other
+ * attempt, unless the first one reported that it didn't dispatch the call.
  */
 import {type ErrorKind} from '@lovagepond/core';
 import {
@@ -35,7 +35,7 @@
       readonly answer: string;
       readonly contentType: string;
     }
-  /** Every other outcome is a kind of the closed list of errors. */
+  /** Every other outcome is one of the error kinds. */
   | {
       readonly kind: Extract<
         ErrorKind,
@@ -49,19 +49,19 @@
       >;
     };
 
-/** Answer to a record: whether the outcome now stands in the ledger. */
+/** Answer to a record: whether the ledger now holds the outcome. */
 export interface RecordResult {
   readonly recorded: boolean;
 }
 
-/** Answer to the announcement of an incarnation. */
+/** Answer to the registration of an incarnation. */
 export interface IncarnationResult {
   readonly accepted: boolean;
-  /** Open claims that became unknown. */
+  /** Number of open claims that became unknown. */
   readonly settled: number;
 }
 
-/** Serialized form, but for the entries. */
+/** Serialized form without the entries. */
 export interface LedgerSnapshot {
   readonly incarnations: IncarnationSnapshot;
   readonly released: readonly (readonly [string, number])[];
@@ -72,7 +72,7 @@
   readonly #readLimits: () => LedgerLimits;
   readonly #entries: LedgerEntries;
   readonly #incarnations = new LedgerIncarnations();
-  /** Attempts that reported "not run": they are never granted again. */
+  /** Attempts that reported "notRun", with the time; they get no claim. */
   readonly #released = new Map<string, number>();
   readonly #releasedQueue = new ExpiryQueue();
 
@@ -82,23 +82,23 @@
     this.#entries = new LedgerEntries(readLimits);
   }
 
-  /** @returns number of kept keys, and how many of them are open */
+  /** @returns number of keys, and how many of them have an open claim */
   counts(): {keys: number; open: number} {
     return {keys: this.#entries.size, open: this.#entries.openCount};
   }
 
   /**
    * @param server a sidecar's backend server
-   * @returns the incarnation that may claim, if one registered
+   * @returns the current incarnation, if one is registered
    */
   currentIncarnation(server: string): string | undefined {
     return this.#incarnations.current(server)?.incarnation;
   }
 
   /**
-   * @param claim who claims what
+   * @param claim the claim
    * @param timeMs replicated time
-   * @returns whether the attempt may dispatch; only `granted` allows it
+   * @returns the outcome; only `granted` allows the attempt to dispatch
    */
   claim(claim: ClaimPayload, timeMs: number): ClaimResult {
     this.#expire(timeMs);
@@ -121,9 +121,10 @@
   }
 
   /**
-   * @param record what became of a call
+   * @param record the outcome of a call
    * @param timeMs replicated time
-   * @returns whether it now stands in the ledger; the same record again does
+   * @returns whether the ledger now holds the outcome, also when the same
+   *     record was applied before
    */
   record(record: RecordPayload, timeMs: number): RecordResult {
     this.#expire(timeMs);
@@ -138,13 +139,13 @@
   }
 
   /**
-   * Makes an incarnation the only one of its sidecar that may claim. A
-   * restarted sidecar doesn't know what its predecessor dispatched, so the
-   * predecessor's open claims become unknown.
+   * Makes an incarnation the only one of its sidecar that may claim calls. A
+   * restarted sidecar has no record of the calls that its previous incarnation
+   * dispatched, so the open claims of that incarnation become unknown.
    *
    * @param payload the sidecar's backend server and its new incarnation
    * @param timeMs replicated time
-   * @returns whether the incarnation is the current one now
+   * @returns whether the incarnation is now the current one
    */
   registerIncarnation(
     payload: IncarnationPayload,
@@ -164,7 +165,7 @@
     return {accepted: true, settled};
   }
 
-  /** @returns the serialized form, but for the entries */
+  /** @returns the serialized form without the entries */
   snapshot(): LedgerSnapshot {
     return {
       incarnations: this.#incarnations.snapshot(),
@@ -178,8 +179,8 @@
   }
 
   /**
-   * @param snapshot what {@link snapshot} gave
-   * @param lines what {@link encodeEntries} gave, in one piece
+   * @param snapshot the result of {@link snapshot}
+   * @param lines the concatenated result of {@link encodeEntries}
    */
   restore(snapshot: LedgerSnapshot, lines: Uint8Array): void {
     this.#entries.restore(lines);
@@ -215,9 +216,10 @@
   }
 
   /**
-   * A sidecar that got no answer to its claim refuses the call as not run and
-   * says so here. Its claim may still come later: granted then, the key would
-   * stay open with nobody to dispatch it, and every repeat would wait.
+   * Revokes an attempt that reported "notRun", as a sidecar does when its claim
+   * gets no answer. The claim may still arrive later. If it were granted, the
+   * key would stay open although no sidecar dispatches the call, and every
+   * repeated call would wait.
    */
   #revokeAttempt(key: string, record: RecordPayload, timeMs: number): void {
     const attempt = attemptKeyOf(key, record.attempt);
@@ -250,9 +252,10 @@
 }
 
 /**
- * What each outcome does to the entry of its own attempt. An unknown entry
- * may still learn that the call ran, as its own sidecar says so; it is never
- * released, as only an open claim is certain to be its sidecar's alone.
+ * Applies an outcome to the entry of its attempt. An unknown entry may still
+ * become recorded when the sidecar that claimed the call reports that it ran.
+ * "notRun" removes only an open entry: only an open claim is certain to be held
+ * by the reporting sidecar alone.
  */
 const OUTCOME_HANDLERS: Readonly<
   Record<
@@ -292,7 +295,7 @@
 const REPEAT_ANSWERS: Readonly<
   Record<EntryState, (entry: LedgerEntry, claim: ClaimPayload) => ClaimResult>
 > = {
-  // The very attempt that holds the grant lost the answer and asks again.
+  // The attempt that holds the claim may retry after a lost answer.
   open: (entry, claim) =>
     entry.attempt === claim.attempt &&
     entry.owner.server === claim.server &&
