--- a/packages/lovagepond-control/src/membership_flapping.ts
+++ b/packages/lovagepond-control/src/membership_flapping.ts
@@ -1,21 +1,21 @@
 /**
- * Damping of backend servers that come and go.
+ * Flap damping of backend servers.
  *
- * Each flap adds to a penalty that decays by half in a set time. Above one
- * threshold the server is held back, below a lower one it is let in again. The
- * penalty has a ceiling, so that a server that became good is never held back
- * longer than a set time after its last flap.
+ * Each flap adds to a penalty that decays exponentially. A server is held back
+ * once its penalty exceeds one threshold and released when it falls below a
+ * lower one. A ceiling on the penalty limits how long a server that became
+ * stable is held back after its last flap.
  */
 
-/** Settings of the damping. */
+/** Settings of the flap damping. */
 export interface FlapSettings {
-  /** The penalty halves in this time. */
+  /** Half-life of the penalty. */
   readonly halfLifeMs: number;
-  /** Longest time a server is held back after its last flap. */
+  /** Limit of the time that a server is held back after its last flap. */
   readonly maxHoldMs: number;
 }
 
-/** Damps from the third flap in quick succession, for a minute at most. */
+/** Holds a server back from its third rapid flap, for at most a minute. */
 const FLAP_DEFAULTS: FlapSettings = {
   halfLifeMs: 15_000,
   maxHoldMs: 60_000,
@@ -25,7 +25,7 @@
 const HOLD_THRESHOLD = 2_500;
 const RELEASE_THRESHOLD = 1_000;
 
-/** Below this a server is forgotten. */
+/** A lower penalty is removed. */
 const NEGLIGIBLE = 50;
 
 interface Penalty {
@@ -47,7 +47,9 @@
   }
 
   /**
-   * @param name the server that came back or changed its mind
+   * Adds a flap of a server.
+   *
+   * @param name the server
    * @param now monotonic milliseconds
    */
   add(name: string, now: number): void {
@@ -61,7 +63,7 @@
   /**
    * @param name a server
    * @param now monotonic milliseconds
-   * @returns true while the server is to be held back
+   * @returns true while the server must be held back
    */
   isHeld(name: string, now: number): boolean {
     const known = this.#penalties.get(name);
@@ -71,7 +73,7 @@
   }
 
   /**
-   * Forgets servers whose penalty is negligible.
+   * Removes negligible penalties.
    *
    * @param now monotonic milliseconds
    */
--- a/packages/lovagepond-control/src/membership_log.ts
+++ b/packages/lovagepond-control/src/membership_log.ts
@@ -1,16 +1,16 @@
 /**
  * The list of backend servers with the versions of its changes, so that a
- * subscriber gets only what changed since the version it holds.
+ * subscriber gets only the changes since the version that it holds.
  */
 import {type BackendServer} from '@lovagepond/core';
 
-/** Departures that are remembered; an older version gets the whole list. */
+/** Limit of stored departures; an older version gets the whole list. */
 const MAX_DEPARTURES = 4_096;
 
-/** What changed between two versions. */
+/** The changes between two versions. */
 export interface MembershipChange {
   readonly version: number;
-  /** The members are the whole list. */
+  /** True when `members` is the whole list. */
   readonly whole: boolean;
   readonly members: readonly BackendServer[];
   readonly gone: readonly string[];
@@ -31,67 +31,67 @@
   #version = 0;
   #complete = false;
   #completeVersion = 0;
-  /** Departures up to this version are forgotten. */
+  /** Departures up to this version were removed. */
   #trimmedVersion = 0;
   readonly #servers = new Map<string, VersionedServer>();
   #departures: Departure[] = [];
-  /** Changes up to the present version, which many subscribers ask for. */
+  /** Changes up to the current version, which many subscribers request. */
   readonly #changeCache = new Map<string, MembershipChange>();
   #changeCacheVersion = 0;
 
-  /** Rises with every change. */
+  /** Increases with every change. */
   get version(): number {
     return this.#version;
   }
 
-  /** True when no announced server is missing, as far as can be known. */
+  /** True once the list is expected to contain all announced servers. */
   get complete(): boolean {
     return this.#complete;
   }
 
-  /** Backend servers in the list. */
+  /** Number of backend servers in the list. */
   get size(): number {
     return this.#servers.size;
   }
 
-  /** @returns the servers in the order of their first announcement */
+  /** @returns the servers, in the order of their first announcement */
   *servers(): IterableIterator<BackendServer> {
     for (const {server} of this.#servers.values()) yield server;
   }
 
   /**
    * @param name a backend server
-   * @returns it, when it is in the list
+   * @returns the server, when it is in the list
    */
   get(name: string): BackendServer | undefined {
     return this.#servers.get(name)?.server;
   }
 
   /**
-   * Raises the version, so that a new leader's versions are above those of
-   * every leader before.
+   * Raises the version, so that a new leader's versions are higher than those
+   * of all previous leaders.
    *
-   * @param version lowest version from now on
+   * @param version the minimum version
    */
   raiseVersion(version: number): void {
     this.#version = Math.max(this.#version, version);
   }
 
   /**
-   * @param server a new server or the next state of one
-   * @param version the change's version; by default the next one
+   * @param server a new server, or a server's new state
+   * @param version version of the change; by default the next one
    */
   put(server: BackendServer, version = this.#version + 1): void {
     this.raiseVersion(version);
     const former = this.#servers.get(server.name)?.server;
     this.#servers.set(server.name, {server, version: this.#version});
-    // Those who hear of the former pool only are told that it left.
+    // Subscribers of only the previous pool must remove the server.
     if (former && former.pool !== server.pool) this.#addDeparture(former);
   }
 
   /**
-   * @param name the server that left
-   * @param version the change's version; by default the next one
+   * @param name the server to remove
+   * @param version version of the change; by default the next one
    */
   remove(name: string, version = this.#version + 1): void {
     const known = this.#servers.get(name);
@@ -101,7 +101,7 @@
     this.#addDeparture(known.server);
   }
 
-  /** Says that the list is whole from now on. */
+  /** Marks the list as complete. */
   markComplete(): void {
     if (this.#complete) return;
     this.#complete = true;
@@ -109,16 +109,17 @@
     this.#completeVersion = this.#version;
   }
 
-  /** Says that servers may be missing until {@link markComplete}. */
+  /** Marks that servers may be missing, until {@link markComplete}. */
   markIncomplete(): void {
     this.#complete = false;
   }
 
   /**
-   * Takes over what the leader's list says, under the leader's versions. What
-   * is older than this list comes from a deposed leader and is dropped.
+   * Applies a change of the leader's list, under the leader's version. A change
+   * with a lower version than this list comes from a deposed leader and is
+   * ignored.
    *
-   * @param change a change from the leader, in its order
+   * @param change a change from the leader; changes must be passed in order
    */
   mirror(change: MembershipChange): void {
     const {version, members, gone, whole} = change;
@@ -135,9 +136,9 @@
   }
 
   /**
-   * @param version what the subscriber holds; 0 when nothing
-   * @param pool only this pool; empty means all
-   * @returns what it lacks, or undefined when nothing
+   * @param version the version that the subscriber holds; 0 without a list
+   * @param pool the pool to include; empty for all pools
+   * @returns the changes since that version, or undefined when there are none
    */
   changesSince(version: number, pool: string): MembershipChange | undefined {
     if (version >= this.#version) return undefined;
@@ -165,8 +166,9 @@
   }
 
   /**
-   * An incomplete list is never sent as the whole one: after a change of
-   * leader a router would drop every server that has not renewed yet.
+   * Returns whether the subscriber needs the whole list. An incomplete list is
+   * never sent as whole: after a change of leader, routers would drop every
+   * server that hasn't renewed its lease yet.
    */
   #needsWhole(version: number): boolean {
     if (!this.#complete) return false;
@@ -213,7 +215,7 @@
 /**
  * @param a a server
  * @param b a server of the same name
- * @returns true when a subscriber that holds one needn't get the other
+ * @returns true when they are the same to a subscriber
  */
 export function isSameServer(a: BackendServer, b: BackendServer): boolean {
   return (
--- a/packages/lovagepond-control/src/membership_registry.ts
+++ b/packages/lovagepond-control/src/membership_registry.ts
@@ -1,6 +1,6 @@
 /**
- * Which backend servers exist, from what their sidecars announce. Soft state
- * of the control leader: nothing of it is written to disk.
+ * The registry of backend servers, built from their announcements. Soft state
+ * of the control leader, which is never written to disk.
  */
 import {
   type BackendServer,
@@ -14,7 +14,7 @@
 import {SlotTable} from './membership_slots.js';
 import {type PoolMean, PoolMeans, type PoolShare} from './pool_means.js';
 
-/** What a sidecar says of itself about once a second. */
+/** An announcement, sent by or for a backend server about once a second. */
 export interface Announcement extends Omit<BackendServer, 'slot'> {
   readonly runningTokens: number;
   readonly queuedTokens: number;
@@ -22,12 +22,12 @@
 
 /** Settings of the registry. */
 export interface RegistrySettings {
-  /** A server that doesn't renew for this long is gone. */
+  /** A server that doesn't renew its lease for this long is removed. */
   readonly leaseMs: number;
   readonly flapping?: FlapSettings;
 }
 
-/** One backend server with what only control knows of it. */
+/** One backend server with the state that only control holds. */
 export interface RegisteredServer {
   readonly server: BackendServer;
   readonly announcedState: ServerState;
@@ -42,7 +42,7 @@
   readonly membershipVersion: number;
   /** One byte for each slot. */
   readonly loads: Uint8Array;
-  /** Mean age of the reports in it, milliseconds. */
+  /** Mean age of the included announcements, milliseconds. */
   readonly ageMs: number;
 }
 
@@ -53,28 +53,28 @@
   queuedTokens: number;
   renewedAt: number;
   held: boolean;
-  /** False until it announced itself to this leader. */
+  /** False until the server has announced itself to this leader. */
   hasAnnounced: boolean;
-  /** Its part in the pool's mean, when it has one. */
+  /** The server's share in its pool's mean; undefined unless it is ready. */
   share: PoolShare | undefined;
 }
 
-/** Versions of one term: a safe integer holds 2^21 terms of these. */
+/** Versions of one term; a safe integer can hold 2^21 such terms. */
 const VERSIONS_PER_TERM = 2 ** 32;
 
-/** A freed slot rests this many leases. */
+/** Number of leases before a released slot is reused. */
 const SLOT_REUSE_DELAY_LEASES = 4;
 
-/** A mass lapse: more than this part of all servers lapse at once. */
+/** A lapse of more than this fraction of all servers is a mass lapse. */
 const MASS_LAPSE_FRACTION = 0.5;
 
-/** With fewer servers, half of them may well fail at once. */
+/** With fewer servers, more than half of them may well fail at once. */
 const MASS_LAPSE_MIN_SERVERS = 4;
 
-/** Leases that expiry is suspended for in a mass lapse. */
+/** Number of leases for which a mass lapse suspends expiry. */
 const MASS_LAPSE_SUSPENSION_LEASES = 10;
 
-/** Part of a pool that must stay ready for a flapping server to be held. */
+/** Fraction of a pool that must stay ready when a server is held back. */
 const MIN_READY_FRACTION = 0.5;
 
 /** The backend servers that announced themselves to this leader. */
@@ -90,8 +90,8 @@
   #massLapseSince: number | undefined;
 
   /**
-   * @param settings lease and damping
-   * @param log the list that subscribers are fed from
+   * @param settings lease duration and flap damping
+   * @param log the list that subscribers get their changes from
    */
   constructor(settings: RegistrySettings, log: MembershipLog) {
     this.#settings = settings;
@@ -101,13 +101,14 @@
   }
 
   /**
-   * Starts as leader, from the list this member mirrored as a follower. All of
-   * it gets a whole lease: servers were renewing with the former leader, and
-   * to drop them now would empty the routers' lists at each change of leader.
+   * Initializes the registry of a new leader from the list that this member
+   * mirrored as a follower. Every server gets a full lease: it renewed with the
+   * previous leader, and dropping all servers would empty the routers' lists at
+   * each change of leader.
    *
    * @param term the leader's term
    * @param now monotonic milliseconds
-   * @param known servers that the replicated state holds
+   * @param known servers from the replicated state
    */
   takeOver(
     term: number,
@@ -122,17 +123,17 @@
     this.#massLapseSince = undefined;
     this.#log.raiseVersion(term * VERSIONS_PER_TERM);
     for (const server of this.#log.servers()) this.#adopt(server, now);
-    // Without a mirrored list, one lease shows who is there.
+    // Without a mirrored list, all servers announce themselves within a lease.
     this.#completeAt = now + leaseMs;
     if (this.#records.size === 0) this.#log.markIncomplete();
     for (const server of known) this.announce(server, WANTED_STATE.READY, now);
   }
 
   /**
-   * Takes one announcement: joins or renews.
+   * Applies an announcement: adds the server or renews its lease.
    *
-   * @param announcement what the sidecar says
-   * @param wanted what operators want of the server
+   * @param announcement the announcement
+   * @param wanted the server's wanted state
    * @param now monotonic milliseconds
    */
   announce(announcement: Announcement, wanted: WantedState, now: number): void {
@@ -165,7 +166,7 @@
   }
 
   /**
-   * Takes a server out that said it is gone.
+   * Removes a server that has ended.
    *
    * @param name a server, in the list or not
    * @param now monotonic milliseconds
@@ -176,10 +177,10 @@
   }
 
   /**
-   * Declares gone what did not renew within the lease.
+   * Removes servers whose lease expired, except in a mass lapse.
    *
    * @param now monotonic milliseconds
-   * @returns names of the servers that went
+   * @returns names of the removed servers
    */
   tick(now: number): readonly string[] {
     this.#damper.sweep(now);
@@ -199,7 +200,7 @@
   /**
    * @param pool a pool's name
    * @param now monotonic milliseconds
-   * @returns mean load over its ready servers
+   * @returns mean load of the pool's ready servers
    */
   poolMean(pool: string, now: number): PoolMean {
     return this.#means.read(pool, now);
@@ -221,7 +222,7 @@
     return {membershipVersion: this.#log.version, loads, ageMs};
   }
 
-  /** @returns every server with what control knows of it */
+  /** @returns all servers with their state at this leader */
   list(): readonly RegisteredServer[] {
     return [...this.#records.values()];
   }
@@ -235,10 +236,10 @@
   }
 
   /**
-   * Takes over what the replicated state says of a server in the list.
+   * Updates a server in the list from the replicated state.
    *
    * @param name a server
-   * @param changed its new place, and its state when that changed
+   * @param changed the server's place, and its state when that changed
    */
   update(
     name: string,
@@ -268,8 +269,9 @@
   }
 
   /**
-   * A flapping server is held in `joining`, unless its pool would be left with
-   * less than half of its servers: a server that flaps beats none.
+   * A flapping server is held in `joining`, unless fewer than half of the
+   * servers of its pool would stay ready: a flapping server is better than no
+   * server.
    */
   #isHeld(announcement: Announcement, now: number): boolean {
     if (!this.#damper.isHeld(announcement.name, now)) return false;
@@ -280,10 +282,10 @@
   }
 
   /**
-   * When most servers lapse at once, the likely cause is this leader's own
-   * network: sidecars can't reach it while the other members can. Believed,
-   * the lapses would empty every router's list although the servers are well.
-   * Routers find by themselves which of them are really gone.
+   * Suspends expiry when most servers lapse at once. The likely cause is this
+   * leader's network: sidecars can't reach it while the other members can.
+   * Removing the servers would empty every router's list although they are
+   * healthy. Routers detect failed servers by themselves.
    */
   #isExpirySuspended(lapsed: readonly ServerRecord[], now: number): boolean {
     const failed = lapsed.filter(record => !isLeaving(record)).length;
@@ -329,12 +331,12 @@
   }
 }
 
-/** A server that goes on purpose may lapse at any time. */
+/** A draining server is expected to stop renewing, so it may lapse any time. */
 function isLeaving(record: ServerRecord): boolean {
   return record.server.state === SERVER_STATE.DRAINING;
 }
 
-/** A restart, or a ready server that says it isn't ready after all. */
+/** A flap is a join, a restart, or a change from ready back to joining. */
 function isFlap(
   known: ServerRecord | undefined,
   announcement: Announcement,
--- a/packages/lovagepond-control/src/membership_slots.ts
+++ b/packages/lovagepond-control/src/membership_slots.ts
@@ -1,5 +1,5 @@
 /**
- * Positions of backend servers in the load digest.
+ * Assigns backend servers their positions in the load digest.
  */
 import {invariant} from '@lovagepond/core';
 
@@ -9,9 +9,9 @@
 }
 
 /**
- * Gives each server a slot for as long as it is in the list. A freed slot
- * rests before it is given again: a router that still holds the older list
- * would read the newcomer's load as that of the server that left.
+ * Assigns each server a slot while it is in the list. A released slot is reused
+ * only after a delay, as a router that still holds the older list would take
+ * the new server's load for that of the server that left.
  */
 export class SlotTable {
   readonly #reuseDelayMs: number;
@@ -19,12 +19,12 @@
   #freed: FreedSlot[] = [];
   #length = 0;
 
-  /** @param reuseDelayMs time a freed slot rests */
+  /** @param reuseDelayMs time before a released slot is reused */
   constructor(reuseDelayMs: number) {
     this.#reuseDelayMs = reuseDelayMs;
   }
 
-  /** Number of slots, and so of bytes in the digest. */
+  /** Number of slots, which is the number of bytes in the digest. */
   get length(): number {
     return this.#length;
   }
@@ -32,7 +32,7 @@
   /**
    * @param name a server
    * @param now monotonic milliseconds
-   * @returns its slot
+   * @returns the server's slot
    */
   assign(name: string, now: number): number {
     const known = this.#slots.get(name);
@@ -44,14 +44,14 @@
   }
 
   /**
-   * Takes over a slot that a former leader gave.
+   * Adopts a slot that a previous leader assigned.
    *
    * @param name a server
-   * @param slot its slot
+   * @param slot the server's slot
    * @param now monotonic milliseconds
    */
   adopt(name: string, slot: number, now: number): void {
-    invariant(!this.#slots.has(name), 203, 'slot of a known server');
+    invariant(!this.#slots.has(name), 203, 'the server has a slot already');
     for (let gap = this.#length; gap < slot; gap += 1) {
       this.#freed.push({slot: gap, at: now});
     }
@@ -61,6 +61,8 @@
   }
 
   /**
+   * Releases a server's slot.
+   *
    * @param name the server that left
    * @param now monotonic milliseconds
    */
@@ -71,7 +73,7 @@
     this.#freed.push({slot, at: now});
   }
 
-  /** Lowest first, so that the digest stays short. */
+  /** Claims the lowest reusable slot, to keep the digest short. */
   #claimReusable(now: number): number | undefined {
     let best: FreedSlot | undefined;
     for (const freed of this.#freed) {
