--- a/packages/lovagepond-control/src/__tests__/unit/configuration_documents.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/configuration_documents.test.ts
@@ -26,10 +26,10 @@
   return new ControlStateMachine(CONTROL_DEFAULTS, () => 0);
 }
 
-// Two operators send versions 7 and 5 at the same time, and after a lost
-// answer 7 comes once more with other content. The highest version stays as it
-// was first sent, and each of them hears the version in force.
-test('the highest version wins, as it was sent first', () => {
+// Guards against an older or changed document replacing the highest version.
+// Versions 7 and 5 arrive concurrently, then version 7 again with other
+// content. Every answer names the version in force.
+test('the highest version wins, with the content installed first', () => {
   const machine = makeMachine();
   expect(install(machine, 7, 'seven')).toBe(7);
   expect(install(machine, 5, 'five')).toBe(7);
@@ -42,9 +42,9 @@
   });
 });
 
-// A member catches up by a snapshot. What operators then read from it must be
-// what they sent.
-test('a snapshot keeps the document', () => {
+// Guards against a member that restores a snapshot and then returns another
+// document than the operators installed.
+test('a snapshot preserves the document', () => {
   const machine = makeMachine();
   install(machine, 3, 'three');
   const restored = makeMachine();
--- a/packages/lovagepond-control/src/__tests__/unit/configuration_history.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/configuration_history.test.ts
@@ -12,20 +12,20 @@
 const MEMBERS = 3;
 const SEED = 20_261_203;
 
-/** What operators do, and what happens to members meanwhile. */
+/** Operators' requests, and faults of members meanwhile. */
 type Step =
   | {readonly kind: 'install'; readonly version: number; readonly label: string}
-  /** Sent to the leader, which crashes with its answer. */
+  /** Sent to the leader, which crashes before it answers. */
   | {readonly kind: 'lostAnswer'; readonly version: number}
   | {readonly kind: 'invalid'; readonly version: number}
   | {readonly kind: 'read'; readonly member: number}
   | {readonly kind: 'crash'; readonly member: number}
-  /** Cut off without a sign; the one that was before is joined again. */
+  /** Cuts a member off silently, and reconnects the one cut off before. */
   | {readonly kind: 'cut'; readonly member: number}
   | {readonly kind: 'heal'}
-  /** Its disk is lost; the next step waits until its former identity is gone. */
+  /** A member loses its disk; waits until its former identity is removed. */
   | {readonly kind: 'wipe'; readonly member: number}
-  /** The same; the next step only waits until its new identity votes. */
+  /** A member loses its disk; waits only until its new identity votes. */
   | {readonly kind: 'wipeOnly'; readonly member: number};
 
 const member = fc.nat(MEMBERS - 1);
@@ -55,7 +55,7 @@
   };
 }
 
-/** Two workspaces share an API key: nobody could say whose a request is. */
+/** Invalid, as two workspaces share an API key and requests are ambiguous. */
 function makeInvalidDocument(number: number): UncheckedDocument {
   const workspaces = ['a', 'b'].map(name => ({
     name,
@@ -64,7 +64,7 @@
   return {version: number, source: 'invalid', content: {workspaces}};
 }
 
-/** What operators were told, and whether what they read agrees with it. */
+/** Checks the documents that operators read against the accepted ones. */
 class History {
   #accepted = 0;
   readonly #sources = new Map<number, string>();
@@ -77,12 +77,15 @@
   checkRead(answer: DocumentAnswer | undefined, acceptedBefore: number): void {
     if (answer?.kind !== 'found') return;
     const {version: held = 0, source = ''} = answer.document ?? {};
-    expect(held, 'came back older').toBeGreaterThanOrEqual(acceptedBefore);
-    expect(source, 'an invalid one was taken').not.toBe('invalid');
+    expect(
+      held,
+      'read an older version than was accepted',
+    ).toBeGreaterThanOrEqual(acceptedBefore);
+    expect(source, 'read an invalid document').not.toBe('invalid');
     if (held === 0) return;
     const known = this.#sources.get(held) ?? source;
     this.#sources.set(held, known);
-    expect(source, 'other content under one version').toBe(known);
+    expect(source, 'read other content under the same version').toBe(known);
   }
 
   get accepted(): number {
@@ -123,7 +126,7 @@
       const answer = await settle(
         documents.install(makeInvalidDocument(number)),
       );
-      expect(answer?.kind, 'an invalid one was taken').toBe('invalid');
+      expect(answer?.kind, 'accepted an invalid document').toBe('invalid');
     },
     read: async ({member: at}) => {
       const before = this.#history.accepted;
@@ -154,7 +157,7 @@
     wipeOnly: ({member: at}) => this.#wipe(at),
   };
 
-  /** One loss is borne at a time: the others must be there and caught up. */
+  /** The group tolerates one lost disk: the others must be up to date first. */
   async #wipe(at: number): Promise<void> {
     this.#cluster.network.cutOff.clear();
     await this.#cluster.untilLeader();
@@ -203,7 +206,7 @@
   }
 }
 
-/** Leaders crash while a replacement is under way, and later a second disk is lost. */
+/** Leaders crash during a replacement, and later a second disk is lost. */
 const REPLACED_UNDER_CRASHES: readonly Step[] = [
   {kind: 'read', member: 0},
   {kind: 'read', member: 0},
@@ -228,11 +231,12 @@
   {kind: 'lostAnswer', version: 17},
 ];
 
-// Operators change the configuration from several places, send it again after lost
-// answers and read it at any member, while members crash, are cut off and lose their
-// disks. Whatever the order: what was accepted is never read back older or with
-// other content, and what is invalid is never taken.
-test('operators read what was accepted, whatever happens to members', async () => {
+// Guards against lost updates: operators install documents from several
+// clients, retry after lost answers and read at any member, while members
+// crash, are cut off and lose their disks. In any order, a read never returns
+// an older version than was accepted or other content for it, and invalid
+// documents are rejected.
+test('operators read accepted documents whichever members fail', async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.array(stepArbitrary, {minLength: 8, maxLength: 24}),
@@ -242,8 +246,9 @@
   );
 }, 120_000);
 
-// The group was left without a majority for good: a leader had crashed between two
-// steps of a replacement, and the identity that couldn't come back stayed a voter.
-test('a replacement ends though leaders crash', async () => {
+// Guards against a permanent loss of the majority. When a leader crashes
+// between two steps of a replacement, the lost identity of the replaced member
+// must not stay a voter.
+test('a replacement completes although leaders crash', async () => {
   await runSteps(REPLACED_UNDER_CRASHES);
 });
--- a/packages/lovagepond-control/src/__tests__/unit/context_inventory.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/context_inventory.test.ts
@@ -4,9 +4,10 @@
 
 const SERVERS = ['x', 'y', 'z'].map(name => ({name, address: `${name}:1`}));
 
-// All processes were stopped and know nothing of what engines hold. One engine
-// is down and one answers last: what the others say goes out as it comes.
-test('tells what each engine holds, whatever the others do', async () => {
+// Guards against one engine delaying or losing the answers of the others. One
+// engine refuses the query and another one answers last; each answer must be
+// posted as soon as it arrives.
+test('posts the contexts of each engine as it answers', async () => {
   const board = new ReadingBoard();
   const warnings: unknown[] = [];
   const log = {
@@ -44,10 +45,10 @@
   expect(warnings).toEqual([{server: 'y', reason: 'refused'}]);
 });
 
-// All hosts were stopped, and eighty engines hold hundreds of parts each. Told by
-// all at once, the leader and each gateway's link were busy with them for as long
-// as callers waited for the gateways' first answers.
-test('asks only a few of many engines at once', async () => {
+// Guards against overload after a restart of all hosts. If 80 engines returned
+// hundreds of ids each at once, the leader and the gateways' links would be
+// busy with them while callers wait for the gateways' first answers.
+test('queries only a few of many engines concurrently', async () => {
   const servers = Array.from({length: 80}, (_, at) => ({
     name: `engine-${at}`,
     address: `10.0.0.${at}:1`,
--- a/packages/lovagepond-control/src/__tests__/unit/control_state_machine.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/control_state_machine.test.ts
@@ -27,7 +27,7 @@
   answerCharactersLimit: 1_000,
 };
 
-/** A member that applies commands, as leaders of several terms stamp them. */
+/** A member that applies commands stamped by leaders of several terms. */
 class Member {
   now = 0;
   machine = new ControlStateMachine(CONTROL_DEFAULTS, () => this.now);
@@ -44,7 +44,7 @@
     return decodeResult(this.machine.apply(bytes, ++this.#index));
   }
 
-  /** A member that has only the snapshot, as after a restart. */
+  /** @returns a member restored from a snapshot, as after a restart */
   copy(): Member {
     const member = new Member();
     member.machine = new ControlStateMachine(
@@ -76,9 +76,10 @@
   return {operationId, digest: names.join(), baseRevision, edit};
 }
 
-// Two operators change the same revision at the same time. The first in the
-// log wins; the other learns the differences, and neither change is mixed in.
-test('racing changes have one winner and a conflict', () => {
+// Guards against lost updates when two operators change the same base revision.
+// The first change in the log is accepted. The other one results in a conflict,
+// with the differences, and isn't applied.
+test('of concurrent changes one is accepted and the other conflicts', () => {
   const member = new Member();
   const {configuration} = member.machine;
   expect(member.run(CHANGE_COMMAND, replace('a', 0, 'x'))).toEqual({
@@ -95,9 +96,10 @@
   expect(difference).toMatchObject({place: 'workspaces/x', kind: 'added'});
 });
 
-// The answer to a change is lost and other changes follow. The operator sends
-// it again, to a leader that knows the first answer only from a snapshot.
-test('a resent change gets its first answer from the next leader', () => {
+// Guards against a retry being applied twice or getting a new answer. The first
+// answer was lost, other changes followed, and the new leader has the first
+// answer only from a snapshot.
+test('a retried change gets its first answer from a new leader', () => {
   const member = new Member();
   member.run(CHANGE_COMMAND, replace('a', 0, 'x'));
   member.run(CHANGE_COMMAND, replace('b', 0, 'y'));
@@ -112,7 +114,7 @@
   expect(next.machine.configuration.current.read().revision).toBe(2);
 });
 
-test('an old revision comes back as a new one while it is kept', () => {
+test('a retained revision can be restored as a new one', () => {
   const member = new Member();
   ['v', 'w', 'x', 'y'].forEach((name, base) => {
     member.run(CHANGE_COMMAND, replace(name, base, name));
@@ -134,9 +136,9 @@
   ]);
 });
 
-// A server is drained, then resumed. The drain's resend arrives only now; run
-// again it would drain the server that the operator has just resumed.
-test('a resent drain after a resume has no effect', () => {
+// Guards against a late retry of a drain that arrives after the server was
+// resumed and would drain it again.
+test('a retried drain after a resume has no effect', () => {
   const member = new Member();
   const drain = {operationId: 'a', digest: '1', server: 's'};
   member.run(WANTED_STATE_COMMAND, {...drain, wantedState: 'draining'});
@@ -153,7 +155,7 @@
   arguments: {model: 'm'},
 };
 
-test('fencing tokens rise over terms, and an order is issued once', () => {
+test('fencing tokens increase over terms, and an order is issued once', () => {
   const member = new Member();
   const token = (orderId: string, term: number): number => {
     const result = member.run(ORDER_COMMAND, {...ORDER, orderId}, term);
@@ -194,9 +196,10 @@
   attempt: 'a',
 };
 
-// A leader whose clock stands far ahead takes over. Were its clock put into
-// commands, every key would expire at once and its call could run again.
-test('time in commands goes on from the former leader, not from a clock', () => {
+// Guards against a new leader whose clock is far ahead. If commands were
+// stamped with its clock, every key would expire at once and its call could run
+// again.
+test('replicated time continues over leaders, whatever their clocks', () => {
   const member = new Member();
   member.run(CLAIM_COMMAND, CLAIM);
   member.now = 300;
@@ -210,8 +213,8 @@
   expect(next.run(CLAIM_COMMAND, repeat, 2)).toEqual({kind: 'outcomeUnknown'});
 });
 
-// Guards against a quarantine that ends with a stop of all hosts.
-test('crashes are counted over snapshots until an operator lifts them', () => {
+// Guards against a quarantine that is lost when all hosts restart.
+test('crash counts survive snapshots until the quarantine is lifted', () => {
   const member = new Member();
   const crash = (server: string): unknown => {
     const one = {server, requests: ['bad'], ageMs: 0};
@@ -233,7 +236,7 @@
   expect(isQuarantined()).toBe(false);
 });
 
-test('a whole answer acquits a request at all members', () => {
+test('a complete answer clears a suspected request', () => {
   const member = new Member();
   const one = {server: 's1', requests: ['a', 'b'], ageMs: 0};
   member.run(CRASHES_COMMAND, {crashes: [one], answered: []});
@@ -242,8 +245,8 @@
   expect(member.machine.crashes.find('b', 0)?.crashes).toBe(1);
 });
 
-// Guards against a log entry that ends one member after the other, at each replay.
-test('a command that fails leaves members alive and alike', () => {
+// Guards against a log entry that terminates every member at each replay.
+test('members continue with the same state after a failed command', () => {
   const member = new Member();
   const broken = null as unknown as ClaimPayload;
   expect(() => member.run(CLAIM_COMMAND, broken)).toThrow('command failed');
--- a/packages/lovagepond-control/src/__tests__/unit/direct_server_table.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/direct_server_table.test.ts
@@ -24,7 +24,7 @@
   return Object.fromEntries(records.map(one => [one.server.name, one.place]));
 }
 
-/** A pool of two that has been there for a minute. */
+/** A pool of two servers that joined when it was new. */
 function makeSettledTable(): DirectServerTable {
   const table = new DirectServerTable();
   table.join(server('a'), 0);
@@ -32,10 +32,11 @@
   return table;
 }
 
-// A release starts a new server, then the old one leaves. Prompts whose home is
-// the old one must move as a whole to the new one; with homes by name, a third
-// of all other prompts would move to it as well and be read anew.
-test('a newcomer takes the place of the server that leaves', () => {
+// Guards against needless moves of prompts in a release, which starts a new
+// server before the old one leaves. The new server must take over exactly the
+// old one's prompts. If prompts were assigned by server name, a third of all
+// others would move to it as well and be processed again.
+test('a new server takes the place of the server that leaves', () => {
   const table = makeSettledTable();
   table.join(server('c'), 60_000);
   expect(placesOf(table)).toEqual({a: 'a', b: 'b', c: ''});
@@ -43,7 +44,7 @@
   expect(placesOf(table)).toEqual({a: '', b: 'b', c: 'a'});
 });
 
-test('a newcomer that nobody makes room for gets a place of its own', () => {
+test('a standby gets its own place when no server leaves', () => {
   const table = makeSettledTable();
   table.join(server('c'), 60_000);
   expect(table.hasPlacesToOpen(61_000)).toBe(false);
@@ -52,7 +53,7 @@
   expect(placesOf(table)['c']).toBe('c');
 });
 
-test('a place that was vacant for long is not given away any more', () => {
+test('a place that was vacant for too long is discarded', () => {
   const table = makeSettledTable();
   table.drop('a', 60_000);
   expect(table.hasPlacesToOpen(69_000)).toBe(true);
@@ -61,10 +62,10 @@
   expect(placesOf(table)).toEqual({b: 'b', c: ''});
 });
 
-// A server crashes behind a partition, and its successor registers at the same
-// address. What the first one sent before still arrives and must not bring it
-// back: requests would be sent to a name that nobody has.
-test('a server that was succeeded at its address never comes back', () => {
+// Guards against a delayed announcement that restores a crashed server after
+// its successor joined at the same address. Requests would be sent to a server
+// that no longer exists.
+test('a server that was replaced at its address never joins again', () => {
   const table = makeSettledTable();
   table.join(server('c', 'a:1'), 60_000);
   expect(placesOf(table)).toEqual({b: 'b', c: 'a'});
@@ -72,9 +73,9 @@
   expect(Object.keys(placesOf(table))).toEqual(['b', 'c']);
 });
 
-// All members restart after a server said that it leaves. It must not be given
-// work again by a list that has forgotten it.
-test('leaving survives a snapshot', () => {
+// Guards against a restart of all members after which a leaving server gets new
+// work, or an ended one joins again.
+test('leaving and ended servers survive a snapshot', () => {
   const table = makeSettledTable();
   table.leave('a', 1_000);
   table.end('b', 1_000);
@@ -85,7 +86,7 @@
   expect(restored.get('b')).toBeUndefined();
 });
 
-describe('a server that starts again under its name', () => {
+describe('a server that restarts with the same incarnation', () => {
   const instance = (startedAtMs: number): JoiningServer => ({
     ...server('a', 'host:1'),
     name: `a@${startedAtMs}`,
@@ -94,19 +95,19 @@
   const namesOf = (table: DirectServerTable): string[] =>
     table.list().map(one => one.server.name);
 
-  // It crashes and starts again at once, under its name and at its address.
-  // What routers believe of it belongs to the former life, which has ended.
-  test('is another server, at the place that it had', () => {
+  // Guards against routers that apply the previous instance's state to a server
+  // that crashed and restarted with the same incarnation and address.
+  test('counts as another server and keeps its place', () => {
     const table = new DirectServerTable();
     table.join(instance(1_000), 0);
     table.join(instance(2_000), 30_000);
     expect(placesOf(table)).toEqual({'a@2000': 'a@1000'});
   });
 
-  // A report of the former life was held up by a partition. It arrives after
-  // the new life was there, or after that one has ended: callers would be sent
-  // to a server that isn't there.
-  test('is not put out by a report of a former life', () => {
+  // Guards against a delayed announcement of a previous instance, which arrives
+  // after a later instance joined or ended. Requests would be sent to a server
+  // that no longer exists.
+  test('is not replaced by a previous instance', () => {
     const table = new DirectServerTable();
     table.join(instance(1_000), 0);
     table.join(instance(2_000), 30_000);
@@ -121,9 +122,10 @@
     expect(namesOf(table)).toEqual(['a@4000']);
   });
 
-  // The life before was dropped as silent, not ended, and only its report comes
-  // late: dropped servers may come back, former lives may not.
-  test('is not put out by a life that had gone silent', () => {
+  // The previous instance was dropped when its lease expired, and its
+  // announcement arrives late. Dropped servers may join again, but previous
+  // instances may not.
+  test('is not replaced by a previous instance whose lease expired', () => {
     const table = new DirectServerTable();
     table.join(instance(1_000), 0);
     table.drop('a@1000', 20_000);
@@ -132,15 +134,16 @@
     expect(namesOf(table)).toEqual(['a@2000']);
   });
 
-  // One without a start can't be the server itself, which always tells it.
-  test('is not put out by a report that tells no start', () => {
+  // An announcement without a start can't come from this server, which always
+  // reports one.
+  test('is not replaced by an announcement without a start', () => {
     const table = new DirectServerTable();
     table.join(instance(1_000), 0);
     table.join(server('a', 'host:1'), 1_000);
     expect(namesOf(table)).toEqual(['a@1000']);
   });
 
-  test('keeps its lives apart after a restart of control', () => {
+  test('is not replaced by a previous instance after a restart', () => {
     const table = new DirectServerTable();
     table.join(instance(1_000), 0);
     table.join(instance(2_000), 1_000);
--- a/packages/lovagepond-control/src/__tests__/unit/ledger_state.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/ledger_state.test.ts
@@ -17,13 +17,13 @@
   | {kind: 'record'; claim: ClaimPayload; outcome: CallOutcome}
   | {kind: 'announce'; server: string; incarnation: string};
 
-/** An attempt at its sidecar; it is gone when the sidecar restarts. */
+/** An attempt in its sidecar's memory, which is lost when it restarts. */
 interface Attempt {
   readonly claim: ClaimPayload;
   state: 'claiming' | 'dispatched' | 'ended';
 }
 
-/** Sidecars, the network and the service around two copies of the ledger. */
+/** Sidecars, the network and the service around two replicas of the ledger. */
 class Simulation {
   ledger = new LedgerState(() => LIMITS);
   replica = new LedgerState(() => LIMITS);
@@ -48,7 +48,7 @@
     this.network.push({kind: 'claim', claim});
   }
 
-  /** The service runs the call at once; its answer may come much later. */
+  /** Applies a claim's result: a granted call runs at once, and ends later. */
   answer(claim: ClaimPayload, result: ClaimResult): void {
     const attempt = this.attempts.find(a => a.claim === claim);
     if (attempt?.state !== 'claiming') return;
@@ -76,7 +76,7 @@
     this.network.push({kind: 'announce', server: name, incarnation});
   }
 
-  /** Delivers any message; with `n` odd a copy stays to come again late. */
+  /** Delivers a message; for odd `n` it stays queued and is delivered again. */
   deliver(n: number, answerLost: boolean): void {
     const index = (n >> 1) % Math.max(1, this.network.length);
     const message = this.network[index];
@@ -139,10 +139,10 @@
   }
 }
 
-// Callers repeat two calls through two sidecars, while claims and records are
-// lost, doubled and late, sidecars give up or crash between any two steps,
-// claims expire, and a member restarts from its snapshot. The service must
-// never run a call twice, and both members must answer alike.
+// Guards against a call that runs twice, and against members whose ledgers
+// diverge. Callers repeat two calls through two sidecars, while claims and
+// records are lost, duplicated and delayed, sidecars give up or crash between
+// any two steps, claims expire, and a member restarts from its snapshot.
 test('no call is dispatched twice', () => {
   const steps = Object.keys(STEPS).map(kind =>
     fc.nat(63).map(n => new Step(kind, n)),
@@ -177,7 +177,7 @@
   contentType: 'text/plain',
 } as const;
 
-test('a repeat learns what became of the call, in each of its states', () => {
+test('a repeat gets the answer for each state of the call', () => {
   const ledger = new LedgerState(() => LIMITS);
   expect(ledger.claim(CLAIM, 0)).toEqual({kind: 'granted'});
   expect(ledger.claim(CLAIM, 0)).toEqual({kind: 'granted'});
@@ -193,21 +193,22 @@
   expect(ledger.claim(REPEAT, 1_000_002).kind).toBe('granted');
 });
 
-// The sidecar waits for the answer to its claim, gives up, tells the caller
-// "not run" and reports so; only then does the claim reach the leader. Granted
-// now, it would stay open with nobody to dispatch it and every repeat would
-// hear "in progress" until the limit.
-test('a claim that comes after its sidecar gave up blocks nobody', () => {
+// Guards against a claim that reaches the leader after its sidecar gave up and
+// recorded "notRun". If the claim were granted, it would stay open although no
+// sidecar dispatches the call, and every repeat would get "inProgress" until
+// the claim expires.
+test('a claim that arrives after its sidecar gave up is not granted', () => {
   const ledger = new LedgerState(() => LIMITS);
   ledger.record({...RECORD, outcome: 'notRun'}, 0);
   expect(ledger.claim(CLAIM, 1)).toEqual({kind: 'revoked'});
   expect(ledger.claim(REPEAT, 2)).toEqual({kind: 'granted'});
 });
 
-// A sidecar restarts. It can't know whether its predecessor dispatched, so a
-// repeat is told that the outcome is unknown. The predecessor's messages then
-// arrive late: its announcement, a claim, and the record of a call that ran.
-test('a restarted sidecar makes its claims unknown, for good', () => {
+// Guards against a second dispatch after a sidecar restarts. Its previous
+// incarnation may have dispatched the call, so a repeat gets "outcomeUnknown".
+// Late messages of that incarnation then arrive: its announcement, a claim, and
+// the record of a call that ran.
+test('a restarted sidecar makes its earlier claims unknown permanently', () => {
   const ledger = new LedgerState(() => LIMITS);
   const first = {server: 's', incarnation: 'i1'};
   ledger.registerIncarnation(first, 0);
@@ -225,9 +226,9 @@
   expect(ledger.claim(REPEAT, 7).kind).toBe('recorded');
 });
 
-// A sidecar's name was last registered long before its predecessor's late
-// announcement arrives: hours later it must still be known as superseded.
-test('a superseded incarnation stays so after its keys are forgotten', () => {
+// Guards against the late announcement of a superseded incarnation, hours after
+// the sidecar's last registration.
+test('an incarnation stays superseded after its keys have expired', () => {
   const ledger = new LedgerState(() => LIMITS);
   ledger.registerIncarnation({server: 's', incarnation: 'i1'}, 0);
   ledger.registerIncarnation({server: 's', incarnation: 'i2'}, 0);
@@ -240,7 +241,7 @@
   expect(ledger.currentIncarnation('s')).toBe('i2');
 });
 
-test('the oldest answers go when all of them grow too large', () => {
+test('the oldest answers are evicted when all are too large together', () => {
   const ledger = new LedgerState(() => LIMITS);
   for (const n of [1, 2, 3]) {
     const call = {key: `k${n}`, attempt: `a${n}`};
@@ -254,7 +255,7 @@
   expect(kinds).toEqual(['answerNotKept', 'answerNotKept', 'recorded']);
 });
 
-test('a full ledger refuses new keys and still answers known ones', () => {
+test('a full ledger refuses new keys and still answers existing ones', () => {
   const ledger = new LedgerState(() => ({...LIMITS, ledgerLimit: 1}));
   ledger.claim(CLAIM, 0);
   const other = {...CLAIM, key: 'k2', attempt: 'a3'};
--- a/packages/lovagepond-control/src/__tests__/unit/membership_registry.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/membership_registry.test.ts
@@ -46,7 +46,7 @@
     }
   }
 
-  /** All of them renew once a second. */
+  /** Renews all servers once a second. */
   run(names: readonly string[], from: number, to: number): void {
     for (let now = from; now <= to; now += 1_000) {
       this.announce(names, now);
@@ -67,10 +67,11 @@
 
 const FLEET = Array.from({length: 640}, (_, n) => `server-${n}`);
 
-// A switch takes 40 of 640 servers away. They must go together, in one change,
-// and nothing of the other 600 may move: neither their state nor their slots,
-// nor may the mean that bounds their load still count the dead.
-test('a rack that fails at once leaves the others as they are', () => {
+// Guards against side effects on the other servers when a switch fails and
+// disconnects 40 of 640. The 40 must be removed in one change. The states and
+// slots of the other 600 must not change, and the mean that bounds their load
+// must not include the failed servers.
+test('the failure of a whole rack does not affect other servers', () => {
   const leader = startLeader();
   leader.run(FLEET, 0, 5_000);
   const before = leader.log.version;
@@ -90,9 +91,9 @@
   expect(leader.log.get('newer')?.slot).toBe(100);
 });
 
-// The leader's own network fails towards the sidecars but not towards the
-// other members. Every lease lapses; believed, that would empty the list of
-// every router although all servers are well.
+// Guards against emptied server lists when the leader's network fails towards
+// the sidecars but not towards the other members. Every lease lapses, although
+// all servers are healthy.
 test('expiry is suspended when most servers lapse at once', () => {
   const leader = startLeader();
   leader.run(FLEET, 0, 5_000);
@@ -106,9 +107,10 @@
   expect(leader.names()).toEqual([]);
 });
 
-// Leadership moves while all servers run. The new leader mirrored the list: it
-// keeps all of it, with slots, for one lease, and only then drops the dead one.
-test('a new leader drops nobody before one lease has passed', () => {
+// Guards against servers that are dropped by a change of leader. The new leader
+// mirrored the list, and must keep every server and its slot for one lease
+// before it removes the failed one.
+test('a new leader removes no server before one lease has passed', () => {
   const old = startLeader();
   old.run(['a', 'b', 'c', 'd'], 0, 5_000);
   const next = new Leader();
@@ -126,10 +128,10 @@
   expect(next.log.get('d')?.slot).toBe(3);
 });
 
-// All members restarted: the leader knows nobody. A router that holds the
-// former list must not be told, after the first announcement, that this one
-// server is the whole list.
-test('a leader without a list never sends a part as the whole', () => {
+// Guards against a truncated list after a restart of all members, when the
+// leader starts without one. A router that holds the previous list must not get
+// the first announced server as the whole list.
+test('a leader without a list never sends an incomplete list as whole', () => {
   const leader = startLeader();
   leader.announce(['a'], 100);
   expect(leader.log.changesSince(0, '')?.whole).toBe(false);
@@ -140,7 +142,7 @@
   });
 });
 
-test('a flapping server is held back, but not from a pool in need', () => {
+test('a flapping server is held back unless its pool needs it', () => {
   const leader = startLeader();
   const flap = (name: string, pool: string, now: number): void => {
     const incarnation = `i${now}`;
@@ -160,9 +162,9 @@
   expect(leader.log.get('lonely')?.state).toBe('ready');
 });
 
-// However often a server flapped, it must be let in again a set time after its
-// last flap: a penalty without a ceiling would starve a server that is good.
-test('no server is held longer than the limit after its last flap', () => {
+// Guards against a penalty without a ceiling, which after many flaps would hold
+// a server back long after it became stable.
+test('no server is held back beyond the limit after its last flap', () => {
   const settings = {halfLifeMs: 15_000, maxHoldMs: 60_000};
   const flaps = fc.array(fc.nat(500), {maxLength: 100, size: 'max'});
   fc.assert(
@@ -179,7 +181,7 @@
   );
 });
 
-/** A subscriber's list, as its own updates made it. */
+/** A subscriber's list, built from the changes that it received. */
 class Subscriber {
   version = 0;
   list = new Map<string, BackendServer>();
@@ -196,10 +198,11 @@
   }
 }
 
-// Servers join, change pool, restart, lapse; leaders change; a follower and
-// subscribers of one pool or of all listen now and then. Whenever they have
-// listened, they must hold exactly the servers that the leader holds.
-test('deltas keep followers and subscribers in step with the leader', () => {
+// Guards against subscribers whose lists diverge from the leader's. Servers
+// join, change pool, restart and lapse, and leaders change. After each update,
+// a follower and subscribers of one or all pools must hold the leader's
+// servers.
+test('deltas keep followers and subscribers consistent with the leader', () => {
   const step = fc.record({
     kind: fc.constantFrom('announce', 'wait', 'listen', 'takeOver'),
     n: fc.nat(99),
