--- a/packages/lovagepond-control/src/membership_registry.ts
+++ b/packages/lovagepond-control/src/membership_registry.ts
@@ -177,7 +177,7 @@
   }
 
   /**
-   * Removes servers whose lease expired, except in a mass lapse.
+   * Removes servers whose lease expired; in a mass lapse only draining ones.
    *
    * @param now monotonic milliseconds
    * @returns names of the removed servers
