--- a/packages/lovagepond-control/src/__tests__/unit/context_inventory.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/context_inventory.test.ts
@@ -1,12 +1,13 @@
 import {expect, test} from 'vitest';
-import {takeInventory} from '../../context_inventory.js';
+import {collectHeldContexts} from '../../context_inventory.js';
 import {ReadingBoard} from '../../reading_board.js';
 
 const SERVERS = ['x', 'y', 'z'].map(name => ({name, address: `${name}:1`}));
 
-// All processes were stopped and know nothing of what engines hold. One engine
-// is down and one answers last: what the others say goes out as it comes.
-test('tells what each engine holds, whatever the others do', async () => {
+// Guards against one engine delaying or losing the answers of the others. One
+// engine refuses the query and another one answers last; each answer must be
+// posted as soon as it arrives.
+test('posts the contexts of each engine as it answers', async () => {
   const board = new ReadingBoard();
   const warnings: unknown[] = [];
   const log = {
@@ -16,7 +17,7 @@
     error: () => undefined,
   };
   let answerLast = (_ids: readonly string[]): void => undefined;
-  const inventory = takeInventory(SERVERS, {
+  const inventory = collectHeldContexts(SERVERS, {
     log,
     onReport: report => {
       board.post(report);
@@ -44,31 +45,31 @@
   expect(warnings).toEqual([{server: 'y', reason: 'refused'}]);
 });
 
-// All hosts were stopped, and eighty engines hold hundreds of parts each. Told by
-// all at once, the leader and each gateway's link were busy with them for as long
-// as callers waited for the gateways' first answers.
-test('asks only a few of many engines at once', async () => {
+// Guards against overload after a restart of all hosts. If 80 engines returned
+// hundreds of ids each at once, the leader and the gateways' links would be
+// busy with them while callers wait for the gateways' first answers.
+test('queries only a few of many engines concurrently', async () => {
   const servers = Array.from({length: 80}, (_, at) => ({
     name: `engine-${at}`,
     address: `10.0.0.${at}:1`,
   }));
-  let asked = 0;
-  let most = 0;
-  let told = 0;
-  const silent = (): void => undefined;
-  await takeInventory(servers, {
-    log: {debug: silent, info: silent, warn: silent, error: silent},
+  let active = 0;
+  let maxActive = 0;
+  let reportCount = 0;
+  const ignore = (): void => undefined;
+  await collectHeldContexts(servers, {
+    log: {debug: ignore, info: ignore, warn: ignore, error: ignore},
     onReport: () => {
-      told += 1;
+      reportCount += 1;
     },
     readHeldContexts: async () => {
-      asked += 1;
-      most = Math.max(most, asked);
+      active += 1;
+      maxActive = Math.max(maxActive, active);
       await new Promise(resolve => setImmediate(resolve));
-      asked -= 1;
+      active -= 1;
       return ['a'];
     },
   });
-  expect(told).toBe(80);
-  expect(most).toBeLessThan(10);
+  expect(reportCount).toBe(80);
+  expect(maxActive).toBeLessThan(10);
 });
--- a/packages/lovagepond-control/src/announce_handler.ts
+++ b/packages/lovagepond-control/src/announce_handler.ts
@@ -1,5 +1,5 @@
 /**
- * Answers announcements of sidecars at the leader.
+ * Handles the announcements of sidecars and routers at the leader.
  */
 import {type Clock} from '@lovagepond/core';
 import {lovagepond} from '@lovagepond/protocol';
@@ -21,14 +21,17 @@
 type WireAnnounce = lovagepond.v1.AnnounceRequest.$Properties;
 type WireAnswer = lovagepond.v1.AnnounceResponse;
 
-/** Role of an announcement that is no backend server's. */
+/** Role of an announcement that a router sends. */
 const ROUTER_ROLE = 'router';
 
-/** Below every token; tells "known, and nothing was ever passed" from 0. */
-const LOWEST_FLOOR = 1;
+/**
+ * Floor of a backend server that has completed no order. It is below every
+ * fencing token, and differs from 0, which means that the floor is unknown.
+ */
+const MIN_FLOOR = 1;
 
-/** What the handler is built from. */
-export interface AnnounceParts {
+/** Dependencies of {@link AnnounceHandler}. */
+export interface AnnounceHandlerDependencies {
   readonly clock: Clock;
   readonly machine: ControlStateMachine;
   readonly registry: MembershipRegistry;
@@ -36,44 +39,44 @@
   readonly delivery: OrderDelivery;
   readonly proposer: Proposer;
   readonly leaseMs: number;
-  /** @returns true once the registry has been taken over in this term */
+  /** @returns true once the registry was initialized for this term */
   readonly hasTakenOver: () => boolean;
 }
 
-/** Handles Announce. */
+/** Handles the Announce call. */
 export class AnnounceHandler {
-  readonly #parts: AnnounceParts;
+  readonly #deps: AnnounceHandlerDependencies;
 
-  constructor(parts: AnnounceParts) {
-    this.#parts = parts;
+  constructor(dependencies: AnnounceHandlerDependencies) {
+    this.#deps = dependencies;
   }
 
   /**
    * @param req the announcement
-   * @returns the answer; not accepted by any other member than the leader
+   * @returns the response; only the leader accepts an announcement
    */
   async handle(req: WireAnnounce): Promise<WireAnswer> {
-    if (!this.#serves()) return this.#refuse();
+    if (!this.#canServe()) return this.#refuse();
     if (req.role === ROUTER_ROLE) return this.#answerRouter(req);
     if (!(await this.#registerIncarnation(req))) return this.#refuse();
-    const floorKnown = await this.#confirmFloor(req);
-    // The leadership may have ended while a majority was asked.
-    if (!this.#serves()) return this.#refuse();
-    return this.#accept(req, floorKnown);
+    const isFloorConfirmed = await this.#confirmFloor(req);
+    // Leadership may have been lost during the quorum round trips.
+    if (!this.#canServe()) return this.#refuse();
+    return this.#accept(req, isFloorConfirmed);
   }
 
-  #serves(): boolean {
-    return this.#parts.proposer.leads() && this.#parts.hasTakenOver();
+  #canServe(): boolean {
+    return this.#deps.proposer.leads() && this.#deps.hasTakenOver();
   }
 
   /**
-   * The ledger must know a new incarnation before the sidecar takes work: only
-   * then are its predecessor's open claims settled.
+   * Registers a new incarnation in the ledger before the sidecar accepts work.
+   * The registration settles the open claims of the previous incarnation.
    */
   async #registerIncarnation(req: WireAnnounce): Promise<boolean> {
     const server = req.backendServer ?? '';
     const incarnation = req.incarnation ?? '';
-    const {machine, proposer} = this.#parts;
+    const {machine, proposer} = this.#deps;
     if (machine.ledger.currentIncarnation(server) === incarnation) return true;
     const answer = await proposer.propose<
       IncarnationPayload,
@@ -83,41 +86,46 @@
   }
 
   /**
-   * A restarted sidecar asks with floor 0. It gets the floor from a leader
-   * that a majority confirmed after it asked: a deposed leader would give a
-   * floor below an order that has been passed on since.
+   * Confirms leadership with a quorum when a restarted sidecar requests its
+   * fencing floor, that is, announces floor 0. A deposed leader could return a
+   * floor below the token of an order that was delivered in the meantime.
+   *
+   * @returns true when the sidecar's floor is known or may be sent
    */
   async #confirmFloor(req: WireAnnounce): Promise<boolean> {
     if ((req.fencingFloor ?? 0) > 0) return true;
-    return this.#parts.proposer.confirm();
+    return this.#deps.proposer.confirm();
   }
 
-  #accept(req: WireAnnounce, floorKnown: boolean): WireAnswer {
-    const {machine, registry, convergence, delivery, clock} = this.#parts;
+  #accept(req: WireAnnounce, isFloorConfirmed: boolean): WireAnswer {
+    const {machine, registry, convergence, delivery, clock} = this.#deps;
     const now = clock.now();
-    const said = readAnnouncement(req);
-    const wanted = machine.wanted.get(said.name);
-    registry.announce(said, wanted, now);
-    convergence.report(said.name, 'sidecar', req.revision ?? 0, now);
-    const mean = registry.poolMean(said.pool, now);
-    const floor = Math.max(LOWEST_FLOOR, machine.orders.floorOf(said.name));
+    const announcement = readAnnouncement(req);
+    const wanted = machine.wanted.get(announcement.name);
+    registry.announce(announcement, wanted, now);
+    convergence.report(announcement.name, 'sidecar', req.revision ?? 0, now);
+    const poolMean = registry.poolMean(announcement.pool, now);
+    const fencingFloor = Math.max(
+      MIN_FLOOR,
+      machine.orders.floorOf(announcement.name),
+    );
     return new v1.AnnounceResponse({
       accepted: true,
-      leaseMs: this.#parts.leaseMs,
-      poolMeanTokens: mean.meanTokens,
-      poolMeanRunningTokens: mean.meanRunningTokens,
-      poolMeanAgeMs: Math.round(mean.ageMs),
-      poolReadyServers: mean.readyServers,
+      leaseMs: this.#deps.leaseMs,
+      poolMeanTokens: poolMean.meanTokens,
+      poolMeanRunningTokens: poolMean.meanRunningTokens,
+      poolMeanAgeMs: Math.round(poolMean.ageMs),
+      poolReadyServers: poolMean.readyServers,
       revision: machine.configuration.current.read().revision,
       wantedState: wanted,
-      orders: delivery.ordersFor(said.name).map(toWireOrder),
-      fencingFloor: floorKnown ? floor : 0,
-      fencingFloorKnown: floorKnown,
+      orders: delivery.ordersFor(announcement.name).map(toWireOrder),
+      fencingFloor: isFloorConfirmed ? fencingFloor : 0,
+      fencingFloorKnown: isFloorConfirmed,
     });
   }
 
   #answerRouter(req: WireAnnounce): WireAnswer {
-    const {machine, convergence, clock} = this.#parts;
+    const {machine, convergence, clock} = this.#deps;
     const node = req.backendServer ?? '';
     convergence.report(node, ROUTER_ROLE, req.revision ?? 0, clock.now());
     const {revision} = machine.configuration.current.read();
@@ -125,7 +133,7 @@
   }
 
   #refuse(): WireAnswer {
-    const leader = this.#parts.proposer.leaderAddress();
+    const leader = this.#deps.proposer.leaderAddress();
     return new v1.AnnounceResponse({accepted: false, leader});
   }
 }
--- a/packages/lovagepond-control/src/direct_server_table.ts
+++ b/packages/lovagepond-control/src/direct_server_table.ts
@@ -1,22 +1,23 @@
 /**
- * Backend servers without a sidecar, as all members agree on them.
+ * Replicated table of backend servers without a sidecar.
  *
- * Without the table a restart of all members would leave gateways without any
- * server until each has announced itself again, and a leader lost right after
- * it heard that a server leaves would take that knowledge with it.
+ * Because the table is replicated, gateways have backend servers right after a
+ * restart of all members, before the servers announce themselves again, and the
+ * notice that a server is leaving survives the loss of the leader.
  *
- * The table also gives out places. Prompts have their home at a place, and a
- * place moves from a leaving server to its successor as a whole. With homes
- * tied to servers' names, each newcomer would draw a share of all prompts to
- * itself, and have them read again although a server still holds them.
+ * The table also assigns places. A place is a stable hash key to which gateways
+ * assign prompts, and it passes as a whole from a leaving server to its
+ * successor. If prompts were assigned by server name instead, each new server
+ * would attract a share of all prompts and process them again, although another
+ * server still caches them.
  */
 import {type BackendServer} from '@lovagepond/core';
 
 /** A server as it joined. */
 export type JoiningServer = Omit<BackendServer, 'slot' | 'state' | 'place'> & {
   /**
-   * Start of this life, milliseconds since the Unix epoch: tells lives of one
-   * incarnation apart, in which a server may start again.
+   * Start of this instance, milliseconds since the Unix epoch. It distinguishes
+   * instances when a server restarts under the same incarnation.
    */
   readonly startedAtMs?: number | undefined;
 };
@@ -25,9 +26,9 @@
 export interface DirectServerRecord {
   readonly server: JoiningServer;
   readonly leaving: boolean;
-  /** Empty while it stands by without a place. */
+  /** Empty for a standby, which has no place yet, and for a leaving server. */
   readonly place: string;
-  /** Replicated time, milliseconds. */
+  /** Replicated time of the join, milliseconds. */
   readonly joinedAtMs: number;
 }
 
@@ -42,42 +43,44 @@
   readonly records: readonly DirectServerRecord[];
   readonly vacant: readonly VacantPlace[];
   readonly ended: readonly string[];
-  /** Start of the newest life of each incarnation; absent in older ones. */
+  /** Start of each incarnation's latest instance; absent in old snapshots. */
   readonly lives?: readonly (readonly [string, number])[];
 }
 
 /**
- * Servers that join within this time of a pool's first one found the pool
- * together, and each has a place at once; milliseconds.
+ * Servers that join within this time after the first server of their pool get
+ * a place immediately; milliseconds.
  */
-const FOUNDING_MS = 10_000;
+const INITIAL_JOIN_WINDOW_MS = 10_000;
 
 /**
- * A newcomer stands by for so long, as the server that it takes over from
- * leaves within seconds; then it gets a place of its own. Milliseconds.
+ * A server that joins later is a standby for this time, as the server that it
+ * replaces leaves within seconds. After this time it gets a place of its own;
+ * milliseconds.
  */
-const STAND_BY_MS = 8_000;
+const STANDBY_MS = 8_000;
 
 /**
- * After this time without a server the prompts of a place have new homes, and
- * to move them back would have them read once more; milliseconds.
+ * A place that is vacant for this time is discarded. Other servers have taken
+ * over its prompts by then, and moving these back would have them processed
+ * once more; milliseconds.
  */
-const VACANT_MS = 8_000;
+const VACANCY_RETENTION_MS = 8_000;
 
-/** Servers that ended, remembered so that none is brought back; bounded. */
+/** Limit of ended servers that are remembered so that none joins again. */
 const MAX_ENDED = 2_048;
 
-/** Incarnations whose newest life is remembered, for the same reason. */
-const MAX_LIVES = 2_048;
+/** Limit of incarnations whose latest start is remembered likewise. */
+const MAX_STARTS = 2_048;
 
-/** Servers and places. Part of the replicated state. */
+/** Servers and their places. Part of the replicated state. */
 export class DirectServerTable {
   readonly #records = new Map<string, DirectServerRecord>();
   readonly #ended = new Set<string>();
-  readonly #lives = new Map<string, number>();
+  readonly #starts = new Map<string, number>();
   #vacant: VacantPlace[] = [];
 
-  /** @returns all servers, in the order in which they joined */
+  /** @returns all servers, in the order of joining */
   list(): readonly DirectServerRecord[] {
     return [...this.#records.values()];
   }
@@ -91,32 +94,34 @@
   }
 
   /**
-   * Takes a server in, unless it ended or a later life of it is known: an
-   * announcement that a partition held up may arrive after its sender's end,
-   * and would put the server out that now answers at its address.
+   * Adds a server, unless it has ended or a later instance of it is known. A
+   * partition may delay an announcement until after its sender has ended; if it
+   * were accepted, it would remove the server now running at that address.
    *
-   * @param server a server that is new to the table
+   * @param server a server, which may be in the table already
    * @param timeMs replicated time
    */
   join(server: JoiningServer, timeMs: number): void {
     if (this.#records.has(server.name) || this.#ended.has(server.name)) return;
-    if (this.#isFormerLife(server)) return;
-    this.#rememberLife(server);
-    // A new server at an address means that the one before has ended, as does
-    // a later life of an incarnation, wherever it is.
+    if (this.#isFormerInstance(server)) return;
+    this.#recordStart(server);
+    // A server has ended when another one joins at its address, or when a later
+    // instance of its incarnation joins at any address.
     for (const {server: former} of this.list()) {
       const isSame = former.incarnation === server.incarnation;
       const isAtAddress = former.address === server.address;
       if (isSame || isAtAddress) this.end(former.name, timeMs);
     }
-    const place = this.#takeVacant(server.pool) ?? this.#found(server, timeMs);
+    const place =
+      this.#claimVacantPlace(server.pool) ??
+      this.#choosePlaceOnJoin(server, timeMs);
     const record = {server, leaving: false, place, joinedAtMs: timeMs};
     this.#records.set(server.name, record);
   }
 
   /**
-   * @param incarnation a server's
-   * @returns the name of the life of it that is in the table
+   * @param incarnation a server's incarnation
+   * @returns the name of its instance in the table, if any
    */
   nameOf(incarnation: string): string | undefined {
     const records = this.list();
@@ -125,18 +130,22 @@
   }
 
   /**
-   * @param name a server that says it leaves
+   * Marks a server as leaving and passes its place on.
+   *
+   * @param name the server
    * @param timeMs replicated time
    */
   leave(name: string, timeMs: number): void {
     const record = this.#records.get(name);
     if (!record) return;
     this.#records.set(name, {...record, leaving: true, place: ''});
-    this.#handOver(record, timeMs);
+    this.#reassignPlace(record, timeMs);
   }
 
   /**
-   * @param name a server that is gone for good
+   * Removes a server permanently.
+   *
+   * @param name the server
    * @param timeMs replicated time
    */
   end(name: string, timeMs: number): void {
@@ -149,14 +158,16 @@
   }
 
   /**
-   * @param name a server that went silent; it may announce itself again
+   * Removes a server that may join again, such as one whose lease expired.
+   *
+   * @param name the server
    * @param timeMs replicated time
    */
   drop(name: string, timeMs: number): void {
     const record = this.#records.get(name);
     if (!record) return;
     this.#records.delete(name);
-    this.#handOver(record, timeMs);
+    this.#reassignPlace(record, timeMs);
   }
 
   /**
@@ -164,22 +175,22 @@
    * @returns true when {@link openPlaces} would change something
    */
   hasPlacesToOpen(timeMs: number): boolean {
-    return this.#standByOver(timeMs).length > 0 || this.#hasLapsed(timeMs);
+    return this.#dueStandbys(timeMs).length > 0 || this.#hasLapsed(timeMs);
   }
 
   /**
-   * Gives places to servers that stood by long enough, and closes those that
-   * have been vacant for long.
+   * Assigns places to servers that have been standbys for long enough, and
+   * discards places that have been vacant for too long.
    *
    * @param timeMs replicated time
    */
   openPlaces(timeMs: number): void {
     this.#vacant = this.#vacant.filter(
-      ({sinceMs}) => timeMs - sinceMs < VACANT_MS,
+      ({sinceMs}) => timeMs - sinceMs < VACANCY_RETENTION_MS,
     );
-    for (const record of this.#standByOver(timeMs)) {
+    for (const record of this.#dueStandbys(timeMs)) {
       const {name, pool} = record.server;
-      const place = this.#takeVacant(pool) ?? name;
+      const place = this.#claimVacantPlace(pool) ?? name;
       this.#records.set(name, {...record, place});
     }
   }
@@ -187,11 +198,11 @@
   /** @returns the serialized form */
   snapshot(): DirectServerSnapshot {
     const ended = [...this.#ended];
-    const lives = [...this.#lives];
+    const lives = [...this.#starts];
     return {records: this.list(), vacant: this.#vacant, ended, lives};
   }
 
-  /** @param snapshot what {@link snapshot} gave; absent in older ones */
+  /** @param snapshot the result of {@link snapshot}; absent in older ones */
   restore(snapshot: DirectServerSnapshot | undefined): void {
     this.#records.clear();
     for (const record of snapshot?.records ?? []) {
@@ -200,50 +211,60 @@
     this.#vacant = [...(snapshot?.vacant ?? [])];
     this.#ended.clear();
     for (const name of snapshot?.ended ?? []) this.#ended.add(name);
-    this.#lives.clear();
-    for (const [name, at] of snapshot?.lives ?? []) this.#lives.set(name, at);
+    this.#starts.clear();
+    for (const [name, at] of snapshot?.lives ?? []) this.#starts.set(name, at);
   }
 
-  /** One without a start, of an incarnation that tells it, is another's word. */
-  #isFormerLife({incarnation, startedAtMs = 0}: JoiningServer): boolean {
-    return startedAtMs < (this.#lives.get(incarnation) ?? 0);
+  /**
+   * @returns true when a later instance of the incarnation is known. This holds
+   *     for any announcement without a start once the incarnation has reported
+   *     one: such an announcement can't come from the server itself.
+   */
+  #isFormerInstance({incarnation, startedAtMs = 0}: JoiningServer): boolean {
+    return startedAtMs < (this.#starts.get(incarnation) ?? 0);
   }
 
-  #rememberLife({incarnation, startedAtMs}: JoiningServer): void {
+  #recordStart({incarnation, startedAtMs}: JoiningServer): void {
     if (startedAtMs === undefined) return;
-    this.#lives.delete(incarnation);
-    this.#lives.set(incarnation, startedAtMs);
-    for (const oldest of this.#lives.keys()) {
-      if (this.#lives.size <= MAX_LIVES) return;
-      this.#lives.delete(oldest);
+    this.#starts.delete(incarnation);
+    this.#starts.set(incarnation, startedAtMs);
+    for (const oldest of this.#starts.keys()) {
+      if (this.#starts.size <= MAX_STARTS) return;
+      this.#starts.delete(oldest);
     }
   }
 
-  #standByOver(timeMs: number): DirectServerRecord[] {
+  #dueStandbys(timeMs: number): DirectServerRecord[] {
     return this.list().filter(
       ({leaving, place, joinedAtMs}) =>
-        !leaving && place === '' && timeMs - joinedAtMs >= STAND_BY_MS,
+        !leaving && place === '' && timeMs - joinedAtMs >= STANDBY_MS,
     );
   }
 
   #hasLapsed(timeMs: number): boolean {
-    return this.#vacant.some(({sinceMs}) => timeMs - sinceMs >= VACANT_MS);
+    return this.#vacant.some(
+      ({sinceMs}) => timeMs - sinceMs >= VACANCY_RETENTION_MS,
+    );
   }
 
-  #found({name, pool}: JoiningServer, timeMs: number): string {
-    const times = this.list()
+  #choosePlaceOnJoin({name, pool}: JoiningServer, timeMs: number): string {
+    const joinTimes = this.list()
       .filter(({server}) => server.pool === pool)
       .map(({joinedAtMs}) => joinedAtMs);
-    const isFounding = timeMs - Math.min(timeMs, ...times) < FOUNDING_MS;
-    return isFounding ? name : '';
+    const isInitialJoin =
+      timeMs - Math.min(timeMs, ...joinTimes) < INITIAL_JOIN_WINDOW_MS;
+    return isInitialJoin ? name : '';
   }
 
-  #takeVacant(pool: string): string | undefined {
+  #claimVacantPlace(pool: string): string | undefined {
     const at = this.#vacant.findIndex(vacant => vacant.pool === pool);
     return at < 0 ? undefined : this.#vacant.splice(at, 1)[0]?.place;
   }
 
-  #handOver({server: {pool}, place}: DirectServerRecord, timeMs: number): void {
+  #reassignPlace(
+    {server: {pool}, place}: DirectServerRecord,
+    timeMs: number,
+  ): void {
     if (place === '') return;
     const successor = this.list().find(
       record =>
--- a/packages/lovagepond-control/src/direct_servers.ts
+++ b/packages/lovagepond-control/src/direct_servers.ts
@@ -1,8 +1,9 @@
 /**
- * Backend servers that announce themselves, without a sidecar.
+ * Handles backend servers that announce themselves, without a sidecar.
  *
- * Who is there and who leaves is committed to the log before it is answered;
- * that a server is still alive is soft state of the leader, as with sidecars.
+ * Joining and leaving are committed to the log before they are acknowledged.
+ * The renewal of a server's lease is soft state of the leader, as it is for
+ * servers with a sidecar.
  */
 import {type Clock, SERVER_STATE, type ServerState} from '@lovagepond/core';
 import {
@@ -20,164 +21,172 @@
 } from './membership_registry.js';
 import {type Proposed, type Proposer} from './proposer.js';
 
-/** What a server says of itself. */
+/** An announcement by a backend server. */
 export interface DirectAnnouncement {
-  /** The name under which the server answers; it may start again under it. */
+  /** Name of the server, which it may keep when it restarts. */
   readonly incarnation: string;
   /**
-   * Start of this life, milliseconds since the Unix epoch; undefined where
-   * each start has an incarnation of its own.
+   * Start of this instance, milliseconds since the Unix epoch; undefined where
+   * each start has its own incarnation.
    */
   readonly startedAtMs: number | undefined;
   readonly pool: string;
   readonly address: string;
   readonly availabilityZone: string;
   readonly region: string;
-  /** Requests that it processes at once. */
+  /** Requests that the server processes concurrently. */
   readonly slots: number;
   readonly version: string;
   readonly models: readonly string[];
   readonly leaving: boolean;
-  /** Rises with each announcement, so that a late one is recognised. */
+  /** Increases with each announcement, so that late ones are recognized. */
   readonly sequence: number;
 }
 
-/** What became of an announcement. */
+/** Answer to an announcement. */
 export type AnnouncementAnswer =
   | {readonly kind: 'accepted'}
   /** The configuration in force has no such pool. */
   | {readonly kind: 'unknownPool'}
   | {readonly kind: 'notLeader'; readonly leader: string}
-  /** It may have been committed: the server says it again. */
+  /** It may or may not have been committed: the server must resend it. */
   | {readonly kind: 'unknown'};
 
-/** What the class is built from. */
-export interface DirectServersParts {
+/** Dependencies of {@link DirectServers}. */
+export interface DirectServersDependencies {
   readonly clock: Clock;
   readonly machine: ControlStateMachine;
   readonly registry: MembershipRegistry;
   readonly proposer: Proposer;
-  /** @returns true once the registry has been taken over in this term */
+  /** @returns true once the registry was initialized for this term */
   readonly hasTakenOver: () => boolean;
-  /** Sends subscribers what changed, at once. */
+  /** Sends changes to the subscribers immediately. */
   readonly publish: () => void;
 }
 
-/** Takes announcements at the leader. */
+/** Handles announcements of servers without a sidecar at the leader. */
 export class DirectServers {
-  readonly #parts: DirectServersParts;
-  /** Numbers of the last announcements, by server. */
+  readonly #deps: DirectServersDependencies;
+  /** Sequence number of the last announcement, by server. */
   #sequences = new Map<string, number>();
-  #opening = false;
+  #isOpeningPlaces = false;
 
-  constructor(parts: DirectServersParts) {
-    this.#parts = parts;
+  constructor(dependencies: DirectServersDependencies) {
+    this.#deps = dependencies;
   }
 
-  /** @returns the servers of the table, for a leader that takes over */
-  known(): readonly Announcement[] {
-    return this.#parts.machine.directServers.list().map(toAnnouncement);
+  /** @returns the servers in the replicated table, for a new leader */
+  replicatedServers(): readonly Announcement[] {
+    return this.#deps.machine.directServers.list().map(toAnnouncement);
   }
 
   /**
-   * @param said the announcement
-   * @returns the answer; not accepted by any other member than the leader
+   * @param announcement the announcement
+   * @returns the answer; only the leader accepts an announcement
    */
-  async announce(said: DirectAnnouncement): Promise<AnnouncementAnswer> {
-    if (!this.#serves()) return this.#refuse();
-    if (!this.#isKnownPool(said.pool)) return {kind: 'unknownPool'};
-    const name = nameOfLife(said);
-    // A late announcement must not bring back an earlier state.
-    const isLate = said.sequence <= (this.#sequences.get(name) ?? -1);
-    if (isLate && !said.leaving) return {kind: 'accepted'};
-    this.#sequences.set(name, said.sequence);
-    const committed = await this.#commit(said);
-    if (committed.kind !== 'committed') return this.#explain(committed);
-    if (!this.#serves()) return this.#refuse();
+  async announce(
+    announcement: DirectAnnouncement,
+  ): Promise<AnnouncementAnswer> {
+    if (!this.#canServe()) return this.#refuse();
+    if (!this.#isKnownPool(announcement.pool)) return {kind: 'unknownPool'};
+    const name = instanceName(announcement);
+    // A late announcement must not restore an earlier state.
+    const isLate = announcement.sequence <= (this.#sequences.get(name) ?? -1);
+    if (isLate && !announcement.leaving) return {kind: 'accepted'};
+    this.#sequences.set(name, announcement.sequence);
+    const committed = await this.#commit(announcement);
+    if (committed.kind !== 'committed') return this.#toFailure(committed);
+    if (!this.#canServe()) return this.#refuse();
     this.#renew(name);
     return {kind: 'accepted'};
   }
 
   /**
-   * A server says that it is gone, or leaves without having said so before.
+   * Removes a server that reports its end, whether or not it has announced
+   * before that it is leaving.
    *
-   * @param gone the server; without a start the life that is known
-   * @returns the answer; not accepted by any other member than the leader
+   * @param instance the server; without a start, its instance in the table
+   * @returns the answer; only the leader accepts the report
    */
-  async remove(gone: ServerLife): Promise<AnnouncementAnswer> {
-    if (!this.#serves()) return this.#refuse();
-    const {machine, proposer, registry, clock} = this.#parts;
-    const known = machine.directServers.nameOf(gone.incarnation);
-    const isAnyLife = gone.startedAtMs === undefined;
-    const name = (isAnyLife ? known : undefined) ?? nameOfLife(gone);
+  async remove(instance: ServerInstance): Promise<AnnouncementAnswer> {
+    if (!this.#canServe()) return this.#refuse();
+    const {machine, proposer, registry, clock} = this.#deps;
+    const knownName = machine.directServers.nameOf(instance.incarnation);
+    const isAnyInstance = instance.startedAtMs === undefined;
+    const name =
+      (isAnyInstance ? knownName : undefined) ?? instanceName(instance);
     const ended = await proposer.propose(END_SERVER_COMMAND, {name});
-    if (ended.kind !== 'committed') return this.#explain(ended);
-    if (!this.#serves()) return this.#refuse();
+    if (ended.kind !== 'committed') return this.#toFailure(ended);
+    if (!this.#canServe()) return this.#refuse();
     registry.remove(name, clock.now());
     this.#publishTable();
     return {kind: 'accepted'};
   }
 
   /**
-   * Follows what the registry found, and opens places that are due.
+   * Drops servers whose lease expired, and opens places that are due.
    *
-   * @param lapsed servers that went silent
+   * @param lapsed names of servers whose lease expired, with or without sidecar
    * @param now monotonic milliseconds
    */
   async tick(lapsed: readonly string[], now: number): Promise<void> {
-    const {machine, proposer} = this.#parts;
+    const {machine, proposer} = this.#deps;
     const table = machine.directServers;
     const names = lapsed.filter(name => table.get(name));
     if (names.length > 0) {
       await proposer.propose(DROP_SERVERS_COMMAND, {names});
       this.#publishTable();
     }
-    if (this.#opening || !table.hasPlacesToOpen(machine.time.stamp(now))) {
+    if (
+      this.#isOpeningPlaces ||
+      !table.hasPlacesToOpen(machine.time.stamp(now))
+    ) {
       return;
     }
-    this.#opening = true;
+    this.#isOpeningPlaces = true;
     try {
       await proposer.propose(OPEN_PLACES_COMMAND, {});
       this.#publishTable();
     } finally {
-      this.#opening = false;
+      this.#isOpeningPlaces = false;
     }
   }
 
   /**
-   * What names a pool that nobody configured may come from another writer, and
-   * would put the server out that answers at its address.
+   * Checks the announced pool. An announcement for a pool that isn't configured
+   * may come from a foreign sender, and accepting it would remove the server
+   * running at that address. Without configured pools any pool is accepted.
    */
   #isKnownPool(pool: string): boolean {
-    const {content} = this.#parts.machine.configuration.current.read();
+    const {content} = this.#deps.machine.configuration.current.read();
     const {pools} = content;
     return pools.length === 0 || pools.some(({name}) => name === pool);
   }
 
-  #serves(): boolean {
-    return this.#parts.proposer.leads() && this.#parts.hasTakenOver();
+  #canServe(): boolean {
+    return this.#deps.proposer.leads() && this.#deps.hasTakenOver();
   }
 
   #refuse(): AnnouncementAnswer {
-    const leader = this.#parts.proposer.leaderAddress();
+    const leader = this.#deps.proposer.leaderAddress();
     return {kind: 'notLeader', leader};
   }
 
-  #explain(outcome: {readonly kind: string}): AnnouncementAnswer {
+  #toFailure(outcome: {readonly kind: string}): AnnouncementAnswer {
     return outcome.kind === 'unknown' ? {kind: 'unknown'} : this.#refuse();
   }
 
-  /** Proposes what the table lacks; most announcements only renew. */
-  async #commit(said: DirectAnnouncement): Promise<Proposed<unknown>> {
-    const {machine, proposer} = this.#parts;
-    const name = nameOfLife(said);
+  /** Proposes changes to the table; most announcements need none. */
+  async #commit(announcement: DirectAnnouncement): Promise<Proposed<unknown>> {
+    const {machine, proposer} = this.#deps;
+    const name = instanceName(announcement);
     const table = machine.directServers;
     let outcome: Proposed<unknown> = {kind: 'committed', value: {}};
     if (!table.get(name)) {
-      const server = toJoining(said);
+      const server = toJoiningServer(announcement);
       outcome = await proposer.propose(JOIN_SERVER_COMMAND, {server});
     }
-    if (outcome.kind === 'committed' && said.leaving) {
+    if (outcome.kind === 'committed' && announcement.leaving) {
       if (table.get(name)?.leaving) return outcome;
       outcome = await proposer.propose(LEAVE_SERVER_COMMAND, {name});
     }
@@ -185,9 +194,9 @@
   }
 
   #renew(name: string): void {
-    const {registry, machine, clock} = this.#parts;
+    const {registry, machine, clock} = this.#deps;
     const record = machine.directServers.get(name);
-    // It ended while its announcement was on the way.
+    // The server ended while its announcement was being processed.
     if (!record) return;
     const wanted = machine.wanted.get(name);
     const isNew = !registry.has(name);
@@ -195,13 +204,17 @@
     if (isNew || record.leaving) this.#publishTable();
   }
 
-  /** A change of one server may have given or taken others' places. */
+  /**
+   * Copies the whole table to the registry, as a change to one server may have
+   * changed the places of others.
+   */
   #publishTable(): void {
-    const {machine, registry, publish, clock} = this.#parts;
+    const {machine, registry, publish, clock} = this.#deps;
     const table = machine.directServers;
     for (const record of table.list()) {
       const {name} = record.server;
-      // Otherwise the registry decides: it may hold a server that flaps.
+      // The registry decides the other states: it may hold back a flapping
+      // server.
       const leaving = record.leaving && {state: SERVER_STATE.DRAINING};
       registry.update(name, {place: record.place, ...leaving});
     }
@@ -214,17 +227,18 @@
   }
 }
 
-/** One life of a server. */
-export type ServerLife = Pick<
+/** One instance of a server: a single run of its process. */
+export type ServerInstance = Pick<
   DirectAnnouncement,
   'incarnation' | 'startedAtMs'
 >;
 
 /**
- * Each life is a server of its own everywhere: what is known of the one before,
- * such as its warm prompts, its load and its pauses, ends with its name.
+ * Each instance has its own name and so counts as a separate server everywhere.
+ * State of the previous instance, such as its cached prompts, load and pauses,
+ * isn't carried over.
  */
-function nameOfLife({incarnation, startedAtMs}: ServerLife): string {
+function instanceName({incarnation, startedAtMs}: ServerInstance): string {
   return startedAtMs === undefined
     ? incarnation
     : `${incarnation}@${startedAtMs}`;
@@ -244,18 +258,20 @@
   };
 }
 
-function toJoining(said: DirectAnnouncement): DirectServerRecord['server'] {
+function toJoiningServer(
+  announcement: DirectAnnouncement,
+): DirectServerRecord['server'] {
   return {
-    name: nameOfLife(said),
-    incarnation: said.incarnation,
-    startedAtMs: said.startedAtMs,
-    pool: said.pool,
-    labels: {version: said.version},
-    availabilityZone: said.availabilityZone,
-    region: said.region,
-    address: said.address,
+    name: instanceName(announcement),
+    incarnation: announcement.incarnation,
+    startedAtMs: announcement.startedAtMs,
+    pool: announcement.pool,
+    labels: {version: announcement.version},
+    availabilityZone: announcement.availabilityZone,
+    region: announcement.region,
+    address: announcement.address,
     capacityTokens: 0,
-    models: said.models,
-    directSlots: said.slots,
+    models: announcement.models,
+    directSlots: announcement.slots,
   };
 }
--- a/packages/lovagepond-control/src/ledger_entries.ts
+++ b/packages/lovagepond-control/src/ledger_entries.ts
@@ -1,5 +1,5 @@
 /**
- * Entries of the ledger of calls that may not be repeated, and their expiry.
+ * Entries of the ledger of non-repeatable calls, and their expiry.
  */
 import {invariant} from '@lovagepond/core';
 import {ExpiryQueue} from './expiry_queue.js';
@@ -12,25 +12,25 @@
   readEntry,
 } from './ledger_entry.js';
 
-/** How long entries live. */
+/** Retention and size limits of the ledger. */
 export interface LedgerLimits {
   readonly answerRetentionMs: number;
   readonly keyRetentionMs: number;
   readonly openClaimLimitMs: number;
-  /** Most entries at one time. */
+  /** Limit of entries. */
   readonly ledgerLimit: number;
-  /** Most characters of all kept answers; the oldest go first. */
+  /** Limit of characters of all stored answers; the oldest go first. */
   readonly answerCharactersLimit: number;
 }
 
 /**
- * The entries by key. Time runs only by {@link LedgerEntries.expire}, so that
- * every member expires the same entries at the same command.
+ * The entries by key. Entries expire only in {@link LedgerEntries.expire}, so
+ * that every member expires the same entries at the same command.
  */
 export class LedgerEntries {
   readonly #readLimits: () => LedgerLimits;
   readonly #entries = new Map<string, LedgerEntry>();
-  /** Open keys of each sidecar, to settle them when it restarts. */
+  /** Keys with an open claim of each sidecar, settled when it restarts. */
   readonly #openByServer = new Map<string, Set<string>>();
   readonly #buckets = new LedgerBuckets();
   #answerCharacters = 0;
@@ -43,12 +43,12 @@
     this.#readLimits = readLimits;
   }
 
-  /** Entries held, whatever their state. */
+  /** Number of entries in any state. */
   get size(): number {
     return this.#entries.size;
   }
 
-  /** Claimed calls without an outcome; counts anew on each read. */
+  /** Number of claimed calls without an outcome; computed on each read. */
   get openCount(): number {
     let count = 0;
     for (const keys of this.#openByServer.values()) count += keys.size;
@@ -57,7 +57,7 @@
 
   /**
    * @param key the entry's key
-   * @returns the entry, or undefined when the call isn't known
+   * @returns the entry, or undefined when there is none for the key
    */
   get(key: string): LedgerEntry | undefined {
     return this.#entries.get(key);
@@ -65,37 +65,37 @@
 
   /**
    * @param server a sidecar's backend server
-   * @returns its open keys
+   * @returns the keys with an open claim of this sidecar
    */
   openKeysOf(server: string): readonly string[] {
     return [...(this.#openByServer.get(server) ?? [])];
   }
 
   /**
-   * Puts an entry in, or the next state of it.
+   * Adds an entry or replaces its state.
    *
-   * @param key its key
-   * @param entry the entry; `sinceMs` is the present replicated time
+   * @param key the entry's key
+   * @param entry the entry; its `sinceMs` is the current replicated time
    */
   set(key: string, entry: LedgerEntry): void {
-    this.#unlink(key);
+    this.#releaseEntry(key);
     this.#entries.set(key, entry);
-    this.#buckets.touch(key);
+    this.#buckets.markChanged(key);
     this.#answerCharacters += entry.answer?.length ?? 0;
-    this.#queue(key, entry);
-    this.#dropAnswers();
+    this.#enqueue(key, entry);
+    this.#evictAnswers();
   }
 
-  /** @param key the key to forget */
+  /** @param key the key to remove */
   delete(key: string): void {
-    this.#unlink(key);
+    this.#releaseEntry(key);
     this.#entries.delete(key);
     this.#buckets.delete(key);
   }
 
   /**
-   * Expires what is due: open claims become unknown, answers are dropped
-   * before their keys, and keys are forgotten last.
+   * Expires entries that are due: open claims become unknown, answers are
+   * dropped before their keys, and keys are removed last.
    *
    * @param timeMs replicated time
    */
@@ -107,7 +107,7 @@
       if (entry?.state === ENTRY_STATE.OPEN) this.settleUnknown(key, timeMs);
     });
     drain(this.#answerQueue, timeMs - answerRetentionMs, key => {
-      if (this.#due(key, timeMs - answerRetentionMs)) this.#dropAnswer(key);
+      if (this.#due(key, timeMs - answerRetentionMs)) this.#evictAnswer(key);
     });
     drain(this.#keyQueue, timeMs - keyRetentionMs, key => {
       if (this.#due(key, timeMs - keyRetentionMs)) this.delete(key);
@@ -115,7 +115,9 @@
   }
 
   /**
-   * @param key an open key whose outcome nobody can tell any more
+   * Sets an entry's state to unknown.
+   *
+   * @param key a key whose claim can no longer get a certain outcome
    * @param timeMs replicated time
    */
   settleUnknown(key: string, timeMs: number): void {
@@ -124,16 +126,16 @@
     this.set(key, {...entry, state: ENTRY_STATE.UNKNOWN, sinceMs: timeMs});
   }
 
-  /** @returns lines of JSON, one entry each, in the order of their making */
+  /** @returns lines of JSON, one entry each, in the order of creation */
   encode(): Uint8Array[] {
     return this.#buckets.encode(key => {
       const entry = this.#entries.get(key);
-      invariant(entry, 204, 'a bucket holds a key without entry');
+      invariant(entry, 204, 'a ledger bucket holds a key that has no entry');
       return encodeEntry(key, entry);
     });
   }
 
-  /** @param lines what {@link encode} gave, in one piece */
+  /** @param lines the concatenated result of {@link encode} */
   restore(lines: Uint8Array): void {
     this.#clear();
     const owners = new Map<string, ClaimOwner>();
@@ -152,15 +154,15 @@
       const keys = entries.map(([key]) => key);
       this.#buckets.adopt(keys, bytes);
     }
-    this.#queueAll();
+    this.#enqueueAll();
   }
 
-  /** Puts all entries into the queues, which want them by time. */
-  #queueAll(): void {
+  /** Adds all entries to the expiry queues, which require time order. */
+  #enqueueAll(): void {
     const byTime = [...this.#entries].sort(
       ([, a], [, b]) => a.sinceMs - b.sinceMs,
     );
-    for (const [key, entry] of byTime) this.#queue(key, entry);
+    for (const [key, entry] of byTime) this.#enqueue(key, entry);
   }
 
   #clear(): void {
@@ -173,15 +175,15 @@
     this.#answerCharacters = 0;
   }
 
-  /** @returns the entry of a queued key, unless it changed since. */
+  /** @returns the entry of a dequeued key, unless it changed later */
   #due(key: string, untilMs: number): LedgerEntry | undefined {
     const entry = this.#entries.get(key);
     return entry && entry.sinceMs <= untilMs ? entry : undefined;
   }
 
-  #queue(key: string, entry: LedgerEntry): void {
+  #enqueue(key: string, entry: LedgerEntry): void {
     if (entry.state === ENTRY_STATE.OPEN) {
-      this.#link(key, entry);
+      this.#addOpenClaim(key, entry);
     } else {
       this.#keyQueue.push(key, entry.sinceMs);
     }
@@ -189,24 +191,24 @@
     this.#answerQueue.push(key, entry.sinceMs);
   }
 
-  #dropAnswers(): void {
+  #evictAnswers(): void {
     const {answerCharactersLimit} = this.#readLimits();
     while (this.#answerCharacters > answerCharactersLimit) {
       const key = this.#answerQueue.takeUntil(Infinity);
       if (key === undefined) return;
-      this.#dropAnswer(key);
+      this.#evictAnswer(key);
     }
   }
 
-  #dropAnswer(key: string): void {
+  #evictAnswer(key: string): void {
     const entry = this.#entries.get(key);
     if (entry?.answer === undefined) return;
     this.#answerCharacters -= entry.answer.length;
     this.#entries.set(key, {...entry, answer: undefined});
-    this.#buckets.touch(key);
+    this.#buckets.markChanged(key);
   }
 
-  #link(key: string, entry: LedgerEntry): void {
+  #addOpenClaim(key: string, entry: LedgerEntry): void {
     const {server} = entry.owner;
     const keys = this.#openByServer.get(server) ?? new Set();
     keys.add(key);
@@ -214,7 +216,7 @@
     this.#openQueue.push(key, entry.sinceMs);
   }
 
-  #unlink(key: string): void {
+  #releaseEntry(key: string): void {
     const entry = this.#entries.get(key);
     if (!entry) return;
     this.#answerCharacters -= entry.answer?.length ?? 0;
--- a/packages/lovagepond-control/src/ledger_incarnations.ts
+++ b/packages/lovagepond-control/src/ledger_incarnations.ts
@@ -1,46 +1,48 @@
 /**
- * Which incarnation of each sidecar may claim, and which attempts gave up.
+ * The current and the superseded incarnations of each sidecar.
  */
 import {ExpiryQueue} from './expiry_queue.js';
 import {type ClaimOwner} from './ledger_entry.js';
 
-/** Former incarnations remembered of one sidecar. */
-const FORMER_LIMIT = 8;
+/** Limit of superseded incarnations that are remembered for one sidecar. */
+const MAX_FORMER_INCARNATIONS = 8;
 
 /**
- * A sidecar not registered anew for this long is forgotten with its superseded
- * incarnations. Names of replaced hosts would pile up for ever otherwise; a
- * sidecar that still runs registers again with its next announcement.
+ * A sidecar without a new registration for this long is removed, together with
+ * its superseded incarnations, as the names of replaced hosts would otherwise
+ * accumulate. A sidecar that is still running registers again with its next
+ * announcement.
  */
 const REGISTRATION_RETENTION_MS = 7 * 24 * 3_600_000;
 
-interface Registered {
+interface Registration {
   readonly owner: ClaimOwner;
-  /** Superseded ones: they never come back. */
+  /** Superseded incarnations, which can't register again. */
   readonly former: readonly string[];
   readonly sinceMs: number;
 }
 
 /** Serialized form. */
-export type IncarnationSnapshot = readonly (readonly [string, Registered])[];
+export type IncarnationSnapshot = readonly (readonly [string, Registration])[];
 
 /** The incarnations of sidecars. Part of the replicated state. */
 export class LedgerIncarnations {
-  readonly #registered = new Map<string, Registered>();
+  readonly #registered = new Map<string, Registration>();
   readonly #queue = new ExpiryQueue();
 
   /**
    * @param server a sidecar's backend server
-   * @returns its incarnation that may claim, if one registered
+   * @returns the sidecar's current incarnation, if one is registered
    */
   current(server: string): ClaimOwner | undefined {
     return this.#registered.get(server)?.owner;
   }
 
   /**
-   * Makes an incarnation the current one. A superseded one is refused: its
-   * announcement delivered late would turn the claims of the running
-   * incarnation to unknown, and the two would supersede each other for ever.
+   * Makes an incarnation the current one, unless it was superseded. If the late
+   * announcement of a superseded incarnation were accepted, the open claims of
+   * the running one would become unknown, and the two would supersede each
+   * other forever.
    *
    * @param server the sidecar's backend server
    * @param incarnation the incarnation
@@ -52,7 +54,10 @@
     if (known?.owner.incarnation === incarnation) return true;
     if (known?.former.includes(incarnation)) return false;
     const former = known
-      ? [known.owner.incarnation, ...known.former].slice(0, FORMER_LIMIT)
+      ? [known.owner.incarnation, ...known.former].slice(
+          0,
+          MAX_FORMER_INCARNATIONS,
+        )
       : [];
     const owner = {server, incarnation};
     this.#registered.set(server, {owner, former, sinceMs: timeMs});
@@ -61,18 +66,18 @@
   }
 
   /**
-   * Forgets sidecars that registered long ago.
+   * Removes sidecars whose registration has expired.
    *
    * @param timeMs replicated time
-   * @param keep says which sidecars have open claims and stay
+   * @param hasOpenClaims returns true for sidecars with open claims, which stay
    */
-  expire(timeMs: number, keep: (server: string) => boolean): void {
+  expire(timeMs: number, hasOpenClaims: (server: string) => boolean): void {
     const untilMs = timeMs - REGISTRATION_RETENTION_MS;
     for (;;) {
       const server = this.#queue.takeUntil(untilMs);
       if (server === undefined) return;
       const known = this.#registered.get(server);
-      if (!known || known.sinceMs > untilMs || keep(server)) continue;
+      if (!known || known.sinceMs > untilMs || hasOpenClaims(server)) continue;
       this.#registered.delete(server);
     }
   }
@@ -82,7 +87,7 @@
     return [...this.#registered];
   }
 
-  /** @param snapshot what {@link snapshot} gave */
+  /** @param snapshot the result of {@link snapshot} */
   restore(snapshot: IncarnationSnapshot): void {
     this.#registered.clear();
     this.#queue.clear();
--- a/packages/lovagepond-control/src/membership_registry.ts
+++ b/packages/lovagepond-control/src/membership_registry.ts
@@ -1,6 +1,6 @@
 /**
- * Which backend servers exist, from what their sidecars announce. Soft state
- * of the control leader: nothing of it is written to disk.
+ * The registry of backend servers, built from their announcements. Soft state
+ * of the control leader, which is never written to disk.
  */
 import {
   type BackendServer,
@@ -14,7 +14,7 @@
 import {SlotTable} from './membership_slots.js';
 import {type PoolMean, PoolMeans, type PoolShare} from './pool_means.js';
 
-/** What a sidecar says of itself about once a second. */
+/** An announcement, sent by or for a backend server about once a second. */
 export interface Announcement extends Omit<BackendServer, 'slot'> {
   readonly runningTokens: number;
   readonly queuedTokens: number;
@@ -22,12 +22,12 @@
 
 /** Settings of the registry. */
 export interface RegistrySettings {
-  /** A server that doesn't renew for this long is gone. */
+  /** A server that doesn't renew its lease for this long is removed. */
   readonly leaseMs: number;
   readonly flapping?: FlapSettings;
 }
 
-/** One backend server with what only control knows of it. */
+/** One backend server with the state that only control holds. */
 export interface RegisteredServer {
   readonly server: BackendServer;
   readonly announcedState: ServerState;
@@ -42,7 +42,7 @@
   readonly membershipVersion: number;
   /** One byte for each slot. */
   readonly loads: Uint8Array;
-  /** Mean age of the reports in it, milliseconds. */
+  /** Mean age of the included announcements, milliseconds. */
   readonly ageMs: number;
 }
 
@@ -53,28 +53,28 @@
   queuedTokens: number;
   renewedAt: number;
   held: boolean;
-  /** False until it announced itself to this leader. */
-  reported: boolean;
-  /** Its part in the pool's mean, when it has one. */
+  /** False until the server has announced itself to this leader. */
+  hasAnnounced: boolean;
+  /** The server's share in its pool's mean; undefined unless it is ready. */
   share: PoolShare | undefined;
 }
 
-/** Versions of one term: a safe integer holds 2^21 terms of these. */
+/** Versions of one term; a safe integer can hold 2^21 such terms. */
 const VERSIONS_PER_TERM = 2 ** 32;
 
-/** A freed slot rests this many leases. */
-const SLOT_REST_LEASES = 4;
+/** Number of leases before a released slot is reused. */
+const SLOT_REUSE_DELAY_LEASES = 4;
 
-/** A mass lapse: more than this part of all servers lapse at once. */
+/** A lapse of more than this fraction of all servers is a mass lapse. */
 const MASS_LAPSE_FRACTION = 0.5;
 
-/** With fewer servers, half of them may well fail at once. */
+/** With fewer servers, more than half of them may well fail at once. */
 const MASS_LAPSE_MIN_SERVERS = 4;
 
-/** Leases that expiry is suspended for in a mass lapse. */
-const MASS_LAPSE_WAIT_LEASES = 10;
+/** Number of leases for which a mass lapse suspends expiry. */
+const MASS_LAPSE_SUSPENSION_LEASES = 10;
 
-/** Part of a pool that must stay ready for a flapping server to be held. */
+/** Fraction of a pool that must stay ready when a server is held back. */
 const MIN_READY_FRACTION = 0.5;
 
 /** The backend servers that announced themselves to this leader. */
@@ -90,24 +90,25 @@
   #massLapseSince: number | undefined;
 
   /**
-   * @param settings lease and damping
-   * @param log the list that subscribers are fed from
+   * @param settings lease duration and flap damping
+   * @param log the list that subscribers get their changes from
    */
   constructor(settings: RegistrySettings, log: MembershipLog) {
     this.#settings = settings;
     this.#log = log;
     this.#damper = new FlapDamper(settings.flapping);
-    this.#slots = new SlotTable(settings.leaseMs * SLOT_REST_LEASES);
+    this.#slots = new SlotTable(settings.leaseMs * SLOT_REUSE_DELAY_LEASES);
   }
 
   /**
-   * Starts as leader, from the list this member mirrored as a follower. All of
-   * it gets a whole lease: servers were renewing with the former leader, and
-   * to drop them now would empty the routers' lists at each change of leader.
+   * Initializes the registry of a new leader from the list that this member
+   * mirrored as a follower. Every server gets a full lease: it renewed with the
+   * previous leader, and dropping all servers would empty the routers' lists at
+   * each change of leader.
    *
    * @param term the leader's term
    * @param now monotonic milliseconds
-   * @param known servers that the replicated state holds
+   * @param known servers from the replicated state
    */
   takeOver(
     term: number,
@@ -118,30 +119,30 @@
     this.#records.clear();
     this.#poolSizes.clear();
     this.#means = new PoolMeans();
-    this.#slots = new SlotTable(leaseMs * SLOT_REST_LEASES);
+    this.#slots = new SlotTable(leaseMs * SLOT_REUSE_DELAY_LEASES);
     this.#massLapseSince = undefined;
     this.#log.raiseVersion(term * VERSIONS_PER_TERM);
     for (const server of this.#log.servers()) this.#adopt(server, now);
-    // Without a mirrored list, one lease shows who is there.
+    // Without a mirrored list, all servers announce themselves within a lease.
     this.#completeAt = now + leaseMs;
     if (this.#records.size === 0) this.#log.markIncomplete();
-    for (const said of known) this.announce(said, WANTED_STATE.READY, now);
+    for (const server of known) this.announce(server, WANTED_STATE.READY, now);
   }
 
   /**
-   * Takes one announcement: joins or renews.
+   * Applies an announcement: adds the server or renews its lease.
    *
-   * @param said what the sidecar says
-   * @param wanted what operators want of the server
+   * @param announcement the announcement
+   * @param wanted the server's wanted state
    * @param now monotonic milliseconds
    */
-  announce(said: Announcement, wanted: WantedState, now: number): void {
-    const known = this.#records.get(said.name);
-    if (isFlap(known, said)) this.#damper.flap(said.name, now);
-    const slot = this.#slots.assign(said.name, now);
-    const held = this.#isHeld(said, now);
-    const state = decideState(said.state, wanted, held);
-    const server = toBackendServer(said, state, slot);
+  announce(announcement: Announcement, wanted: WantedState, now: number): void {
+    const known = this.#records.get(announcement.name);
+    if (isFlap(known, announcement)) this.#damper.add(announcement.name, now);
+    const slot = this.#slots.assign(announcement.name, now);
+    const held = this.#isHeld(announcement, now);
+    const state = decideState(announcement.state, wanted, held);
+    const server = toBackendServer(announcement, state, slot);
     if (!known) this.#resizePool(server.pool, 1);
     if (known && known.server.pool !== server.pool) {
       this.#resizePool(known.server.pool, -1);
@@ -151,21 +152,21 @@
     const record: ServerRecord = {
       server:
         known && isSameServer(known.server, server) ? known.server : server,
-      announcedState: said.state,
-      runningTokens: said.runningTokens,
-      queuedTokens: said.queuedTokens,
+      announcedState: announcement.state,
+      runningTokens: announcement.runningTokens,
+      queuedTokens: announcement.queuedTokens,
       renewedAt: now,
       held,
-      reported: true,
+      hasAnnounced: true,
       share: undefined,
     };
-    this.#records.set(said.name, record);
+    this.#records.set(announcement.name, record);
     this.#addShare(record);
     if (record.server !== known?.server) this.#log.put(server);
   }
 
   /**
-   * Takes a server out that said it is gone.
+   * Removes a server that has ended.
    *
    * @param name a server, in the list or not
    * @param now monotonic milliseconds
@@ -176,10 +177,10 @@
   }
 
   /**
-   * Declares gone what did not renew within the lease.
+   * Removes servers whose lease expired; in a mass lapse only draining ones.
    *
    * @param now monotonic milliseconds
-   * @returns names of the servers that went
+   * @returns names of the removed servers
    */
   tick(now: number): readonly string[] {
     this.#damper.sweep(now);
@@ -189,7 +190,7 @@
     const lapsed = [...this.#records.values()].filter(
       record => now - record.renewedAt > this.#settings.leaseMs,
     );
-    const gone = this.#suspendsExpiry(lapsed, now)
+    const gone = this.#isExpirySuspended(lapsed, now)
       ? lapsed.filter(isLeaving)
       : lapsed;
     for (const record of gone) this.#remove(record, now);
@@ -199,7 +200,7 @@
   /**
    * @param pool a pool's name
    * @param now monotonic milliseconds
-   * @returns mean load over its ready servers
+   * @returns mean load of the pool's ready servers
    */
   poolMean(pool: string, now: number): PoolMean {
     return this.#means.read(pool, now);
@@ -221,7 +222,7 @@
     return {membershipVersion: this.#log.version, loads, ageMs};
   }
 
-  /** @returns every server with what control knows of it */
+  /** @returns all servers with their state at this leader */
   list(): readonly RegisteredServer[] {
     return [...this.#records.values()];
   }
@@ -235,10 +236,10 @@
   }
 
   /**
-   * Takes over what the replicated state says of a server in the list.
+   * Updates a server in the list from the replicated state.
    *
    * @param name a server
-   * @param changed its new place, and its state when that changed
+   * @param changed the server's place, and its state when that changed
    */
   update(
     name: string,
@@ -262,41 +263,42 @@
       queuedTokens: 0,
       renewedAt: now,
       held: false,
-      reported: false,
+      hasAnnounced: false,
       share: undefined,
     });
   }
 
   /**
-   * A flapping server is held in `joining`, unless its pool would be left with
-   * less than half of its servers: a server that flaps beats none.
+   * A flapping server is held in `joining`, unless fewer than half of the
+   * servers of its pool would stay ready: a flapping server is better than no
+   * server.
    */
-  #isHeld(said: Announcement, now: number): boolean {
-    if (!this.#damper.isHeld(said.name, now)) return false;
-    const size = this.#poolSizes.get(said.pool) ?? 0;
-    const ready = this.#means.read(said.pool, now).readyServers;
-    const own = this.#records.get(said.name)?.share ? 1 : 0;
-    return ready - own >= size * MIN_READY_FRACTION;
+  #isHeld(announcement: Announcement, now: number): boolean {
+    if (!this.#damper.isHeld(announcement.name, now)) return false;
+    const size = this.#poolSizes.get(announcement.pool) ?? 0;
+    const ready = this.#means.read(announcement.pool, now).readyServers;
+    const ownReady = this.#records.get(announcement.name)?.share ? 1 : 0;
+    return ready - ownReady >= size * MIN_READY_FRACTION;
   }
 
   /**
-   * When most servers lapse at once, the likely cause is this leader's own
-   * network: sidecars can't reach it while the other members can. Believed,
-   * the lapses would empty every router's list although the servers are well.
-   * Routers find by themselves which of them are really gone.
+   * Suspends expiry when most servers lapse at once. The likely cause is this
+   * leader's network: sidecars can't reach it while the other members can.
+   * Removing the servers would empty every router's list although they are
+   * healthy. Routers detect failed servers by themselves.
    */
-  #suspendsExpiry(lapsed: readonly ServerRecord[], now: number): boolean {
+  #isExpirySuspended(lapsed: readonly ServerRecord[], now: number): boolean {
     const failed = lapsed.filter(record => !isLeaving(record)).length;
     const total = this.#records.size;
-    const many =
+    const isMassLapse =
       failed > total * MASS_LAPSE_FRACTION && total >= MASS_LAPSE_MIN_SERVERS;
-    if (!many) {
+    if (!isMassLapse) {
       this.#massLapseSince = undefined;
       return false;
     }
     this.#massLapseSince ??= now;
-    const waitMs = this.#settings.leaseMs * MASS_LAPSE_WAIT_LEASES;
-    return now - this.#massLapseSince < waitMs;
+    const suspensionMs = this.#settings.leaseMs * MASS_LAPSE_SUSPENSION_LEASES;
+    return now - this.#massLapseSince < suspensionMs;
   }
 
   #remove(record: ServerRecord, now: number): void {
@@ -319,8 +321,8 @@
     this.#means.add(record.share);
   }
 
-  #resizePool(pool: string, by: number): void {
-    const size = (this.#poolSizes.get(pool) ?? 0) + by;
+  #resizePool(pool: string, change: number): void {
+    const size = (this.#poolSizes.get(pool) ?? 0) + change;
     if (size > 0) {
       this.#poolSizes.set(pool, size);
     } else {
@@ -329,17 +331,20 @@
   }
 }
 
-/** A server that goes on purpose may lapse at any time. */
+/** A draining server is expected to stop renewing, so it may lapse any time. */
 function isLeaving(record: ServerRecord): boolean {
   return record.server.state === SERVER_STATE.DRAINING;
 }
 
-/** A restart, or a ready server that says it isn't ready after all. */
-function isFlap(known: ServerRecord | undefined, said: Announcement): boolean {
-  if (!known?.reported) return known === undefined;
-  if (known.server.incarnation !== said.incarnation) return true;
+/** A flap is a join, a restart, or a change from ready back to joining. */
+function isFlap(
+  known: ServerRecord | undefined,
+  announcement: Announcement,
+): boolean {
+  if (!known?.hasAnnounced) return known === undefined;
+  if (known.server.incarnation !== announcement.incarnation) return true;
   const wasReady = known.announcedState === SERVER_STATE.READY;
-  return wasReady && said.state === SERVER_STATE.JOINING;
+  return wasReady && announcement.state === SERVER_STATE.JOINING;
 }
 
 function decideState(
@@ -353,25 +358,25 @@
 }
 
 function toBackendServer(
-  said: Announcement,
+  announcement: Announcement,
   state: ServerState,
   slot: number,
 ): BackendServer {
   return {
-    name: said.name,
-    incarnation: said.incarnation,
-    pool: said.pool,
-    labels: said.labels,
-    availabilityZone: said.availabilityZone,
-    region: said.region,
-    address: said.address,
+    name: announcement.name,
+    incarnation: announcement.incarnation,
+    pool: announcement.pool,
+    labels: announcement.labels,
+    availabilityZone: announcement.availabilityZone,
+    region: announcement.region,
+    address: announcement.address,
     state,
-    capacityTokens: said.capacityTokens,
-    models: said.models,
+    capacityTokens: announcement.capacityTokens,
+    models: announcement.models,
     slot,
-    ...(said.directSlots && {
-      directSlots: said.directSlots,
-      place: said.place ?? '',
+    ...(announcement.directSlots && {
+      directSlots: announcement.directSlots,
+      place: announcement.place ?? '',
     }),
   };
 }
--- a/packages/lovagepond-control/src/membership_slots.ts
+++ b/packages/lovagepond-control/src/membership_slots.ts
@@ -1,5 +1,5 @@
 /**
- * Positions of backend servers in the load digest.
+ * Assigns backend servers their positions in the load digest.
  */
 import {invariant} from '@lovagepond/core';
 
@@ -9,22 +9,22 @@
 }
 
 /**
- * Gives each server a slot for as long as it is in the list. A freed slot
- * rests before it is given again: a router that still holds the older list
- * would read the newcomer's load as that of the server that left.
+ * Assigns each server a slot while it is in the list. A released slot is reused
+ * only after a delay, as a router that still holds the older list would take
+ * the new server's load for that of the server that left.
  */
 export class SlotTable {
-  readonly #restMs: number;
+  readonly #reuseDelayMs: number;
   readonly #slots = new Map<string, number>();
   #freed: FreedSlot[] = [];
   #length = 0;
 
-  /** @param restMs time a freed slot rests */
-  constructor(restMs: number) {
-    this.#restMs = restMs;
+  /** @param reuseDelayMs time before a released slot is reused */
+  constructor(reuseDelayMs: number) {
+    this.#reuseDelayMs = reuseDelayMs;
   }
 
-  /** Number of slots, and so of bytes in the digest. */
+  /** Number of slots, which is the number of bytes in the digest. */
   get length(): number {
     return this.#length;
   }
@@ -32,26 +32,26 @@
   /**
    * @param name a server
    * @param now monotonic milliseconds
-   * @returns its slot
+   * @returns the server's slot
    */
   assign(name: string, now: number): number {
     const known = this.#slots.get(name);
     if (known !== undefined) return known;
-    const slot = this.#takeRested(now) ?? this.#length;
+    const slot = this.#claimReusable(now) ?? this.#length;
     this.#length = Math.max(this.#length, slot + 1);
     this.#slots.set(name, slot);
     return slot;
   }
 
   /**
-   * Takes over a slot that a former leader gave.
+   * Adopts a slot that a previous leader assigned.
    *
    * @param name a server
-   * @param slot its slot
+   * @param slot the server's slot
    * @param now monotonic milliseconds
    */
   adopt(name: string, slot: number, now: number): void {
-    invariant(!this.#slots.has(name), 203, 'slot of a known server');
+    invariant(!this.#slots.has(name), 203, 'the server has a slot already');
     for (let gap = this.#length; gap < slot; gap += 1) {
       this.#freed.push({slot: gap, at: now});
     }
@@ -61,6 +61,8 @@
   }
 
   /**
+   * Releases a server's slot.
+   *
    * @param name the server that left
    * @param now monotonic milliseconds
    */
@@ -71,11 +73,11 @@
     this.#freed.push({slot, at: now});
   }
 
-  /** Lowest first, so that the digest stays short. */
-  #takeRested(now: number): number | undefined {
+  /** Claims the lowest reusable slot, to keep the digest short. */
+  #claimReusable(now: number): number | undefined {
     let best: FreedSlot | undefined;
     for (const freed of this.#freed) {
-      if (now - freed.at < this.#restMs) continue;
+      if (now - freed.at < this.#reuseDelayMs) continue;
       if (!best || freed.slot < best.slot) best = freed;
     }
     if (!best) return undefined;
--- a/packages/lovagepond-control/src/operation_results.ts
+++ b/packages/lovagepond-control/src/operation_results.ts
@@ -1,10 +1,10 @@
 /**
- * Results of operators' operations by their ids, so that a resend after a lost
- * answer gets the first answer, also from the next leader.
+ * Results of operators' operations by id, which make operations idempotent: a
+ * retry after a lost answer gets the first answer, also from a new leader.
  */
-import {type OperationHead} from './control_commands.js';
+import {type OperationIdentity} from './control_commands.js';
 
-/** What is kept of an operation's answer; the rest follows from the state. */
+/** The stored part of an answer; the rest is derived from the state. */
 export type OperationResult =
   | {readonly kind: 'accepted'; readonly revision: number}
   | {
@@ -12,48 +12,54 @@
       readonly baseRevision: number;
       readonly currentRevision: number;
     }
-  /** What a delete or a restore names is not there. */
+  /** The object to delete or the revision to restore doesn't exist. */
   | {readonly kind: 'missing'; readonly place: string}
-  /** The id belongs to another operation. */
+  /** The id was used for another operation. */
   | {readonly kind: 'operationReuse'};
 
-interface KeptResult {
+interface StoredResult {
   readonly digest: string;
   readonly result: OperationResult;
 }
 
 /** Serialized form. */
-export type OperationSnapshot = readonly (readonly [string, KeptResult])[];
+export type OperationSnapshot = readonly (readonly [string, StoredResult])[];
 
-/** Eight days of the operations that the largest user plans for. */
-const KEPT_RESULTS = 10_000;
+/** Eight days of operations at the rate that the largest user plans for. */
+const MAX_RESULTS = 10_000;
 
-/** Keeps the results of the latest operations. Part of the replicated state. */
+/** Results of the latest operations. Part of the replicated state. */
 export class OperationResults {
-  readonly #results = new Map<string, KeptResult>();
+  readonly #results = new Map<string, StoredResult>();
 
   /**
-   * Runs an operation unless its id has run already.
+   * Runs an operation unless its id was used before.
    *
-   * @param head the operation's id and digest
-   * @param run makes the result of a first run
+   * @param operation the operation's id and digest
+   * @param run runs the operation and returns its result
    * @returns the result of this or of the first run
    */
-  runOnce(head: OperationHead, run: () => OperationResult): OperationResult {
-    const former = this.#results.get(head.operationId);
-    if (former) {
-      const same = former.digest === head.digest;
-      return same ? former.result : {kind: 'operationReuse'};
+  runOnce(
+    operation: OperationIdentity,
+    run: () => OperationResult,
+  ): OperationResult {
+    const previous = this.#results.get(operation.operationId);
+    if (previous) {
+      const isSameOperation = previous.digest === operation.digest;
+      return isSameOperation ? previous.result : {kind: 'operationReuse'};
     }
     const result = run();
-    this.#results.set(head.operationId, {digest: head.digest, result});
-    this.#dropOldest();
+    this.#results.set(operation.operationId, {
+      digest: operation.digest,
+      result,
+    });
+    this.#evictOldest();
     return result;
   }
 
   /**
    * @param operationId an operation's id
-   * @returns true when it has run, so that its answer is fixed
+   * @returns true when the id was used, so that its answer is final
    */
   has(operationId: string): boolean {
     return this.#results.has(operationId);
@@ -64,14 +70,14 @@
     return [...this.#results];
   }
 
-  /** @param snapshot what {@link snapshot} gave */
+  /** @param snapshot the result of {@link snapshot} */
   restore(snapshot: OperationSnapshot): void {
     this.#results.clear();
     for (const [id, kept] of snapshot) this.#results.set(id, kept);
   }
 
-  #dropOldest(): void {
-    if (this.#results.size <= KEPT_RESULTS) return;
+  #evictOldest(): void {
+    if (this.#results.size <= MAX_RESULTS) return;
     for (const id of this.#results.keys()) {
       this.#results.delete(id);
       return;
--- a/packages/lovagepond-control/src/order_state.ts
+++ b/packages/lovagepond-control/src/order_state.ts
@@ -8,22 +8,22 @@
 } from './control_administration.js';
 import {type OrderOutcomePayload} from './control_commands.js';
 
-/** Tokens of one term: a safe integer holds 2^33 terms of these. */
+/** Fencing tokens of one term; a safe integer can hold 2^33 such terms. */
 const TOKENS_PER_TERM = 2 ** 20;
 
-/** Ended orders that are kept with their outcome. */
-const KEPT_ENDED = 2_000;
+/** Limit of ended orders that are stored with their outcome. */
+const MAX_ENDED_ORDERS = 2_000;
 
-/** Orders that may wait; one more is refused. */
-const MAX_WAITING = 10_000;
+/** Limit of orders without an outcome; further orders are refused. */
+const MAX_WAITING_ORDERS = 10_000;
 
-/** Backend servers whose fencing floor is kept by itself. */
-const KEPT_FLOORS = 10_000;
+/** Limit of backend servers with a fencing floor of their own. */
+const MAX_FLOORS = 10_000;
 
 /** Answer to an order. */
 export type IssueResult =
   | {readonly kind: 'accepted'; readonly fencingToken: number}
-  /** The id belongs to another order. */
+  /** The id was used for another order. */
   | {readonly kind: 'operationReuse'}
   | {readonly kind: 'tooMany'};
 
@@ -40,27 +40,27 @@
   #lastToken = 0;
   readonly #waiting = new Map<string, OrderView>();
   readonly #ended = new Map<string, OrderView>();
-  /** Highest token of each server that has an outcome. */
+  /** Highest token of each server's orders that ended without being fenced. */
   readonly #floors = new Map<string, number>();
-  /** Stands for servers whose own floor was dropped; it only errs upwards. */
-  #oldFloor = 0;
+  /** Floor of servers whose own floor was evicted; never below that floor. */
+  #sharedFloor = 0;
 
   /**
-   * Issues an order. Its token is above every earlier one: a later term's
-   * tokens start above all of an earlier term's, and within a term they count.
+   * Issues an order. Its fencing token is higher than all previous ones: each
+   * term's tokens start above those of earlier terms, and increase within it.
    *
-   * @param order the order; a second one under its id is the first
+   * @param order the order; a retry under the same id issues no second order
    * @param term term of the proposing leader
-   * @returns the token, also of the first order
+   * @returns the order's token; for a retry, that of the first order
    */
   issue(order: OrderRequest, term: number): IssueResult {
-    const former = this.find(order.orderId);
-    if (former) {
-      return isSameOrder(former, order)
-        ? {kind: 'accepted', fencingToken: former.fencingToken}
+    const previous = this.find(order.orderId);
+    if (previous) {
+      return isSameOrder(previous, order)
+        ? {kind: 'accepted', fencingToken: previous.fencingToken}
         : {kind: 'operationReuse'};
     }
-    if (this.#waiting.size >= MAX_WAITING) return {kind: 'tooMany'};
+    if (this.#waiting.size >= MAX_WAITING_ORDERS) return {kind: 'tooMany'};
     this.#lastToken = Math.max(this.#lastToken + 1, term * TOKENS_PER_TERM);
     const fencingToken = this.#lastToken;
     this.#waiting.set(order.orderId, {...order, fencingToken, message: ''});
@@ -68,10 +68,10 @@
   }
 
   /**
-   * Records how an order ended. The first outcome stands.
+   * Records the outcome of an order; later outcomes don't replace the first.
    *
    * @param report the sidecar's report
-   * @returns false when there is no such order with that token
+   * @returns false when no order matches the report's id, token and server
    */
   recordOutcome(report: OrderOutcomePayload): boolean {
     const {orderId, outcome, message} = report;
@@ -82,13 +82,13 @@
     this.#waiting.delete(orderId);
     this.#ended.set(orderId, {...order, outcome, message});
     this.#raiseFloor(order, outcome);
-    this.#dropOldest();
+    this.#evictOldest();
     return true;
   }
 
   /**
    * @param orderId an order's id
-   * @returns the order while it is kept
+   * @returns the order, while it is stored
    */
   find(orderId: string): OrderView | undefined {
     return this.#waiting.get(orderId) ?? this.#ended.get(orderId);
@@ -101,10 +101,11 @@
 
   /**
    * @param server a backend server
-   * @returns no order at or below this token may still be passed to it
+   * @returns the server's fencing floor: no order with this or a lower token
+   *     may be delivered to the server
    */
   floorOf(server: string): number {
-    return this.#floors.get(server) ?? this.#oldFloor;
+    return this.#floors.get(server) ?? this.#sharedFloor;
   }
 
   /** @returns number of orders without and with an outcome */
@@ -123,16 +124,16 @@
   snapshot(): OrderSnapshot {
     return {
       lastToken: this.#lastToken,
-      oldFloor: this.#oldFloor,
+      oldFloor: this.#sharedFloor,
       orders: [...this.#ended.values(), ...this.#waiting.values()],
       floors: [...this.#floors],
     };
   }
 
-  /** @param snapshot what {@link snapshot} gave */
+  /** @param snapshot the result of {@link snapshot} */
   restore(snapshot: OrderSnapshot): void {
     this.#lastToken = snapshot.lastToken;
-    this.#oldFloor = snapshot.oldFloor;
+    this.#sharedFloor = snapshot.oldFloor;
     this.#waiting.clear();
     this.#ended.clear();
     this.#floors.clear();
@@ -146,7 +147,7 @@
   }
 
   #raiseFloor(order: OrderView, outcome: OrderOutcomeKind): void {
-    // A fenced order was never passed on: something newer was.
+    // A fenced order wasn't delivered, as a newer one already was.
     if (outcome === 'fenced') return;
     const {backendServer, fencingToken} = order;
     const floor = Math.max(this.#floors.get(backendServer) ?? 0, fencingToken);
@@ -154,24 +155,24 @@
     this.#floors.set(backendServer, floor);
   }
 
-  #dropOldest(): void {
-    if (this.#ended.size > KEPT_ENDED) {
+  #evictOldest(): void {
+    if (this.#ended.size > MAX_ENDED_ORDERS) {
       const [oldest] = this.#ended.keys();
       this.#ended.delete(oldest as string);
     }
-    if (this.#floors.size > KEPT_FLOORS) {
+    if (this.#floors.size > MAX_FLOORS) {
       const [oldest] = this.#floors.entries();
       const [server, token] = oldest as [string, number];
       this.#floors.delete(server);
-      this.#oldFloor = Math.max(this.#oldFloor, token);
+      this.#sharedFloor = Math.max(this.#sharedFloor, token);
     }
   }
 }
 
-function isSameOrder(former: OrderRequest, order: OrderRequest): boolean {
+function isSameOrder(previous: OrderRequest, order: OrderRequest): boolean {
   return (
-    former.backendServer === order.backendServer &&
-    former.action === order.action &&
-    JSON.stringify(former.arguments) === JSON.stringify(order.arguments)
+    previous.backendServer === order.backendServer &&
+    previous.action === order.action &&
+    JSON.stringify(previous.arguments) === JSON.stringify(order.arguments)
   );
 }
