--- a/packages/lovagepond-measure/src/measure_server.ts
+++ b/packages/lovagepond-measure/src/measure_server.ts
@@ -268,7 +268,7 @@
 
   #take(): void {
     const {time} = this.#port;
-    const room = this.gate.takeRoom(time.now);
+    const room = this.gate.roomForTake(time.now);
     if (room <= 0) return;
     const {runningTokens} = this.gate.load(time.now);
     const chosen = this.#taker.chooseVictim(
--- a/packages/lovagepond-scenarios/src/steps/order_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/order_steps.ts
@@ -34,7 +34,7 @@
   const known = servers.get(world);
   if (known) return known;
   const server = new OrderedServer();
-  server.fencing.learnFloor(NO_FLOOR);
+  server.fencing.raiseFloor(NO_FLOOR);
   servers.set(world, server);
   return server;
 }
@@ -66,7 +66,7 @@
   serverOf(world).deliver(order);
   const {orderId, fencingToken, backendServer} = order;
   const {leader} = world.consensus;
-  const end = serverOf(world).fencing.endOf(orderId);
+  const end = serverOf(world).fencing.resultOf(orderId);
   if (!end) return;
   world.consensus.propose(leader, ORDER_OUTCOME_COMMAND, {
     orderId,
@@ -105,7 +105,7 @@
   'the sidecar of {word} learns the floor from the leader',
   function (name) {
     const {orders} = this.consensus.leader.machine;
-    serverOf(this).fencing.learnFloor(orders.floorOf(name));
+    serverOf(this).fencing.raiseFloor(orders.floorOf(name));
   },
 );
 
--- a/packages/lovagepond-scenarios/src/world/pool.ts
+++ b/packages/lovagepond-scenarios/src/world/pool.ts
@@ -177,7 +177,7 @@
 
   #take(taker: GatedServer): void {
     const {now} = this.#timeline;
-    const roomTokens = taker.gate.takeRoom(now);
+    const roomTokens = taker.gate.roomForTake(now);
     if (roomTokens === 0) return;
     const victim = this.#random.pick(this.servers);
     if (victim === taker) return;
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_admission.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_admission.test.ts
@@ -6,7 +6,7 @@
 const FLOOR = 1_000;
 const LOAD_BOUND = 1.5;
 /** Half of the span between the mean and the bound is given out. */
-const USED_MULTIPLE = 1.25;
+const EFFECTIVE_MULTIPLE = 1.25;
 const SETTINGS = {...DEFAULT_GATE_SETTINGS, floorTokens: FLOOR};
 const SEED = 20_260_412;
 
@@ -81,7 +81,9 @@
     const mean = {meanTokens: 10_000, ageMs: 0, readyServers: 6, ownTokens: 0};
     admission.setPoolMean(mean, 0);
     const fresh = admission.limitTokens(1_000);
-    expect(fresh).toBeCloseTo((USED_MULTIPLE * 60_000) / (6 - USED_MULTIPLE));
+    expect(fresh).toBeCloseTo(
+      (EFFECTIVE_MULTIPLE * 60_000) / (6 - EFFECTIVE_MULTIPLE),
+    );
     expect(admission.limitTokens(6_250)).toBeCloseTo(fresh / 2);
     expect(admission.limitTokens(10_000)).toBe(FLOOR);
   });
@@ -95,7 +97,7 @@
       const mean = {meanTokens: 6_000, ageMs: 1_000, readyServers: 6};
       admission.setPoolMean({...mean, ownTokens: 0}, 1_000);
       const whole = admission.limitTokens(1_000);
-      admission.noteRun(runMs);
+      admission.recordRunTime(runMs);
       return admission.limitTokens(1_000) / whole;
     });
     expect(limits[0]).toBeLessThan(0.2);
@@ -112,7 +114,7 @@
     admission.setPoolMean({...mean, meanTokens: 9_000}, 0);
     admission.setPoolMean({...mean, meanTokens: 9_000, readyServers: 5}, 0);
     expect(admission.limitTokens(0)).toBeCloseTo(
-      (USED_MULTIPLE * 45_000) / (5 - USED_MULTIPLE),
+      (EFFECTIVE_MULTIPLE * 45_000) / (5 - EFFECTIVE_MULTIPLE),
     );
     admission.setPoolMean({...mean, readyServers: 1}, 1_000);
     expect(admission.limitTokens(1_000)).toBe(FLOOR);
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_backend.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_backend.test.ts
@@ -7,7 +7,7 @@
   // The caller wants its answer in one piece, but some inner object of its
   // request holds a field of the same name. Run as a stream, the answer would
   // reach the caller as the text of events.
-  const wants = (body: object): boolean => {
+  const isStreamed = (body: object): boolean => {
     const seen: EngineRequest[] = [];
     const run = (request: EngineRequest): never[] => {
       seen.push(request);
@@ -21,7 +21,7 @@
     runAtBackend({kind: 'engine', engine}, {request, ...rest}, 0);
     return seen[0]?.stream === true;
   };
-  expect(wants({messages: [], stream: true})).toBe(true);
-  expect(wants({messages: [], stream: false})).toBe(false);
-  expect(wants({messages: [], metadata: {stream: true}})).toBe(false);
+  expect(isStreamed({messages: [], stream: true})).toBe(true);
+  expect(isStreamed({messages: [], stream: false})).toBe(false);
+  expect(isStreamed({messages: [], metadata: {stream: true}})).toBe(false);
 });
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_backend_watch.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_backend_watch.test.ts
@@ -6,10 +6,10 @@
 
 /** An engine that can be told not to answer. */
 class FlakyEngine extends EchoEngine {
-  answers = true;
+  isResponsive = true;
 
   override loadReport(): ReturnType<EchoEngine['loadReport']> {
-    if (this.answers) return super.loadReport();
+    if (this.isResponsive) return super.loadReport();
     return Promise.resolve({ok: false, failure: makeFailure('unreachable')});
   }
 }
@@ -40,19 +40,19 @@
 // Guards against a crash that looks to routers like any failed run.
 it('tells that the life in which a run began has ended', async () => {
   const {engine, watch} = makeWatch();
-  await watch.look();
-  const {life} = watch;
-  expect(await watch.hasEnded(life)).toBe(false);
-  engine.answers = false;
-  expect(await watch.hasEnded(life)).toBe(true);
-  await watch.look();
-  expect(watch.life).toBe(life + 1);
-  engine.answers = true;
+  await watch.probe();
+  const {instance} = watch;
+  expect(await watch.hasEnded(instance)).toBe(false);
+  engine.isResponsive = false;
+  expect(await watch.hasEnded(instance)).toBe(true);
+  await watch.probe();
+  expect(watch.instance).toBe(instance + 1);
+  engine.isResponsive = true;
   engine.incarnation = 'engine-b';
-  await watch.look();
-  expect(watch.life).toBe(life + 1);
+  await watch.probe();
+  expect(watch.instance).toBe(instance + 1);
   engine.incarnation = 'engine-c';
-  expect(await watch.hasEnded(life + 1)).toBe(true);
+  expect(await watch.hasEnded(instance + 1)).toBe(true);
 });
 
 // The engine restarts between two looks. Its cache is empty now: a chat that
@@ -62,21 +62,21 @@
 it('notices that its engine restarted, or is down', async () => {
   const {engine, gate, watch} = makeWatch();
   expect(watch.up).toBe(false);
-  await watch.look();
+  await watch.probe();
   expect(watch.up).toBe(true);
   expect(gate.admission.capacityTokens).toBe(100_000);
   gate.cache.apply(1, 'w', 'chat', 500);
-  await watch.look();
+  await watch.probe();
   expect(gate.cache.read('w', 'chat').warmth).toBe('warm');
   engine.incarnation = 'engine-b';
-  await watch.look();
+  await watch.probe();
   expect(gate.cache.read('w', 'chat')).toEqual({warmth: 'unknown', tokens: 0});
-  engine.answers = false;
-  await watch.look();
+  engine.isResponsive = false;
+  await watch.probe();
   expect(watch.up).toBe(true);
   watch.noteUnreachable();
   expect(watch.up).toBe(false);
-  engine.answers = true;
-  await watch.look();
+  engine.isResponsive = true;
+  await watch.probe();
   expect(watch.up).toBe(true);
 });
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_claims.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_claims.test.ts
@@ -58,10 +58,10 @@
 }
 
 /** Callers, one sidecar at a time, the ledger and a service that counts. */
-class World {
+class Harness {
   readonly ledger = new FakeLedger();
   readonly messages: Message[] = [];
-  readonly told = new Map<string, string>();
+  readonly reported = new Map<string, string>();
   runs = 0;
   readonly dispatchedAttempts = new Set<string>();
   attempts = 0;
@@ -113,7 +113,7 @@
   revoke(): void {
     const {attemptId} = this;
     const {outcome, actions} = this.#gate.revoke(attemptId, this.now);
-    if (outcome === 'revoked') this.told.set(attemptId, 'notRun');
+    if (outcome === 'revoked') this.reported.set(attemptId, 'notRun');
     this.#perform(actions);
   }
 
@@ -142,7 +142,7 @@
       if (kind === 'releaseClaim') {
         this.#performClaims(this.#claims.release(attemptId, this.now));
       }
-      if (kind === 'refuse') this.told.set(attemptId, 'notRun');
+      if (kind === 'refuse') this.reported.set(attemptId, 'notRun');
       if (kind === 'dispatch') this.#dispatch(attemptId);
     }
   }
@@ -190,7 +190,7 @@
       }
       if (action.kind === 'denied') {
         if (action.failure.kind === 'ledgerUnavailable') {
-          this.told.set(attemptId, 'notRun');
+          this.reported.set(attemptId, 'notRun');
         }
         perform(this.#gate.claimDenied(attemptId, this.now));
       }
@@ -222,27 +222,27 @@
   | 'revoke'
   | 'retry';
 
-function play(world: World, moves: readonly Move[]): void {
+function runMoves(harness: Harness, moves: readonly Move[]): void {
   const handlers: Record<Move, () => void> = {
-    deliver: () => world.messages.shift()?.deliver(),
+    deliver: () => harness.messages.shift()?.deliver(),
     twice: () => {
-      const message = world.messages.shift();
+      const message = harness.messages.shift();
       message?.deliver();
       // A call to the service has no second copy: it is sent over one stream.
-      if (message?.repeatable) world.messages.push(message);
+      if (message?.repeatable) harness.messages.push(message);
     },
-    drop: () => void world.messages.shift(),
+    drop: () => void harness.messages.shift(),
     later: () => {
-      const message = world.messages.shift();
-      if (message) world.messages.push(message);
+      const message = harness.messages.shift();
+      if (message) harness.messages.push(message);
     },
     crash: () => {
-      world.restart();
-      world.offer();
+      harness.restart();
+      harness.offer();
     },
-    tick: () => world.tick(),
-    revoke: () => world.revoke(),
-    retry: () => world.offer(),
+    tick: () => harness.tick(),
+    revoke: () => harness.revoke(),
+    retry: () => harness.offer(),
   };
   for (const move of moves) handlers[move]();
 }
@@ -253,12 +253,12 @@
   // service must never see two runs, and none after "not run".
   it('runs at most once whichever step the sidecar dies after', () => {
     for (let steps = 0; steps < 12; steps += 1) {
-      const world = new World();
+      const harness = new Harness();
       const before = Array.from({length: steps}, (): Move => 'deliver');
       const after = Array.from({length: 30}, (): Move => 'deliver');
-      play(world, ['retry', ...before, 'crash', ...after]);
-      expect(world.runs).toBeLessThanOrEqual(1);
-      expect(world.dispatchedAttempts.size).toBeLessThanOrEqual(1);
+      runMoves(harness, ['retry', ...before, 'crash', ...after]);
+      expect(harness.runs).toBeLessThanOrEqual(1);
+      expect(harness.dispatchedAttempts.size).toBeLessThanOrEqual(1);
     }
   });
 
@@ -279,14 +279,14 @@
     );
     const moves = fc.array(move, {minLength: 10, maxLength: 80});
     const property = fc.property(moves, list => {
-      const world = new World();
-      play(world, list);
+      const harness = new Harness();
+      runMoves(harness, list);
       for (let round = 0; round < 60; round += 1) {
-        play(world, ['deliver', 'deliver', 'tick']);
+        runMoves(harness, ['deliver', 'deliver', 'tick']);
       }
-      expect(world.runs).toBeLessThanOrEqual(1);
-      for (const attemptId of world.dispatchedAttempts) {
-        expect(world.told.get(attemptId)).not.toBe('notRun');
+      expect(harness.runs).toBeLessThanOrEqual(1);
+      for (const attemptId of harness.dispatchedAttempts) {
+        expect(harness.reported.get(attemptId)).not.toBe('notRun');
       }
     });
     fc.assert(property, {seed: SEED, numRuns: 1_000});
@@ -295,20 +295,20 @@
   // The ledger granted the claim, but its answers are lost. The call is
   // refused as not run in time, the ledger hears it, and a repeat may run.
   it('is refused as not run when the claim is not confirmed', () => {
-    const world = new World();
-    world.offer();
-    world.messages.shift()?.deliver();
-    world.messages.length = 0;
+    const harness = new Harness();
+    harness.offer();
+    harness.messages.shift()?.deliver();
+    harness.messages.length = 0;
     for (let round = 0; round < 8; round += 1) {
-      world.tick();
-      if (world.told.has(`${KEY}.1`)) break;
-      world.messages.length = 0;
+      harness.tick();
+      if (harness.reported.has(`${KEY}.1`)) break;
+      harness.messages.length = 0;
     }
-    expect(world.told.get(`${KEY}.1`)).toBe('notRun');
-    while (world.messages.length > 0) world.messages.shift()?.deliver();
-    world.offer();
-    while (world.messages.length > 0) world.messages.shift()?.deliver();
-    expect(world.runs).toBe(1);
-    expect([...world.dispatchedAttempts]).toEqual([`${KEY}.2`]);
+    expect(harness.reported.get(`${KEY}.1`)).toBe('notRun');
+    while (harness.messages.length > 0) harness.messages.shift()?.deliver();
+    harness.offer();
+    while (harness.messages.length > 0) harness.messages.shift()?.deliver();
+    expect(harness.runs).toBe(1);
+    expect([...harness.dispatchedAttempts]).toEqual([`${KEY}.2`]);
   });
 });
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_dispatcher.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_dispatcher.test.ts
@@ -24,12 +24,12 @@
 /** A router's stream that can be told to take no more. */
 class FakeStream implements FrameStream {
   readonly frames: FrameBody[] = [];
-  reads = true;
+  isWritable = true;
   ended = false;
 
   write(body: FrameBody): boolean {
     this.frames.push(body);
-    return this.reads;
+    return this.isWritable;
   }
 
   end(): void {
@@ -41,7 +41,7 @@
 class ScriptedEngine extends EchoEngine {
   readonly scripts: EngineEvent[][] = [];
   readonly resumes: number[] = [];
-  read = 0;
+  eventsRead = 0;
 
   override async *run(
     request: Parameters<EchoEngine['run']>[0] & {resumeFrom: number},
@@ -51,7 +51,7 @@
     const head = {status: 200, contentType: 'text/plain', cachedTokens: 0};
     yield {kind: 'started', ...head};
     for (const event of this.scripts.shift() ?? []) {
-      this.read += 1;
+      this.eventsRead += 1;
       yield event;
     }
   }
@@ -60,7 +60,7 @@
 /** Whether a run that breaks off finds its engine ended. */
 const hasCrashed = {value: false};
 
-function makeWorld(engine: EchoEngine): {
+function makeFixture(engine: EchoEngine): {
   dispatcher: SidecarDispatcher;
   gate: SidecarGate;
   clock: {time: number};
@@ -82,7 +82,7 @@
     point: () => {},
     noteUnreachable: () => {},
     noteServed: () => {},
-    life: () => 0,
+    backendInstance: () => 0,
     hasEnded: () => Promise.resolve(hasCrashed.value),
   });
   return {dispatcher, gate, clock};
@@ -126,7 +126,7 @@
     const engine = new ScriptedEngine();
     const failure = makeFailure('backendFailed');
     engine.scripts.push([{kind: 'failed', failure}]);
-    const {dispatcher} = makeWorld(engine);
+    const {dispatcher} = makeFixture(engine);
     const stream = new FakeStream();
     dispatcher.offer(makeRequest('a'), stream);
     await settle();
@@ -140,32 +140,32 @@
   // before the router is back. The run must go on for a while, and the router
   // gets the rest over its next stream; nobody coming, the run is cancelled.
   it('runs on until the router is back, and not for ever', async () => {
-    let goOn = (): void => {};
+    let finishRun = (): void => {};
     const engine = new EchoEngine();
-    engine.gate = new Promise(resolve => (goOn = resolve));
-    const {dispatcher, clock} = makeWorld(engine);
+    engine.gate = new Promise(resolve => (finishRun = resolve));
+    const {dispatcher, clock} = makeFixture(engine);
     const first = new FakeStream();
     const session = dispatcher.offer(makeRequest('a'), first);
     await settle();
-    dispatcher.streamGone(session!, first);
+    dispatcher.streamClosed(session!, first);
     expect(engine.cancelled).toEqual([]);
     const second = new FakeStream();
     dispatcher.offer(makeRequest('a', {resumeFrom: 5}), second);
     clock.time = SETTINGS.detachGraceMs;
     dispatcher.tick(clock.time);
     expect(engine.cancelled).toEqual([]);
-    dispatcher.streamGone(session!, second);
+    dispatcher.streamClosed(session!, second);
     clock.time += SETTINGS.detachGraceMs;
     dispatcher.tick(clock.time);
     expect(engine.cancelled).toEqual(['a']);
-    goOn();
+    finishRun();
     await settle();
     expect(dispatcher.idle).toBe(true);
   });
 
   // The answer is whole, but the frame that says so was lost with the stream.
   it('gives the end of a finished answer again', async () => {
-    const {dispatcher} = makeWorld(new EchoEngine());
+    const {dispatcher} = makeFixture(new EchoEngine());
     const first = new FakeStream();
     dispatcher.offer(makeRequest('a'), first);
     await settle();
@@ -181,15 +181,15 @@
   // The engine has finished, but the router still reads the answer. The leave
   // must not count as over, or the process would stop and cut it.
   it('is not over while an answer is still sent', async () => {
-    const {dispatcher, gate} = makeWorld(new EchoEngine());
+    const {dispatcher, gate} = makeFixture(new EchoEngine());
     const stream = new FakeStream();
-    stream.reads = false;
+    stream.isWritable = false;
     const session = dispatcher.offer(makeRequest('a'), stream);
     await settle();
     expect(gate.idle).toBe(true);
     expect(dispatcher.idle).toBe(false);
-    stream.reads = true;
-    session!.drained(stream);
+    stream.isWritable = true;
+    session!.onDrain(stream);
     expect(joinChunks(stream.frames)).toBe('0123456789');
     expect(dispatcher.idle).toBe(true);
   });
@@ -203,7 +203,7 @@
     const failure = makeFailure('backendFailed');
     engine.scripts.push([data(0, '01234'), {kind: 'failed', failure}]);
     engine.scripts.push([data(5, '56789'), end(10)]);
-    const {dispatcher} = makeWorld(engine);
+    const {dispatcher} = makeFixture(engine);
     const stream = new FakeStream();
     dispatcher.offer(makeRequest('a'), stream);
     await settle();
@@ -222,7 +222,7 @@
   ])('never passes on %s as whole', async (_name, script) => {
     const engine = new ScriptedEngine();
     engine.scripts.push(script, script, script);
-    const {dispatcher, gate} = makeWorld(engine);
+    const {dispatcher, gate} = makeFixture(engine);
     const stream = new FakeStream();
     dispatcher.offer(makeRequest('a'), stream);
     await settle();
@@ -240,15 +240,15 @@
       data(index * 1_024, kilobyte),
     );
     engine.scripts.push([...pieces, end(1_024_000)]);
-    const {dispatcher} = makeWorld(engine);
+    const {dispatcher} = makeFixture(engine);
     const stream = new FakeStream();
-    stream.reads = false;
+    stream.isWritable = false;
     const session = dispatcher.offer(makeRequest('a'), stream);
     for (let turn = 0; turn < 40; turn += 1) await settle();
-    expect(engine.read).toBeLessThan(80);
+    expect(engine.eventsRead).toBeLessThan(80);
     expect(dispatcher.idle).toBe(false);
-    stream.reads = true;
-    session!.drained(stream);
+    stream.isWritable = true;
+    session!.onDrain(stream);
     for (let turn = 0; turn < 100; turn += 1) await settle();
     expect(stream.frames.at(-1)?.end?.totalBytes).toBe(1_024_000);
     expect(dispatcher.idle).toBe(true);
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_gate_failures.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_gate_failures.test.ts
@@ -191,8 +191,8 @@
     victim.offer(makeOffer('running', {tokens: 1_000}), 0);
     victim.offer(makeOffer('a', {tokens: 400}), 0);
     victim.offer(makeOffer('b', {tokens: 400}), 0);
-    const lost = victim.handOver('engine-2', taker.takeRoom(0), 0);
-    const again = victim.handOver('engine-2', taker.takeRoom(1), 1);
+    const lost = victim.handOver('engine-2', taker.roomForTake(0), 0);
+    const again = victim.handOver('engine-2', taker.roomForTake(1), 1);
     const moved = [...lost.actions, ...again.actions];
     expect(kinds(moved).sort()).toEqual(['refuse a', 'refuse b']);
     for (const {failure, pointer} of refusals(moved)) {
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_gate_properties.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_gate_properties.test.ts
@@ -36,7 +36,7 @@
 type Step = typeof step extends fc.Arbitrary<infer Value> ? Value : never;
 
 /** Follows what the gate says of each attempt and fails on a contradiction. */
-class Ledger {
+class ActionTrace {
   readonly dispatched = new Map<string, number>();
   readonly running = new Map<string, number>();
   readonly claiming = new Set<string>();
@@ -64,26 +64,26 @@
 
 function perform(
   gate: SidecarGate,
-  ledger: Ledger,
+  trace: ActionTrace,
   now: number,
   s: Step,
 ): void {
   const attemptId = `attempt-${s.attempt}`;
-  const running = ledger.running.has(attemptId);
-  const claiming = ledger.claiming.has(attemptId);
+  const running = trace.running.has(attemptId);
+  const claiming = trace.claiming.has(attemptId);
   const end = (kind: 'done' | 'failed' | 'notRun'): void => {
     if (!running) return;
-    ledger.running.delete(attemptId);
-    ledger.note(gate.finish(attemptId, {kind, message: ''}, now));
+    trace.running.delete(attemptId);
+    trace.note(gate.finish(attemptId, {kind, message: ''}, now));
   };
   const handlers: Record<Step['kind'], () => void> = {
     offer: () => {
       const nonRepeatable = s.attempt % 3 === 0;
       const workspace = `workspace-${s.attempt % 2}`;
-      if (!ledger.tokens.has(attemptId)) ledger.tokens.set(attemptId, s.tokens);
+      if (!trace.tokens.has(attemptId)) trace.tokens.set(attemptId, s.tokens);
       const {tokens} = s;
       const deadlineAt = now + 4_000;
-      ledger.note(
+      trace.note(
         gate.offer(
           makeOffer(attemptId, {nonRepeatable, workspace, tokens, deadlineAt}),
           now,
@@ -94,28 +94,28 @@
       const {outcome, actions} = gate.revoke(attemptId, now);
       if (outcome === 'revoked') {
         expect(running).toBe(false);
-        ledger.claiming.delete(attemptId);
-        ledger.notRun.add(attemptId);
+        trace.claiming.delete(attemptId);
+        trace.notRun.add(attemptId);
       }
       if (running) expect(outcome).toBe('dispatched');
-      ledger.note(actions);
+      trace.note(actions);
     },
-    callerGone: () => ledger.note(gate.callerGone(attemptId, now)),
+    callerGone: () => trace.note(gate.callerGone(attemptId, now)),
     grant: () => {
-      if (claiming) ledger.note(gate.claimGranted(attemptId, now));
+      if (claiming) trace.note(gate.claimGranted(attemptId, now));
     },
     deny: () => {
       if (!claiming) return;
-      ledger.claiming.delete(attemptId);
-      ledger.note(gate.claimDenied(attemptId, now));
-      ledger.notRun.add(attemptId);
+      trace.claiming.delete(attemptId);
+      trace.note(gate.claimDenied(attemptId, now));
+      trace.notRun.add(attemptId);
     },
     done: () => end('done'),
     failed: () => end('failed'),
     notRun: () => end('notRun'),
-    handOver: () => ledger.note(gate.handOver('taker', 700, now).actions),
-    tick: () => ledger.note(gate.tick(now)),
-    drain: () => ledger.note(gate.startDraining(now, 3_000)),
+    handOver: () => trace.note(gate.handOver('taker', 700, now).actions),
+    tick: () => trace.note(gate.tick(now)),
+    drain: () => trace.note(gate.startDraining(now, 3_000)),
   };
   handlers[s.kind]();
 }
@@ -138,23 +138,23 @@
           },
           new Random(1),
         );
-        const ledger = new Ledger();
+        const trace = new ActionTrace();
         let now = 0;
         for (const s of steps) {
           now += s.gapMs;
-          perform(gate, ledger, now, s);
+          perform(gate, trace, now, s);
         }
         for (let round = 0; round < 20; round += 1) {
           now += 1_000;
-          for (const attemptId of [...ledger.claiming]) {
-            ledger.claiming.delete(attemptId);
-            ledger.note(gate.claimDenied(attemptId, now));
+          for (const attemptId of [...trace.claiming]) {
+            trace.claiming.delete(attemptId);
+            trace.note(gate.claimDenied(attemptId, now));
           }
-          for (const attemptId of [...ledger.running.keys()]) {
-            ledger.running.delete(attemptId);
-            ledger.note(gate.finish(attemptId, {kind: 'done'}, now));
+          for (const attemptId of [...trace.running.keys()]) {
+            trace.running.delete(attemptId);
+            trace.note(gate.finish(attemptId, {kind: 'done'}, now));
           }
-          ledger.note(gate.tick(now));
+          trace.note(gate.tick(now));
         }
         expect(gate.idle).toBe(true);
         expect(gate.load(now)).toEqual({
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_role.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_role.test.ts
@@ -65,8 +65,8 @@
   // the same attempt over a fresh one, from the bytes that it has. The caller
   // must get the rest of the same answer, and the engine must run only once.
   it('goes on with a running answer over another stream', async () => {
-    let goOn = (): void => {};
-    engine.gate = new Promise(resolve => (goOn = resolve));
+    let finishRun = (): void => {};
+    engine.gate = new Promise(resolve => (finishRun = resolve));
     const request = {attemptId: 'b.1', requestId: 'b', body: BODY};
     const first = router.attempt(request);
     const {chunk} = await first.until('chunk');
@@ -74,7 +74,7 @@
     const resumeFrom = chunk?.data?.length ?? 0;
     const second = router.attempt({...request, resumeFrom});
     await second.until('started');
-    goOn();
+    finishRun();
     await second.over;
     expect(joinChunks(first.frames) + joinChunks(second.frames)).toBe(
       BODY.toString(),
@@ -87,8 +87,8 @@
   // read it to its end; another attempt is refused as not run at once, and
   // the leave is over when nothing runs any more.
   it('cuts nothing when it drains', async () => {
-    let goOn = (): void => {};
-    engine.gate = new Promise(resolve => (goOn = resolve));
+    let finishRun = (): void => {};
+    engine.gate = new Promise(resolve => (finishRun = resolve));
     const running = router.attempt({attemptId: 'c.1', body: BODY});
     await running.until('chunk');
     const drained = role.drain(10_000);
@@ -96,7 +96,7 @@
     const {refused} = await late.until('refused');
     expect(refused?.errorKind).toBe('draining');
     await expect.poll(() => control.announced.at(-1)?.state).toBe('draining');
-    goOn();
+    finishRun();
     await drained;
     await running.over;
     expect(joinChunks(running.frames)).toBe(BODY.toString());
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_knowledge.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_state.test.ts
@@ -60,7 +60,7 @@
     const fencing = new SidecarFencing();
     const stale = {orderId: 'old', fencingToken: 7};
     expect(fencing.check(stale)).toBe('wait');
-    fencing.learnFloor(9);
+    fencing.raiseFloor(9);
     expect(fencing.check(stale)).toBe('fenced');
     const next = {orderId: 'new', fencingToken: 10};
     expect(fencing.check(next)).toBe('pass');
@@ -69,7 +69,7 @@
     fencing.finish('new', {outcome: 'done', message: ''});
     expect(fencing.check(next)).toBe('ended');
     expect(fencing.check({orderId: 'y', fencingToken: 10})).toBe('fenced');
-    fencing.learnFloor(3);
+    fencing.raiseFloor(3);
     expect(fencing.floor).toBe(10);
   });
 });
@@ -132,7 +132,7 @@
     }
     expect(attempts.stateOf('a')).toBe('notRun');
     expect(attempts.size).toBe(4);
-    attempts.forget(1_000);
+    attempts.expire(1_000);
     expect(attempts.size).toBe(0);
   });
 });
--- a/packages/lovagepond-sidecar/src/index.ts
+++ b/packages/lovagepond-sidecar/src/index.ts
@@ -31,12 +31,15 @@
   type RevisionCheck,
   SidecarRevisions,
 } from './sidecar_revisions.js';
-export {type SidecarParts, SidecarRole} from './sidecar_role.js';
+export {
+  type SidecarDependencies as SidecarParts,
+  SidecarRole,
+} from './sidecar_role.js';
 export {
   type BackendKind,
   DEFAULT_SIDECAR_SETTINGS,
-  ISLAND_POLICY,
-  type IslandPolicy,
+  PARTITION_POLICY as ISLAND_POLICY,
+  type PartitionPolicy as IslandPolicy,
   type SidecarSettings,
 } from './sidecar_settings.js';
 export {
--- a/packages/lovagepond-sidecar/src/sidecar_admission.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_admission.ts
@@ -13,9 +13,9 @@
  * second old, and falls while what was let in still runs: used in full, the
  * engine would stand above the bound by the time that others have finished.
  */
-const USED_SPAN = 0.5;
+const HEADROOM_SHARE = 0.5;
 /** Share by which each run moves the learnt length of a run. */
-const RUN_LEARNING_SHARE = 0.1;
+const RUN_SMOOTHING_FACTOR = 0.1;
 /** Time that work let in now goes on weighing on the bound, milliseconds. */
 const REACTION_MS = 300;
 
@@ -47,7 +47,7 @@
 
 interface ReadyServers {
   readonly count: number;
-  readonly heardAt: number;
+  readonly updatedAt: number;
 }
 
 interface OwnLoad {
@@ -74,15 +74,15 @@
 export class SidecarAdmission {
   readonly #settings: AdmissionSettings;
   #loadBound: number;
-  #own = 0;
+  #ownTokens = 0;
   #control = NO_SAMPLE;
   #routers = NO_SAMPLE;
-  #ready: ReadyServers = {count: 1, heardAt: -Infinity};
+  #ready: ReadyServers = {count: 1, updatedAt: -Infinity};
   #report: EngineReport = {foreignTokens: 0, takenAt: -Infinity};
   readonly #history: OwnLoad[] = [];
   #capacityTokens: number;
   /** Mean time that a request runs; 0 before any was seen. */
-  #runMs = 0;
+  #meanRunMs = 0;
 
   /**
    * @param settings fixed settings
@@ -118,7 +118,7 @@
 
   /** @returns tokens that this sidecar has handed out and not seen end */
   get ownTokens(): number {
-    return this.#own;
+    return this.#ownTokens;
   }
 
   /**
@@ -129,7 +129,7 @@
     const sum = mean.meanTokens * Math.max(1, mean.readyServers);
     this.#control = {
       othersTokens: Math.max(0, sum - mean.ownTokens),
-      readyServers: this.#countReady(mean.readyServers, now),
+      readyServers: this.#updateReadyServers(mean.readyServers, now),
       takenAt: now - mean.ageMs,
     };
   }
@@ -164,7 +164,7 @@
   setEngineReport(tokens: number, lagMs: number, now: number): void {
     const takenAt = now - lagMs;
     if (takenAt < this.#report.takenAt) return;
-    const own = this.#ownAt(takenAt);
+    const own = this.#ownTokensAt(takenAt);
     const foreignTokens = Math.max(0, tokens - own * (1 + REPORT_TOLERANCE));
     this.#report = {foreignTokens, takenAt};
   }
@@ -174,7 +174,7 @@
    * @param now present time
    */
   start(tokens: number, now: number): void {
-    this.#change(tokens, now);
+    this.#adjustOwnTokens(tokens, now);
   }
 
   /**
@@ -182,16 +182,16 @@
    * @param now present time
    */
   finish(tokens: number, now: number): void {
-    this.#change(-tokens, now);
+    this.#adjustOwnTokens(-tokens, now);
   }
 
   /**
    * @param runMs how long a request ran at the engine, milliseconds
    */
-  noteRun(runMs: number): void {
-    const former = this.#runMs;
-    this.#runMs =
-      former === 0 ? runMs : former + RUN_LEARNING_SHARE * (runMs - former);
+  recordRunTime(runMs: number): void {
+    const former = this.#meanRunMs;
+    this.#meanRunMs =
+      former === 0 ? runMs : former + RUN_SMOOTHING_FACTOR * (runMs - former);
   }
 
   /**
@@ -199,8 +199,8 @@
    * @returns tokens running at the engine
    */
   runningTokens(now: number): number {
-    const trust = this.#trust(this.#report.takenAt, now);
-    return this.#own + this.#report.foreignTokens * trust;
+    const weight = this.#ageWeight(this.#report.takenAt, now);
+    return this.#ownTokens + this.#report.foreignTokens * weight;
   }
 
   /**
@@ -229,7 +229,7 @@
     const {readyServers} = this.#sample(now);
     // So few servers that one of them can't stand out by this much.
     if (readyServers <= this.#loadBound) return capacityTokens;
-    const multiple = 1 + (this.#loadBound - 1) * USED_SPAN;
+    const multiple = 1 + (this.#loadBound - 1) * HEADROOM_SHARE;
     const others = this.#othersTokens(now);
     const bound = (multiple * others) / (readyServers - multiple);
     return Math.min(capacityTokens, Math.max(floorTokens, bound));
@@ -258,8 +258,8 @@
 
   #othersTokens(now: number): number {
     const sample = this.#sample(now);
-    const trust = this.#trust(sample.takenAt, now);
-    return sample.othersTokens * trust * this.#remainder(sample.takenAt, now);
+    const weight = this.#ageWeight(sample.takenAt, now);
+    return sample.othersTokens * weight * this.#unfinished(sample.takenAt, now);
   }
 
   /**
@@ -267,10 +267,10 @@
    * short requests the others finish all they had within the age of the mean:
    * believed whole, it would let this engine run at twice their load.
    */
-  #remainder(takenAt: number, now: number): number {
-    if (this.#runMs === 0) return 1;
+  #unfinished(takenAt: number, now: number): number {
+    if (this.#meanRunMs === 0) return 1;
     const age = now - takenAt;
-    return Math.exp(-(age + REACTION_MS) / this.#runMs);
+    return Math.exp(-(age + REACTION_MS) / this.#meanRunMs);
   }
 
   /**
@@ -304,7 +304,7 @@
    * work since. Believed for good, it would let this engine run far above a
    * pool that has become idle.
    */
-  #trust(takenAt: number, now: number): number {
+  #ageWeight(takenAt: number, now: number): number {
     const {meanFreshMs, meanTrustMs} = this.#settings;
     const age = now - takenAt;
     if (age <= meanFreshMs) return 1;
@@ -318,21 +318,21 @@
    * the former one has aged. A few that leave count at once: too high a count
    * would keep the others from taking over their work.
    */
-  #countReady(count: number, now: number): number {
-    const aged = now - this.#ready.heardAt > this.#settings.meanTrustMs;
+  #updateReadyServers(count: number, now: number): number {
+    const aged = now - this.#ready.updatedAt > this.#settings.meanTrustMs;
     if (count * 2 >= this.#ready.count || aged) {
-      this.#ready = {count: Math.max(1, count), heardAt: now};
+      this.#ready = {count: Math.max(1, count), updatedAt: now};
     }
     return this.#ready.count;
   }
 
-  #change(delta: number, now: number): void {
-    this.#own = Math.max(0, this.#own + delta);
-    this.#history.push({at: now, tokens: this.#own});
+  #adjustOwnTokens(delta: number, now: number): void {
+    this.#ownTokens = Math.max(0, this.#ownTokens + delta);
+    this.#history.push({at: now, tokens: this.#ownTokens});
     if (this.#history.length > MAX_HISTORY) this.#history.shift();
   }
 
-  #ownAt(time: number): number {
+  #ownTokensAt(time: number): number {
     for (let index = this.#history.length - 1; index >= 0; index -= 1) {
       const entry = this.#history[index];
       if (entry && entry.at <= time) return entry.tokens;
--- a/packages/lovagepond-sidecar/src/sidecar_announcer.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_announcer.ts
@@ -9,7 +9,7 @@
 type AnnounceResponse = lovagepond.v1.AnnounceResponse;
 
 /** What the announcer needs. */
-export interface AnnouncerParts {
+export interface AnnouncerDependencies {
   readonly link: SidecarControlLink;
   readonly announceIntervalMs: number;
   makeAnnouncement(): AnnounceRequest;
@@ -19,19 +19,19 @@
 
 /** Keeps one announcement on its way at a time. */
 export class SidecarAnnouncer {
-  readonly #parts: AnnouncerParts;
+  readonly #deps: AnnouncerDependencies;
   #timer: NodeJS.Timeout | undefined;
   #stopped = false;
   #sending = false;
-  #again = false;
+  #sendAgain = false;
 
-  constructor(parts: AnnouncerParts) {
-    this.#parts = parts;
+  constructor(deps: AnnouncerDependencies) {
+    this.#deps = deps;
   }
 
   /** Announces now and from then on at each interval. */
   start(): void {
-    const {announceIntervalMs} = this.#parts;
+    const {announceIntervalMs} = this.#deps;
     this.#timer = setInterval(() => void this.announce(), announceIntervalMs);
     void this.announce();
   }
@@ -42,28 +42,28 @@
    */
   async announce(): Promise<void> {
     if (this.#stopped) return;
-    this.#again = this.#sending;
+    this.#sendAgain = this.#sending;
     if (this.#sending) return;
     this.#sending = true;
     do {
-      this.#again = false;
+      this.#sendAgain = false;
       await this.#sendOnce();
-    } while (this.#again);
+    } while (this.#sendAgain);
     this.#sending = false;
   }
 
   /** Ends it. */
   stop(): void {
     this.#stopped = true;
-    this.#again = false;
+    this.#sendAgain = false;
     clearInterval(this.#timer);
   }
 
   async #sendOnce(): Promise<void> {
-    const sent = this.#parts.makeAnnouncement();
-    const answer = await this.#parts.link.announce(sent);
+    const sent = this.#deps.makeAnnouncement();
+    const answer = await this.#deps.link.announce(sent);
     // A member that is not the leader knows neither mean nor orders.
     if (this.#stopped || !answer?.accepted) return;
-    this.#parts.onAnswer(answer, sent);
+    this.#deps.onAnswer(answer, sent);
   }
 }
--- a/packages/lovagepond-sidecar/src/sidecar_attempts.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_attempts.ts
@@ -59,7 +59,7 @@
   readonly #refused = new Set<string>();
   /** Attempts that were taken back before they came, oldest first. */
   readonly #unseen = new Set<string>();
-  #forcedForgetAt = -Infinity;
+  #forcedEvictionAt = -Infinity;
 
   constructor(settings: AttemptsSettings) {
     this.#settings = settings;
@@ -155,28 +155,28 @@
   }
 
   /** @param now present time; attempts past their retention go */
-  forget(now: number): void {
+  expire(now: number): void {
     // A refused attempt has come already. The end of a run is kept longer:
     // forgotten, a revoke of it could not be answered.
-    this.#forgetUnseen(now);
-    this.#forgetOldest(this.#refused, now);
-    if (this.#forgetOldest(this.#ended, now)) this.#forcedForgetAt = now;
+    this.#expireUnseen(now);
+    this.#evictOldest(this.#refused, now);
+    if (this.#evictOldest(this.#ended, now)) this.#forcedEvictionAt = now;
   }
 
   #revokeUnseen(attemptId: string, now: number): RevokeOutcome {
     const {attemptRetentionMs, maxAttempts} = this.#settings;
     // It may be among the ended ones dropped for space: it may have run.
-    const forgotten = now - this.#forcedForgetAt < attemptRetentionMs;
+    const evictedRecently = now - this.#forcedEvictionAt < attemptRetentionMs;
     // Forgotten before its time, it could still arrive and run.
     const full = this.#unseen.size >= maxAttempts / 2;
-    if (forgotten || full) return REVOKE_OUTCOME.UNKNOWN;
+    if (evictedRecently || full) return REVOKE_OUTCOME.UNKNOWN;
     const keepUntil = now + attemptRetentionMs;
     this.#records.set(attemptId, {state: ATTEMPT_STATE.NOT_RUN, keepUntil});
     this.#unseen.add(attemptId);
     return REVOKE_OUTCOME.REVOKED;
   }
 
-  #forgetUnseen(now: number): void {
+  #expireUnseen(now: number): void {
     for (const attemptId of this.#unseen) {
       if ((this.#records.get(attemptId)?.keepUntil ?? 0) > now) return;
       this.#unseen.delete(attemptId);
@@ -185,7 +185,7 @@
   }
 
   /** @returns true when one was dropped for space before its time */
-  #forgetOldest(attempts: Set<string>, now: number): boolean {
+  #evictOldest(attempts: Set<string>, now: number): boolean {
     let forced = false;
     for (const attemptId of attempts) {
       const record = this.#records.get(attemptId);
@@ -207,6 +207,6 @@
     this.#ended.delete(attemptId);
     this.#refused.delete(attemptId);
     (refused ? this.#refused : this.#ended).add(attemptId);
-    this.forget(now);
+    this.expire(now);
   }
 }
--- a/packages/lovagepond-sidecar/src/sidecar_backend.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_backend.ts
@@ -32,7 +32,7 @@
  * The field counts at the top alone, as in the caller's front. Taken from some
  * inner object, a caller that wants one piece would get the text of a stream.
  */
-function wantsStream(body: Uint8Array): boolean {
+function requestsStream(body: Uint8Array): boolean {
   const text = decoder.decode(body);
   if (!STREAM_FIELD.test(text)) return false;
   try {
@@ -53,7 +53,7 @@
   signal.addEventListener('abort', () => engine.cancel(requestId), {
     once: true,
   });
-  const stream = wantsStream(body);
+  const stream = requestsStream(body);
   return engine.run(
     {
       requestId,
--- a/packages/lovagepond-sidecar/src/sidecar_backend_watch.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_backend_watch.ts
@@ -8,10 +8,10 @@
 import {type SidecarGate} from './sidecar_gate.js';
 
 /** Looks in a row without an answer, after which it counts as down. */
-const DOWN_AFTER = 2;
+const FAILURES_UNTIL_DOWN = 2;
 
 /** What the watch needs. */
-export interface WatchParts {
+export interface WatchDependencies {
   readonly backend: Backend;
   readonly gate: SidecarGate;
   readonly clock: Clock;
@@ -37,24 +37,24 @@
 
 /** Keeps the gate's knowledge of its backend server up to date. */
 export class SidecarBackendWatch {
-  readonly #parts: WatchParts;
-  #failures = DOWN_AFTER;
+  readonly #deps: WatchDependencies;
+  #failures = FAILURES_UNTIL_DOWN;
   #incarnation: string | undefined;
   #models: readonly string[] = [];
   #unregister: Unregister = () => {};
-  #looking: Promise<void> | undefined;
+  #probing: Promise<void> | undefined;
   /** Lives of the backend server that have ended. */
-  #endedLives = 0;
+  #endedInstances = 0;
   /** None runs now, as far as is known. */
-  #isLifeOver = true;
+  #isInstanceOver = true;
 
-  constructor(parts: WatchParts) {
-    this.#parts = parts;
+  constructor(deps: WatchDependencies) {
+    this.#deps = deps;
   }
 
   /** @returns true while the backend server answers */
   get up(): boolean {
-    return this.#failures < DOWN_AFTER;
+    return this.#failures < FAILURES_UNTIL_DOWN;
   }
 
   /** @returns models it has loaded */
@@ -64,7 +64,7 @@
 
   /** Starts to listen to cache events. */
   start(): void {
-    const {backend, gate} = this.#parts;
+    const {backend, gate} = this.#deps;
     if (backend.kind !== 'engine') return;
     this.#unregister = backend.engine.subscribeCache(event => {
       CACHE_HANDLERS[event.kind](event as never, gate);
@@ -85,49 +85,53 @@
   }
 
   /** The life that runs now, counted from 0. */
-  get life(): number {
-    return this.#endedLives;
+  get instance(): number {
+    return this.#endedInstances;
   }
 
   /**
    * To be asked when a run broke off.
    *
-   * @param life of the backend server when the run began
+   * @param instance of the backend server when the run began
    * @returns true when that life has ended
    */
-  async hasEnded(life: number): Promise<boolean> {
+  async hasEnded(instance: number): Promise<boolean> {
     // A look that is under way may have been answered before the run broke off.
-    for (let looks = 0; looks < 2 && life === this.#endedLives; looks += 1) {
-      await this.look();
+    for (
+      let probes = 0;
+      probes < 2 && instance === this.#endedInstances;
+      probes += 1
+    ) {
+      await this.probe();
     }
-    return life < this.#endedLives;
+    return instance < this.#endedInstances;
   }
 
   /** Looks once; a look that still goes on is not doubled. */
-  look(): Promise<void> {
-    this.#looking ??= this.#lookOnce().finally(() => {
-      this.#looking = undefined;
+  probe(): Promise<void> {
+    this.#probing ??= this.#probeOnce().finally(() => {
+      this.#probing = undefined;
     });
-    return this.#looking;
+    return this.#probing;
   }
 
-  async #lookOnce(): Promise<void> {
+  async #probeOnce(): Promise<void> {
     const wasUp = this.up;
-    const answered = await this.#ask();
-    if (answered) this.#isLifeOver = false;
-    else this.#endLife();
+    const answered = await this.#checkBackend();
+    if (answered) this.#isInstanceOver = false;
+    else this.#endInstance();
     this.#failures = answered ? 0 : this.#failures + 1;
     if (wasUp === this.up) return;
-    this.#parts.log.info('backend server', {up: this.up});
+    this.#deps.log.info('backend server', {up: this.up});
   }
 
-  #endLife(): void {
-    if (!this.#isLifeOver) this.#endedLives += 1;
-    this.#isLifeOver = true;
+  #endInstance(): void {
+    if (!this.#isInstanceOver) this.#endedInstances += 1;
+    this.#isInstanceOver = true;
   }
 
-  async #ask(): Promise<boolean> {
-    const {backend, gate, clock} = this.#parts;
+  async #checkBackend(): Promise<boolean> {
+    const {backend, gate, clock} = this.#deps;
     if (backend.kind === 'service') return backend.service.probe();
     const report = await backend.engine.loadReport(clock.now());
     if (!report.ok) return false;
@@ -136,8 +140,8 @@
     if (this.#incarnation !== undefined && this.#incarnation !== incarnation) {
       // Its cache is empty now: kept as warm, chats would be held for it.
       gate.backendRestarted(now);
-      this.#endLife();
-      this.#parts.log.warn('backend server restarted', {incarnation});
+      this.#endInstance();
+      this.#deps.log.warn('backend server restarted', {incarnation});
     }
     this.#incarnation = incarnation;
     this.#models = report.value.models;
--- a/packages/lovagepond-sidecar/src/sidecar_cache_index.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_cache_index.ts
@@ -9,7 +9,7 @@
 
 /** Room for 2^32 tokens below the epoch in one packed number. */
 const EPOCH_UNIT = 2 ** 32;
-const UNKNOWN_NOTHING: ChatWarmth = Object.freeze({
+const UNKNOWN: ChatWarmth = Object.freeze({
   warmth: WARMTH.UNKNOWN,
   tokens: 0,
 });
@@ -75,7 +75,7 @@
   read(workspace: string, chat: string): ChatWarmth {
     if (chat === '') return COLD;
     const packed = this.#entries.get(chatNumber(workspace, chat));
-    if (packed === undefined) return this.#complete ? COLD : UNKNOWN_NOTHING;
+    if (packed === undefined) return this.#complete ? COLD : UNKNOWN;
     const tokens = packed % EPOCH_UNIT;
     const current = Math.floor(packed / EPOCH_UNIT) === this.#epoch;
     return {warmth: current ? WARMTH.WARM : WARMTH.UNKNOWN, tokens};
@@ -93,7 +93,7 @@
     chat: string,
     tokens: number,
   ): void {
-    if (!this.#follow(sequence)) return;
+    if (!this.#acceptSequence(sequence)) return;
     const number = chatNumber(workspace, chat);
     if (tokens > 0) this.#put(number, this.#epoch, tokens);
     else this.#entries.delete(number);
@@ -106,7 +106,7 @@
    */
   noteGap(sequence: number): void {
     this.#nextSequence = sequence + 1;
-    this.#forgetCertainty();
+    this.#invalidate();
   }
 
   /**
@@ -129,19 +129,19 @@
   /** The engine restarted: what it held is gone; what it holds is unknown. */
   reset(): void {
     this.#entries.clear();
-    this.#forgetCertainty();
+    this.#invalidate();
   }
 
-  #follow(sequence: number): boolean {
+  #acceptSequence(sequence: number): boolean {
     const expected = this.#nextSequence;
     if (expected === undefined) this.#complete = sequence === FIRST_SEQUENCE;
     else if (sequence < expected) return false;
-    else if (sequence > expected) this.#forgetCertainty();
+    else if (sequence > expected) this.#invalidate();
     this.#nextSequence = sequence + 1;
     return true;
   }
 
-  #forgetCertainty(): void {
+  #invalidate(): void {
     this.#epoch += 1;
     this.#complete = false;
   }
--- a/packages/lovagepond-sidecar/src/sidecar_cache_mover.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_cache_mover.ts
@@ -23,7 +23,7 @@
 const BUSY_CHECK_MS = 100;
 
 /** What the mover needs. */
-export interface MoverParts {
+export interface MoverDependencies {
   readonly gate: SidecarGate;
   readonly backend: Backend;
   readonly peers: SidecarPeers;
@@ -36,7 +36,7 @@
 
 /** Moves caches, one after the other, within the byte rate. */
 export class SidecarCacheMover {
-  readonly #parts: MoverParts;
+  readonly #deps: MoverDependencies;
   readonly #rate: ByteRate;
   #moved = 0;
   #movedBytes = 0;
@@ -44,10 +44,10 @@
   /** The chats served here last. */
   readonly recent: RecentChats;
 
-  constructor(parts: MoverParts) {
-    this.#parts = parts;
-    this.#rate = new ByteRate(parts.moveBytesPerSecond);
-    this.recent = new RecentChats(parts.maxMovedChats);
+  constructor(deps: MoverDependencies) {
+    this.#deps = deps;
+    this.#rate = new ByteRate(deps.moveBytesPerSecond);
+    this.recent = new RecentChats(deps.maxMovedChats);
   }
 
   /** @returns chats and bytes moved since the start */
@@ -62,19 +62,19 @@
    * @param signal ends it
    */
   async run(signal: AbortSignal): Promise<void> {
-    const {backend, moveBytesPerSecond, gate} = this.#parts;
+    const {backend, moveBytesPerSecond, gate} = this.#deps;
     if (backend.kind !== 'engine' || moveBytesPerSecond <= 0) return;
     if (this.#running) return;
     this.#running = true;
     const done = new Set<number>();
     while (!signal.aborted) {
-      const last = gate.idle;
+      const wasIdle = gate.idle;
       await this.#moveAll(done, signal);
-      if (last) break;
+      if (wasIdle) break;
       await pause(BUSY_CHECK_MS, signal);
     }
     this.#running = false;
-    this.#parts.log.info('caches moved', this.counters);
+    this.#deps.log.info('caches moved', this.counters);
   }
 
   /** Moves each chat once; a later answer here can't come during a leave. */
@@ -89,7 +89,7 @@
   }
 
   #plan(): PlannedMove[] {
-    const {gate, peers, hasher} = this.#parts;
+    const {gate, peers, hasher} = this.#deps;
     // The order of the routers over what remains: there the chats will land.
     const table = new RendezvousTable<Peer>(peers.ready, hasher);
     return planMoves(this.recent.latest(), {
@@ -104,13 +104,13 @@
   }
 
   async #waitForRate(signal: AbortSignal): Promise<boolean> {
-    const waitMs = this.#rate.waitMs(this.#parts.clock.now());
+    const waitMs = this.#rate.waitMs(this.#deps.clock.now());
     if (waitMs > 0 && !signal.aborted) await pause(waitMs, signal);
     return !signal.aborted;
   }
 
   async #move(move: PlannedMove): Promise<void> {
-    const {backend, peers, clock} = this.#parts;
+    const {backend, peers, clock} = this.#deps;
     if (backend.kind !== 'engine') return;
     const {workspace, chat, address} = move;
     const exported = await backend.engine.exportCache({workspace, chat});
--- a/packages/lovagepond-sidecar/src/sidecar_claimed_calls.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_claimed_calls.ts
@@ -14,7 +14,7 @@
 type AttemptRequest = lovagepond.v1.AttemptRequest;
 
 /** An answer as the ledger keeps it. */
-export interface KeptAnswer {
+export interface RecordedAnswer {
   readonly status: number;
   readonly contentType: string;
   readonly answer: Uint8Array;
@@ -43,10 +43,10 @@
 
 interface ClaimedCall {
   readonly request: AttemptRequest;
-  answer: KeptAnswer;
+  answer: RecordedAnswer;
 }
 
-const NO_ANSWER: KeptAnswer = Object.freeze({
+const NO_ANSWER: RecordedAnswer = Object.freeze({
   status: 0,
   contentType: '',
   answer: new Uint8Array(),
@@ -120,7 +120,7 @@
   finish(
     attemptId: string,
     outcome: RecordedOutcome,
-    answer: KeptAnswer = NO_ANSWER,
+    answer: RecordedAnswer = NO_ANSWER,
   ): void {
     const call = this.#calls.get(attemptId);
     if (!call) return;
--- a/packages/lovagepond-sidecar/src/sidecar_claims.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_claims.ts
@@ -55,7 +55,7 @@
 }
 
 const CLAIM_STATE = {
-  ASKED: 'asked',
+  PENDING: 'asked',
   GRANTED: 'granted',
   RECORDING: 'recording',
 } as const;
@@ -111,7 +111,7 @@
    */
   start(attemptId: string, now: number): ClaimAction[] {
     this.#claims.set(attemptId, {
-      state: CLAIM_STATE.ASKED,
+      state: CLAIM_STATE.PENDING,
       giveUpAt: now + this.#settings.claimTimeoutMs,
       sendAt: Infinity,
       outcome: 'notRun',
@@ -133,7 +133,7 @@
   ): ClaimAction[] {
     const claim = this.#claims.get(attemptId);
     // Released meanwhile: the record "not run" is on its way already.
-    if (claim?.state !== CLAIM_STATE.ASKED) return [];
+    if (claim?.state !== CLAIM_STATE.PENDING) return [];
     if (answer?.outcome === 'granted') {
       claim.state = CLAIM_STATE.GRANTED;
       return [{kind: 'granted', attemptId}];
--- a/packages/lovagepond-sidecar/src/sidecar_calls.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_client_pool.ts
@@ -61,7 +61,7 @@
 }
 
 /** Clients by address. One that doesn't answer is replaced. */
-export class SidecarCalls {
+export class ClientPool {
   readonly #timeoutMs: number;
   readonly #clients = new Map<string, Client>();
 
@@ -85,25 +85,25 @@
     this.#clients.set(address, client);
     const answer = await callOnce(client, method, request, this.#timeoutMs);
     // A connection can be silent for good while new ones work.
-    if (answer === undefined) this.#forget(address, client);
+    if (answer === undefined) this.#closeClient(address, client);
     return answer;
   }
 
   /** @param addresses those still in use; connections to others are closed */
   keepOnly(addresses: ReadonlySet<string>): void {
     for (const [address, client] of this.#clients) {
-      if (!addresses.has(address)) this.#forget(address, client);
+      if (!addresses.has(address)) this.#closeClient(address, client);
     }
   }
 
   /** Closes all connections. */
   close(): void {
     for (const [address, client] of this.#clients) {
-      this.#forget(address, client);
+      this.#closeClient(address, client);
     }
   }
 
-  #forget(address: string, client: Client): void {
+  #closeClient(address: string, client: Client): void {
     if (this.#clients.get(address) === client) this.#clients.delete(address);
     client.close();
   }
--- a/packages/lovagepond-sidecar/src/sidecar_configuration.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_configuration.ts
@@ -11,12 +11,12 @@
 import {type SidecarGate} from './sidecar_gate.js';
 import {readGatePolicy} from './sidecar_policy.js';
 import {SidecarRevisions} from './sidecar_revisions.js';
-import {ISLAND_POLICY, type SidecarSettings} from './sidecar_settings.js';
+import {PARTITION_POLICY, type SidecarSettings} from './sidecar_settings.js';
 
 const NO_BYTES = new Uint8Array();
 
 /** What configurations are put in force at. */
-export interface ConfigurationParts {
+export interface ConfigurationDependencies {
   readonly gate: SidecarGate;
   readonly log: Logger;
   /** Tells control which revision is in force here. */
@@ -26,16 +26,16 @@
 /** The configuration in force at one sidecar. */
 export class SidecarConfiguration {
   readonly #pool: string;
-  readonly #parts: ConfigurationParts;
+  readonly #deps: ConfigurationDependencies;
   readonly #revisions: SidecarRevisions;
   /** The configuration as it travels, made once per revision. */
   #encoded: Uint8Array = NO_BYTES;
 
-  constructor(settings: SidecarSettings, parts: ConfigurationParts) {
+  constructor(settings: SidecarSettings, deps: ConfigurationDependencies) {
     this.#pool = settings.pool;
-    this.#parts = parts;
+    this.#deps = deps;
     this.#revisions = new SidecarRevisions({
-      serveUnconfirmed: settings.islandPolicy === ISLAND_POLICY.SERVE,
+      serveUnconfirmed: settings.islandPolicy === PARTITION_POLICY.SERVE,
     });
   }
 
@@ -60,15 +60,15 @@
   install(bytes: Uint8Array): void {
     const configuration = decodeConfiguration(bytes);
     if (!configuration) {
-      this.#parts.log.error('a configuration could not be read');
+      this.#deps.log.error('a configuration could not be read');
       return;
     }
     if (!this.#revisions.install(configuration)) return;
     const {revision, content} = configuration;
     this.#encoded = encodeConfiguration(configuration);
-    this.#parts.gate.configure(readGatePolicy(content, this.#pool), revision);
-    this.#parts.log.info('configuration installed', {revision});
-    this.#parts.report(revision);
+    this.#deps.gate.configure(readGatePolicy(content, this.#pool), revision);
+    this.#deps.log.info('configuration installed', {revision});
+    this.#deps.report(revision);
   }
 
   /**
--- a/packages/lovagepond-sidecar/src/sidecar_control_feed.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_control_feed.ts
@@ -10,7 +10,7 @@
   type Random,
 } from '@lovagepond/core';
 import {CONTROL_SERVICE, lovagepond} from '@lovagepond/protocol';
-import {connect} from './sidecar_calls.js';
+import {connect} from './sidecar_client_pool.js';
 import {type SidecarSettings} from './sidecar_settings.js';
 
 const {v1} = lovagepond;
@@ -20,32 +20,32 @@
 const RETRY_MS = 200;
 
 /** What the feed needs besides its settings. */
-export interface FeedParts {
+export interface FeedDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly random: Random;
   /** @returns the revision in force here */
-  heldRevision(): number;
+  revision(): number;
   onUpdate(update: ControlUpdate, now: number): void;
 }
 
 /** Keeps one subscription open, at any member that answers. */
 export class SidecarControlFeed {
   readonly #settings: SidecarSettings;
-  readonly #parts: FeedParts;
+  readonly #deps: FeedDependencies;
   #client: Client | undefined;
   #call: ClientReadableStream<ControlUpdate> | undefined;
   readonly #addresses: ControlAddresses;
-  #heardAt = 0;
+  #lastUpdateAt = 0;
   #receivedBytes = 0;
   #retryTimer: NodeJS.Timeout | undefined;
   #stopped = false;
 
-  constructor(settings: SidecarSettings, parts: FeedParts) {
+  constructor(settings: SidecarSettings, deps: FeedDependencies) {
     this.#settings = settings;
-    this.#parts = parts;
+    this.#deps = deps;
     const {controlAddresses} = settings;
-    this.#addresses = new ControlAddresses(controlAddresses, parts.random);
+    this.#addresses = new ControlAddresses(controlAddresses, deps.random);
   }
 
   /** @returns bytes received since the start */
@@ -58,7 +58,7 @@
     const {backendServer, pool, region} = this.#settings;
     const address = this.#addresses.current;
     if (this.#stopped || address === '') return;
-    this.#heardAt = this.#parts.clock.now();
+    this.#lastUpdateAt = this.#deps.clock.now();
     this.#client = connect(address);
     const method = CONTROL_SERVICE.subscribe;
     const call = this.#client.makeServerStreamRequest(
@@ -71,7 +71,7 @@
       new v1.SubscribeRequest({
         node: backendServer,
         role: 'sidecar',
-        revision: this.#parts.heldRevision(),
+        revision: this.#deps.revision(),
         region,
         pool,
       }),
@@ -85,7 +85,7 @@
   /** @param now present time; call it a few times a second */
   tick(now: number): void {
     if (!this.#call) return;
-    const silentMs = now - this.#heardAt;
+    const silentMs = now - this.#lastUpdateAt;
     if (silentMs <= this.#settings.controlSilentAfterMs) return;
     this.#restart('silent');
   }
@@ -100,15 +100,15 @@
   #listen(call: ClientReadableStream<ControlUpdate>, address: string): void {
     call.on('data', (update: ControlUpdate) => {
       if (this.#call !== call) return;
-      this.#heardAt = this.#parts.clock.now();
+      this.#lastUpdateAt = this.#deps.clock.now();
       this.#addresses.noteHeard();
       const {addresses} = update.controlMembers ?? {};
       if (addresses) this.#addresses.learn(addresses);
-      this.#parts.onUpdate(update, this.#heardAt);
+      this.#deps.onUpdate(update, this.#lastUpdateAt);
     });
     const onLost = (err?: Error): void => {
       if (this.#call !== call) return;
-      this.#parts.log.info('subscription lost', {address, err: err?.message});
+      this.#deps.log.info('subscription lost', {address, err: err?.message});
       this.#restart(err?.message ?? 'ended');
     };
     call.on('error', onLost);
@@ -117,10 +117,10 @@
 
   /** The pause differs between sidecars, or all would come back at once. */
   #restart(reason: string): void {
-    this.#parts.log.debug('subscribing at another member', {reason});
+    this.#deps.log.debug('subscribing at another member', {reason});
     this.#close();
     this.#addresses.moveOn();
-    const pauseMs = RETRY_MS * (0.5 + this.#parts.random.next());
+    const pauseMs = RETRY_MS * (0.5 + this.#deps.random.next());
     this.#retryTimer = setTimeout(() => {
       this.start();
     }, pauseMs);
--- a/packages/lovagepond-sidecar/src/sidecar_control_link.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_control_link.ts
@@ -5,7 +5,7 @@
 import {type MethodDefinition} from '@grpc/grpc-js';
 import {ControlAddresses, type Random} from '@lovagepond/core';
 import {CONTROL_SERVICE, lovagepond} from '@lovagepond/protocol';
-import {SidecarCalls} from './sidecar_calls.js';
+import {ClientPool} from './sidecar_client_pool.js';
 import {type ClaimAnswer} from './sidecar_claims.js';
 import {type SidecarSettings} from './sidecar_settings.js';
 
@@ -21,7 +21,7 @@
 /** Unary calls to control. */
 export class SidecarControlLink {
   readonly #addresses: ControlAddresses;
-  readonly #calls: SidecarCalls;
+  readonly #clients: ClientPool;
   #leader = '';
 
   /**
@@ -30,7 +30,7 @@
    */
   constructor(settings: SidecarSettings, random: Random) {
     this.#addresses = new ControlAddresses(settings.controlAddresses, random);
-    this.#calls = new SidecarCalls(settings.controlTimeoutMs);
+    this.#clients = new ClientPool(settings.controlTimeoutMs);
   }
 
   /** @returns `host:port` of the member asked next */
@@ -39,7 +39,7 @@
   }
 
   /** @param addresses `host:port` of all members of control */
-  learnMembers(addresses: readonly string[]): void {
+  updateMembers(addresses: readonly string[]): void {
     this.#addresses.learn(addresses);
   }
 
@@ -51,7 +51,7 @@
     request: lovagepond.v1.AnnounceRequest.$Properties,
   ): Promise<AnnounceResponse | undefined> {
     const message = new v1.AnnounceRequest(request);
-    const answer = await this.#ask(CONTROL_SERVICE.announce, message);
+    const answer = await this.#call(CONTROL_SERVICE.announce, message);
     return answer && new v1.AnnounceResponse(answer);
   }
 
@@ -63,7 +63,7 @@
     request: lovagepond.v1.ClaimRequest.$Properties,
   ): Promise<ClaimAnswer | undefined> {
     const message = new v1.ClaimRequest(request);
-    const answer = await this.#ask(CONTROL_SERVICE.claim, message);
+    const answer = await this.#call(CONTROL_SERVICE.claim, message);
     if (!answer || answer.outcome === 'notLeader') return undefined;
     return new v1.ClaimResponse(answer);
   }
@@ -76,7 +76,7 @@
     request: lovagepond.v1.RecordRequest.$Properties,
   ): Promise<boolean> {
     const message = new v1.RecordRequest(request);
-    const answer = await this.#ask(CONTROL_SERVICE.record, message);
+    const answer = await this.#call(CONTROL_SERVICE.record, message);
     return answer?.recorded ?? false;
   }
 
@@ -85,7 +85,7 @@
     outcome: lovagepond.v1.OrderOutcome.$Properties,
   ): Promise<void> {
     const message = new v1.OrderOutcome(outcome);
-    await this.#ask(CONTROL_SERVICE.reportOrder, message);
+    await this.#call(CONTROL_SERVICE.reportOrder, message);
   }
 
   /** @param report which revision this node holds */
@@ -93,29 +93,29 @@
     report: lovagepond.v1.ConvergenceReport.$Properties,
   ): Promise<void> {
     const message = new v1.ConvergenceReport(report);
-    await this.#ask(CONTROL_SERVICE.reportConvergence, message);
+    await this.#call(CONTROL_SERVICE.reportConvergence, message);
   }
 
   /** Closes all connections. */
   close(): void {
-    this.#calls.close();
+    this.#clients.close();
   }
 
-  async #ask<Req, Res extends object>(
+  async #call<Req, Res extends object>(
     method: MethodDefinition<Req, Res>,
     request: Req,
   ): Promise<Res | undefined> {
     const address = this.address;
     if (!address) return undefined;
-    const answer = await this.#calls.call(address, method, request);
-    this.#follow(address, answer as LeaderHint | undefined);
+    const answer = await this.#clients.call(address, method, request);
+    this.#updateTarget(address, answer as LeaderHint | undefined);
     return answer;
   }
 
-  #follow(asked: string, answer: LeaderHint | undefined): void {
-    if (asked !== this.address) return;
+  #updateTarget(calledAddress: string, answer: LeaderHint | undefined): void {
+    if (calledAddress !== this.address) return;
     if (answer === undefined) {
-      if (asked === this.#addresses.current) this.#addresses.moveOn();
+      if (calledAddress === this.#addresses.current) this.#addresses.moveOn();
       this.#leader = '';
       return;
     }
--- a/packages/lovagepond-sidecar/src/sidecar_dispatcher.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_dispatcher.ts
@@ -16,7 +16,7 @@
 import {type ClaimAnswer} from './sidecar_claims.js';
 import {makeAccepted, makeRefused} from './sidecar_frames.js';
 import {type SidecarGate} from './sidecar_gate.js';
-import {hasBrokenOff, runAttempt, type RunOutcome} from './sidecar_run.js';
+import {wasInterrupted, runAttempt, type RunOutcome} from './sidecar_run.js';
 import {type FrameStream, SidecarSession} from './sidecar_session.js';
 import {SidecarSessions} from './sidecar_sessions.js';
 import {type SidecarSettings} from './sidecar_settings.js';
@@ -33,11 +33,11 @@
 const LEDGER_RETRY_MS = 100;
 
 /** Time in which a backend server that broke a run off shows that it ended, ms. */
-const END_KNOWN_WITHIN_MS = 300;
+const CRASH_CHECK_TIMEOUT_MS = 300;
 const NO_BYTES = new Uint8Array();
 
 /** What the dispatcher needs besides its settings. */
-export interface DispatcherParts {
+export interface DispatcherDependencies {
   readonly gate: SidecarGate;
   readonly backend: Backend;
   readonly clock: Clock;
@@ -51,9 +51,9 @@
   /** The backend server could not be reached. */
   noteUnreachable(): void;
   /** Life of the backend server that runs now. */
-  readonly life: () => number;
+  readonly backendInstance: () => number;
   /** @returns true when that life of the backend server has ended */
-  readonly hasEnded: (life: number) => Promise<boolean>;
+  readonly hasEnded: (instance: number) => Promise<boolean>;
   /** A chat's run is over; its context is cached. */
   noteServed(request: AttemptRequest): void;
 }
@@ -102,14 +102,14 @@
   return {kind: 'notRun', message, ...(notRun && {errorKind: kind})};
 }
 
-function countUp(counts: Map<string, number>, name: string): void {
+function increment(counts: Map<string, number>, name: string): void {
   counts.set(name, (counts.get(name) ?? 0) + 1);
 }
 
 /** The attempts at one sidecar, with their streams and runs. */
 export class SidecarDispatcher {
   readonly #settings: SidecarSettings;
-  readonly #parts: DispatcherParts;
+  readonly #deps: DispatcherDependencies;
   readonly #gate: SidecarGate;
   readonly #calls: ClaimedCalls;
   readonly #sessions: SidecarSessions;
@@ -129,17 +129,17 @@
     dispatch: (_action, session) => void this.#run(session),
     cancel: ({attemptId}) => this.#aborts.get(attemptId)?.abort(),
     releaseClaim: ({attemptId}) => this.#calls.release(attemptId),
-    point: (_action, session) => this.#parts.point(session.request),
+    point: (_action, session) => this.#deps.point(session.request),
   };
 
   /**
    * @param settings the sidecar's settings
-   * @param parts the gate and what it decides about
+   * @param deps the gate and what it decides about
    */
-  constructor(settings: SidecarSettings, parts: DispatcherParts) {
+  constructor(settings: SidecarSettings, deps: DispatcherDependencies) {
     this.#settings = settings;
-    this.#parts = parts;
-    this.#gate = parts.gate;
+    this.#deps = deps;
+    this.#gate = deps.gate;
     this.#sessions = new SidecarSessions(settings);
     const {backendServer, claimTimeoutMs} = settings;
     this.#calls = new ClaimedCalls(
@@ -148,9 +148,9 @@
         recordTimeoutMs: RECORD_TIMEOUT_MS,
         retryMs: LEDGER_RETRY_MS,
       },
-      {backendServer, incarnation: parts.incarnation},
-      parts.ledger,
-      parts.clock,
+      {backendServer, incarnation: deps.incarnation},
+      deps.ledger,
+      deps.clock,
       {
         onGranted: attemptId => this.#onGranted(attemptId),
         onReplay: (attemptId, answer) => this.#onReplay(attemptId, answer),
@@ -192,11 +192,11 @@
     request: AttemptRequest,
     stream: FrameStream,
   ): SidecarSession | undefined {
-    const now = this.#parts.clock.now();
+    const now = this.#deps.clock.now();
     const {attemptId, resumeFrom} = request;
-    const unfit = this.#findUnfit(request);
-    if (unfit) {
-      stream.write(makeRefused(makeFailure(unfit), '', NO_BYTES));
+    const invalid = this.#findInvalid(request);
+    if (invalid) {
+      stream.write(makeRefused(makeFailure(invalid), '', NO_BYTES));
       stream.end();
       return undefined;
     }
@@ -218,8 +218,8 @@
    * @param session an attempt
    * @param stream its stream that is gone
    */
-  streamGone(session: SidecarSession, stream: FrameStream): void {
-    const now = this.#parts.clock.now();
+  streamClosed(session: SidecarSession, stream: FrameStream): void {
+    const now = this.#deps.clock.now();
     session.detach(stream, now);
     if (session.detachedAt === undefined) return;
     if (session.closedAt !== undefined) return;
@@ -234,7 +234,7 @@
    * @returns the outcome
    */
   revoke(attemptId: string): string {
-    const now = this.#parts.clock.now();
+    const now = this.#deps.clock.now();
     const {outcome, actions} = this.#gate.revoke(attemptId, now);
     this.perform(actions);
     return outcome;
@@ -242,7 +242,7 @@
 
   /** @param actions what the gate decided */
   perform(actions: readonly GateAction[]): void {
-    const now = this.#parts.clock.now();
+    const now = this.#deps.clock.now();
     for (const action of actions) {
       const session = this.#sessions.find(action.attemptId);
       if (session) this.#handlers[action.kind](action as never, session, now);
@@ -255,7 +255,7 @@
     this.#calls.tick(now);
     for (const session of this.#sessions.tick(now)) {
       this.perform(this.#gate.callerGone(session.request.attemptId, now));
-      session.release();
+      session.abandon();
     }
   }
 
@@ -265,21 +265,21 @@
   }
 
   /** Refusals that concern no session: nothing of them is remembered. */
-  #findUnfit({incarnation, body}: AttemptRequest): ErrorKind | undefined {
-    if (incarnation !== this.#parts.incarnation) return 'wrongIncarnation';
+  #findInvalid({incarnation, body}: AttemptRequest): ErrorKind | undefined {
+    if (incarnation !== this.#deps.incarnation) return 'wrongIncarnation';
     const tooLarge = body.length > this.#settings.maxBodyBytes;
     return tooLarge ? 'payloadTooLarge' : undefined;
   }
 
   #refuse(action: RefuseAction, session: SidecarSession, now: number): void {
     const {failure, pointer} = action;
-    countUp(this.#refusedByKind, failure.kind);
+    increment(this.#refusedByKind, failure.kind);
     const configuration =
       failure.kind === 'staleRevision'
-        ? this.#parts.newerConfiguration(session.request.revision)
+        ? this.#deps.newerConfiguration(session.request.revision)
         : NO_BYTES;
     session.refuse(makeRefused(failure, pointer, configuration), now);
-    this.#sessions.forget(session.request.attemptId);
+    this.#sessions.remove(session.request.attemptId);
   }
 
   #fail(
@@ -288,39 +288,41 @@
     now: number,
     crashedLife?: string,
   ): void {
-    countUp(this.#failedByKind, failure.kind);
+    increment(this.#failedByKind, failure.kind);
     session.fail(failure, now, crashedLife);
   }
 
   async #run(session: SidecarSession): Promise<void> {
     const {request} = session;
     const {attemptId} = request;
-    const {backend, clock} = this.#parts;
+    const {backend, clock} = this.#deps;
     const abort = new AbortController();
     this.#aborts.set(attemptId, abort);
     const {signal} = abort;
-    const parts = {backend, session, clock, signal};
-    const life = this.#parts.life();
-    const outcome = await runAttempt(parts);
+    const deps = {backend, session, clock, signal};
+    const instance = this.#deps.backendInstance();
+    const outcome = await runAttempt(deps);
     this.#aborts.delete(attemptId);
     const hasCrashed =
-      hasBrokenOff(outcome) && !signal.aborted && (await this.#hasEnded(life));
-    const crashedLife = hasCrashed ? this.#nameOfLife(life) : undefined;
+      wasInterrupted(outcome) &&
+      !signal.aborted &&
+      (await this.#hasEnded(instance));
+    const crashedLife = hasCrashed ? this.#instanceName(instance) : undefined;
     this.#onRunEnd(session, outcome, crashedLife);
   }
 
   /** The caller of a run that broke off doesn't wait long for what it was. */
-  #hasEnded(life: number): Promise<boolean> {
+  #hasEnded(instance: number): Promise<boolean> {
     const limit = new Promise<boolean>(resolve => {
       setTimeout(() => {
         resolve(false);
-      }, END_KNOWN_WITHIN_MS).unref();
+      }, CRASH_CHECK_TIMEOUT_MS).unref();
     });
-    return Promise.race([this.#parts.hasEnded(life), limit]);
+    return Promise.race([this.#deps.hasEnded(instance), limit]);
   }
 
-  #nameOfLife(life: number): string {
-    return `${this.#parts.incarnation}.${life}`;
+  #instanceName(instance: number): string {
+    return `${this.#deps.incarnation}.${instance}`;
   }
 
   #onRunEnd(
@@ -328,19 +330,19 @@
     outcome: RunOutcome,
     crashedLife: string | undefined,
   ): void {
-    const now = this.#parts.clock.now();
+    const now = this.#deps.clock.now();
     const {request} = session;
     if (outcome.kind === 'done') {
       this.#answered += 1;
       this.#cachedTokens += outcome.cachedTokens;
       session.finish(now);
-      this.#parts.noteServed(request);
+      this.#deps.noteServed(request);
     }
     if (outcome.kind === 'failed') {
       this.#fail(session, outcome.failure, now, crashedLife);
     }
     const kind = outcome.kind === 'notRun' ? outcome.failure.kind : undefined;
-    if (kind === 'unreachable') this.#parts.noteUnreachable();
+    if (kind === 'unreachable') this.#deps.noteUnreachable();
     if (request.nonRepeatable) this.#record(session, outcome);
     const end = toRunEnd(outcome);
     this.perform(this.#gate.finish(request.attemptId, end, now));
@@ -357,25 +359,25 @@
   }
 
   #onGranted(attemptId: string): void {
-    const now = this.#parts.clock.now();
+    const now = this.#deps.clock.now();
     const actions = this.#gate.claimGranted(attemptId, now);
     if (actions.length === 0) this.#calls.release(attemptId);
     this.perform(actions);
   }
 
   #onReplay(attemptId: string, answer: ClaimAnswer): void {
-    const now = this.#parts.clock.now();
+    const now = this.#deps.clock.now();
     this.perform(this.#gate.claimDenied(attemptId, now));
     const session = this.#sessions.find(attemptId);
     if (!session) return;
     const {status, contentType} = answer;
-    session.begin({status, contentType});
+    session.setHead({status, contentType});
     session.append({offset: 0, bytes: answer.answer});
     session.finish(now);
   }
 
   #onDenied(attemptId: string, failure: Failure): void {
-    const now = this.#parts.clock.now();
+    const now = this.#deps.clock.now();
     this.perform(this.#gate.claimDenied(attemptId, now));
     const session = this.#sessions.find(attemptId);
     if (!session) return;
--- a/packages/lovagepond-sidecar/src/sidecar_fair_queue.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_fair_queue.ts
@@ -36,7 +36,7 @@
   tokens = 0;
 
   constructor(share: WorkspaceShare) {
-    this.share = shareOf(share);
+    this.share = effectiveShare(share);
     this.limitTokens = share.maxQueuedTokens;
   }
 
@@ -85,7 +85,7 @@
   return Math.max(0, Math.min(HIGHEST_PRIORITY, Math.round(priority)));
 }
 
-function shareOf(share: WorkspaceShare): number {
+function effectiveShare(share: WorkspaceShare): number {
   const steps = clampPriority(share.priority) - NEUTRAL_PRIORITY;
   return share.weight * 2 ** (steps / PRIORITY_STEPS_PER_DOUBLING);
 }
@@ -163,7 +163,7 @@
 
   /** @returns the request whose turn it is, still in the queue */
   peek(): HeldRequest | undefined {
-    let passed = 0;
+    let skipped = 0;
     for (;;) {
       const first = this.#flows.entries().next();
       if (first.done) return undefined;
@@ -181,8 +181,8 @@
       flow.granted = false;
       this.#flows.delete(workspace);
       this.#flows.set(workspace, flow);
-      passed += 1;
-      if (passed % this.#flows.size === 0) this.#skipEmptyRounds();
+      skipped += 1;
+      if (skipped % this.#flows.size === 0) this.#skipEmptyRounds();
     }
   }
 
@@ -207,8 +207,8 @@
   tokensAhead(workspace: string, priority: number, tokens: number): number {
     const own = this.#flows.get(workspace);
     const before = own?.tokensBefore(clampPriority(priority)) ?? 0;
-    const share = own?.share ?? shareOf(this.shareFor(workspace));
-    return before + this.#tokensBeside(workspace, share, before + tokens);
+    const share = own?.share ?? effectiveShare(this.shareFor(workspace));
+    return before + this.#tokensOfOthers(workspace, share, before + tokens);
   }
 
   /**
@@ -224,12 +224,12 @@
       let before = 0;
       for (const held of flow.inOrder()) {
         const {tokens} = held.offer;
-        const beside = this.#tokensBeside(
+        const others = this.#tokensOfOthers(
           workspace,
           flow.share,
           before + tokens,
         );
-        if (visit(held, before + beside)) before += tokens;
+        if (visit(held, before + others)) before += tokens;
       }
     }
   }
@@ -247,7 +247,7 @@
     return this.#held.values();
   }
 
-  #tokensBeside(workspace: string, share: number, own: number): number {
+  #tokensOfOthers(workspace: string, share: number, own: number): number {
     let tokens = 0;
     for (const [name, flow] of this.#flows) {
       if (name === workspace) continue;
--- a/packages/lovagepond-sidecar/src/sidecar_fencing.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_fencing.ts
@@ -27,19 +27,19 @@
 export type OrderVerdict = (typeof ORDER_VERDICT)[keyof typeof ORDER_VERDICT];
 
 /** How an order ended. */
-export interface OrderEnd {
+export interface OrderResult {
   readonly outcome: 'done' | 'failed' | 'fenced';
   readonly message: string;
 }
 
-const KEPT_ENDS = 256;
+const MAX_KEPT_RESULTS = 256;
 
 /** Passes orders by rising token. Without I/O. */
 export class SidecarFencing {
   #floor = 0;
   #floorKnown = false;
   #running: string | undefined;
-  readonly #ends = new Map<string, OrderEnd>();
+  readonly #results = new Map<string, OrderResult>();
 
   /** @returns no order at or below this token passes */
   get floor(): number {
@@ -58,7 +58,7 @@
    *
    * @param floor the highest token known to a majority for this server
    */
-  learnFloor(floor: number): void {
+  raiseFloor(floor: number): void {
     this.#floorKnown = true;
     this.#floor = Math.max(this.#floor, floor);
   }
@@ -69,7 +69,7 @@
    */
   check(order: FencedOrder): OrderVerdict {
     const {orderId, fencingToken} = order;
-    if (this.#ends.has(orderId)) return ORDER_VERDICT.ENDED;
+    if (this.#results.has(orderId)) return ORDER_VERDICT.ENDED;
     if (this.#running === orderId) return ORDER_VERDICT.RUNNING;
     if (!this.#floorKnown) return ORDER_VERDICT.WAIT;
     if (fencingToken <= this.#floor) return ORDER_VERDICT.FENCED;
@@ -82,21 +82,21 @@
 
   /**
    * @param orderId an order that was passed
-   * @param end how it ended
+   * @param result how it ended
    */
-  finish(orderId: string, end: OrderEnd): void {
+  finish(orderId: string, result: OrderResult): void {
     if (this.#running === orderId) this.#running = undefined;
-    this.#ends.set(orderId, end);
-    if (this.#ends.size <= KEPT_ENDS) return;
-    const oldest = this.#ends.keys().next().value;
-    if (oldest !== undefined) this.#ends.delete(oldest);
+    this.#results.set(orderId, result);
+    if (this.#results.size <= MAX_KEPT_RESULTS) return;
+    const oldest = this.#results.keys().next().value;
+    if (oldest !== undefined) this.#results.delete(oldest);
   }
 
   /**
    * @param orderId an order
    * @returns how it ended, or undefined
    */
-  endOf(orderId: string): OrderEnd | undefined {
-    return this.#ends.get(orderId);
+  resultOf(orderId: string): OrderResult | undefined {
+    return this.#results.get(orderId);
   }
 }
--- a/packages/lovagepond-sidecar/src/sidecar_gate.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_gate.ts
@@ -9,12 +9,12 @@
 import {type HeldRequest} from './sidecar_fair_queue.js';
 import {
   dumpGate,
-  type GateParts,
+  type GateComponents,
   INITIAL_GATE_MODE,
-  makeGateParts,
+  makeGateComponents,
   makeRefusalView,
   readGateLoad,
-} from './sidecar_gate_parts.js';
+} from './sidecar_gate_components.js';
 import {
   answerCopy,
   findRefusal,
@@ -41,7 +41,7 @@
 
 /** Decides everything that reaches one backend server. Without I/O. */
 export class SidecarGate {
-  readonly #parts: GateParts;
+  readonly #components: GateComponents;
   #mode = INITIAL_GATE_MODE;
 
   /**
@@ -49,22 +49,22 @@
    * @param random spreads the times at which refused callers come back
    */
   constructor(settings: GateSettings, random: Random) {
-    this.#parts = makeGateParts(settings, random);
+    this.#components = makeGateComponents(settings, random);
   }
 
   /** @returns the bound on the engine's work */
   get admission(): SidecarAdmission {
-    return this.#parts.admission;
+    return this.#components.admission;
   }
 
   /** @returns which chats are warm here */
   get cache(): SidecarCacheIndex {
-    return this.#parts.cache;
+    return this.#components.cache;
   }
 
   /** @returns which chats of this first choice are warm elsewhere */
   get pointers(): SidecarPointers {
-    return this.#parts.pointers;
+    return this.#components.pointers;
   }
 
   /** @returns true when work may be taken, but for a planned leave */
@@ -74,12 +74,12 @@
 
   /** @returns true during a planned leave */
   get draining(): boolean {
-    return this.#parts.drain.draining;
+    return this.#components.drain.draining;
   }
 
   /** @returns true when nothing waits and nothing runs */
   get idle(): boolean {
-    const {hold, runs} = this.#parts;
+    const {hold, runs} = this.#components;
     return hold.queue.size === 0 && runs.size === 0;
   }
 
@@ -89,8 +89,8 @@
    */
   configure(policy: GatePolicy, revision: number): void {
     this.#mode = {...this.#mode, policy, revision};
-    this.#parts.admission.configure(policy.loadBound);
-    this.#parts.hold.queue.configure(policy.workspaces);
+    this.#components.admission.configure(policy.loadBound);
+    this.#components.hold.queue.configure(policy.workspaces);
   }
 
   /** @param reason why no work may be taken; undefined when it may */
@@ -105,22 +105,28 @@
    */
   offer(offer: Offer, now: number): GateAction[] {
     const {attemptId} = offer;
-    const copy = answerCopy(attemptId, this.#parts.attempts.stateOf(attemptId));
+    const copy = answerCopy(
+      attemptId,
+      this.#components.attempts.stateOf(attemptId),
+    );
     if (copy) return [copy];
-    this.#parts.admission.setRouterEstimate(offer.poolMeanTokens, now);
+    this.#components.admission.setRouterEstimate(offer.poolMeanTokens, now);
     const refusal = findRefusal(
       offer,
-      makeRefusalView(this.#parts, this.#mode, now),
+      makeRefusalView(this.#components, this.#mode, now),
       now,
     );
     if (refusal) {
-      this.#parts.attempts.refuse(attemptId, now);
+      this.#components.attempts.refuse(attemptId, now);
       return [refusal];
     }
-    const expectedWaitMs = this.#parts.hold.expectedWaitMs(offer, now);
-    this.#parts.attempts.hold(attemptId);
-    this.#parts.hold.add(offer, this.#mode.policy.maxHoldMs, now);
-    return [{kind: 'accept', attemptId, expectedWaitMs}, ...this.#pump(now)];
+    const expectedWaitMs = this.#components.hold.expectedWaitMs(offer, now);
+    this.#components.attempts.hold(attemptId);
+    this.#components.hold.add(offer, this.#mode.policy.maxHoldMs, now);
+    return [
+      {kind: 'accept', attemptId, expectedWaitMs},
+      ...this.#dispatchReady(now),
+    ];
   }
 
   /**
@@ -129,21 +135,21 @@
    * @returns the outcome for the router and what to do
    */
   revoke(attemptId: string, now: number): RevokeResult {
-    const former = this.#parts.attempts.stateOf(attemptId);
-    const outcome = this.#parts.attempts.revoke(attemptId, now);
-    const open =
+    const former = this.#components.attempts.stateOf(attemptId);
+    const outcome = this.#components.attempts.revoke(attemptId, now);
+    const wasPending =
       former === ATTEMPT_STATE.HELD || former === ATTEMPT_STATE.CLAIMING;
-    if (outcome !== REVOKE_OUTCOME.REVOKED || !open) {
+    if (outcome !== REVOKE_OUTCOME.REVOKED || !wasPending) {
       return {outcome, actions: []};
     }
     const actions: GateAction[] = [];
-    this.#parts.hold.queue.remove(attemptId);
+    this.#components.hold.queue.remove(attemptId);
     if (former === ATTEMPT_STATE.CLAIMING) {
-      this.#parts.runs.end(attemptId, now);
+      this.#components.runs.end(attemptId, now);
       actions.push({kind: 'releaseClaim', attemptId});
     }
     actions.push(makeRefusal(attemptId, 'revoked'));
-    return {outcome, actions: [...actions, ...this.#pump(now)]};
+    return {outcome, actions: [...actions, ...this.#dispatchReady(now)]};
   }
 
   /**
@@ -156,10 +162,12 @@
    * @returns what to do
    */
   callerGone(attemptId: string, now: number): readonly GateAction[] {
-    if (this.#parts.attempts.stateOf(attemptId) !== ATTEMPT_STATE.DISPATCHED) {
+    if (
+      this.#components.attempts.stateOf(attemptId) !== ATTEMPT_STATE.DISPATCHED
+    ) {
       return this.revoke(attemptId, now).actions;
     }
-    const run = this.#parts.runs.find(attemptId);
+    const run = this.#components.runs.find(attemptId);
     if (!run || run.offer.nonRepeatable) return [];
     return [{kind: 'cancel', attemptId}];
   }
@@ -170,8 +178,8 @@
    * @returns the dispatch, unless it was taken back meanwhile
    */
   claimGranted(attemptId: string, now: number): GateAction[] {
-    const run = this.#parts.runs.find(attemptId);
-    if (!run || !this.#parts.attempts.dispatch(attemptId)) return [];
+    const run = this.#components.runs.find(attemptId);
+    if (!run || !this.#components.attempts.dispatch(attemptId)) return [];
     return [this.#makeDispatch(run.offer, run.heldAt, now)];
   }
 
@@ -183,9 +191,9 @@
    * @returns what may be dispatched in its place
    */
   claimDenied(attemptId: string, now: number): GateAction[] {
-    if (!this.#parts.attempts.refuse(attemptId, now)) return [];
-    this.#parts.runs.end(attemptId, now);
-    return this.#pump(now);
+    if (!this.#components.attempts.refuse(attemptId, now)) return [];
+    this.#components.runs.end(attemptId, now);
+    return this.#dispatchReady(now);
   }
 
   /**
@@ -195,16 +203,16 @@
    * @returns a refusal when it was not run, and what may be dispatched next
    */
   finish(attemptId: string, end: RunEnd, now: number): GateAction[] {
-    const run = this.#parts.runs.end(attemptId, now);
+    const run = this.#components.runs.end(attemptId, now);
     if (!run) return [];
-    this.#parts.attempts.finish(attemptId, end.kind === 'notRun', now);
+    this.#components.attempts.finish(attemptId, end.kind === 'notRun', now);
     const actions: GateAction[] = [];
     if (end.kind === 'notRun') {
       const {message, errorKind = 'unreachable'} = end;
       actions.push(makeRefusal(attemptId, errorKind, {message}));
     }
     if (end.kind === 'done') actions.push(...this.#noteDone(run, now));
-    return [...actions, ...this.#pump(now)];
+    return [...actions, ...this.#dispatchReady(now)];
   }
 
   /**
@@ -214,15 +222,15 @@
    * @returns refusals of what can't be served any more, and dispatches
    */
   tick(now: number): GateAction[] {
-    this.#parts.attempts.forget(now);
-    this.#parts.pointers.expire(now);
-    const due = this.#parts.hold.takeDue(now);
-    return [...this.#answerDue(due, now), ...this.#pump(now)];
+    this.#components.attempts.expire(now);
+    this.#components.pointers.expire(now);
+    const due = this.#components.hold.removeDue(now);
+    return [...this.#refuseDue(due, now), ...this.#dispatchReady(now)];
   }
 
   /** @returns when {@link tick} is needed next; Infinity when nothing waits */
   nextTickAt(): number {
-    return this.#parts.hold.nextDueAt();
+    return this.#components.hold.nextDueAt();
   }
 
   /**
@@ -234,7 +242,7 @@
    * @returns at most one request, already out of the queue
    */
   handOver(taker: string, roomTokens: number, now: number): HandOver {
-    const {hold, cache, attempts, pointers, settings} = this.#parts;
+    const {hold, cache, attempts, pointers, settings} = this.#components;
     const {queue, estimate} = hold;
     const {prefillTokensPerSecond, reuseWeight = NEUTRAL_REUSE_WEIGHT} =
       this.#mode.policy;
@@ -255,7 +263,7 @@
       pointers.put(workspace, chat, taker, now);
     }
     const refusal = makeRefusal(attemptId, 'handedOver', {pointer: taker});
-    const actions = [refusal, ...this.#pump(now)];
+    const actions = [refusal, ...this.#dispatchReady(now)];
     return {attemptIds: [attemptId], tokens, actions};
   }
 
@@ -263,10 +271,10 @@
    * @param now present time
    * @returns room to offer in a take; 0 while anything waits here
    */
-  takeRoom(now: number): number {
-    const closed = !this.ready || this.#parts.drain.draining;
-    if (closed || this.#parts.hold.queue.size > 0) return 0;
-    return this.#parts.hold.freeTokens(now);
+  roomForTake(now: number): number {
+    const closed = !this.ready || this.#components.drain.draining;
+    if (closed || this.#components.hold.queue.size > 0) return 0;
+    return this.#components.hold.freeTokens(now);
   }
 
   /**
@@ -277,7 +285,7 @@
    * @param until when it is given back by itself
    */
   reserve(victim: string, tokens: number, until: number): void {
-    this.#parts.hold.reserve(victim, tokens, until);
+    this.#components.hold.reserve(victim, tokens, until);
   }
 
   /**
@@ -288,13 +296,13 @@
    * @returns refusals of what can't be served within the limit
    */
   startDraining(now: number, limitMs: number): GateAction[] {
-    this.#parts.drain.start(now, limitMs);
-    return this.#answerDue(this.#parts.hold.review(now), now);
+    this.#components.drain.start(now, limitMs);
+    return this.#refuseDue(this.#components.hold.review(now), now);
   }
 
   /** Takes a planned leave back. */
   resume(): void {
-    this.#parts.drain.resume();
+    this.#components.drain.resume();
   }
 
   /**
@@ -305,8 +313,8 @@
    * @returns refusals of all that waits
    */
   backendDown(now: number): GateAction[] {
-    return this.#parts.hold.takeAll().map(({offer}) => {
-      this.#parts.attempts.refuse(offer.attemptId, now);
+    return this.#components.hold.removeAll().map(({offer}) => {
+      this.#components.attempts.refuse(offer.attemptId, now);
       return makeRefusal(offer.attemptId, 'notReady');
     });
   }
@@ -317,8 +325,8 @@
    * @param now present time
    */
   backendRestarted(now: number): void {
-    this.#parts.cache.reset();
-    this.#parts.admission.reset(now);
+    this.#components.cache.reset();
+    this.#components.admission.reset(now);
   }
 
   /**
@@ -326,7 +334,7 @@
    * @returns the load to announce
    */
   load(now: number): GateLoad {
-    return readGateLoad(this.#parts, now);
+    return readGateLoad(this.#components, now);
   }
 
   /**
@@ -334,60 +342,67 @@
    * @returns the gate's state for an operator
    */
   dump(now: number): Readonly<Record<string, unknown>> {
-    return dumpGate(this.#parts, this.#mode, now);
+    return dumpGate(this.#components, this.#mode, now);
   }
 
-  #pump(now: number): GateAction[] {
+  #dispatchReady(now: number): GateAction[] {
     const actions: GateAction[] = [];
-    let held = this.#parts.hold.next(now);
+    let held = this.#components.hold.next(now);
     while (held) {
-      actions.push(...this.#release(held, now));
-      held = this.#parts.hold.next(now);
+      actions.push(...this.#dispatchOrClaim(held, now));
+      held = this.#components.hold.next(now);
     }
-    this.#parts.hold.estimate.noteQueue(this.#parts.hold.queue.size > 0, now);
+    this.#components.hold.estimate.noteQueue(
+      this.#components.hold.queue.size > 0,
+      now,
+    );
     return actions;
   }
 
-  #release(held: HeldRequest, now: number): GateAction[] {
+  #dispatchOrClaim(held: HeldRequest, now: number): GateAction[] {
     if (held.giveUpAt < now) return [this.#giveUp(held, now)];
     const {offer, heldAt} = held;
     const {attemptId} = offer;
     const allowed = offer.nonRepeatable
-      ? this.#parts.attempts.claim(attemptId)
-      : this.#parts.attempts.dispatch(attemptId);
+      ? this.#components.attempts.claim(attemptId)
+      : this.#components.attempts.dispatch(attemptId);
     if (!allowed) return [];
-    this.#parts.runs.start(offer, heldAt, now);
+    this.#components.runs.start(offer, heldAt, now);
     if (offer.nonRepeatable) return [{kind: 'claim', attemptId}];
     return [this.#makeDispatch(offer, heldAt, now)];
   }
 
   #makeDispatch(offer: Offer, heldAt: number, now: number): GateAction {
     const {attemptId, workspace, chat, tokens} = offer;
-    const warmth = this.#parts.cache.read(workspace, chat);
-    this.#parts.cache.noteServed(workspace, chat, tokens);
-    this.#parts.pointers.remove(workspace, chat);
+    const warmth = this.#components.cache.read(workspace, chat);
+    this.#components.cache.noteServed(workspace, chat, tokens);
+    this.#components.pointers.remove(workspace, chat);
     return {kind: 'dispatch', attemptId, warmth, heldMs: now - heldAt};
   }
 
   #noteDone({offer, startedAt}: Run, now: number): GateAction[] {
-    this.#parts.hold.estimate.noteFinish(offer.tokens, now - startedAt, now);
-    const elsewhere = !isFirstChoice(offer, this.#parts.settings);
+    this.#components.hold.estimate.noteFinish(
+      offer.tokens,
+      now - startedAt,
+      now,
+    );
+    const elsewhere = !isFirstChoice(offer, this.#components.settings);
     if (offer.chat === '' || !elsewhere) return [];
     return [{kind: 'point', attemptId: offer.attemptId}];
   }
 
   #giveUp({offer}: HeldRequest, now: number): GateAction {
     const {attemptId} = offer;
-    this.#parts.attempts.refuse(attemptId, now);
-    const retryAfterMs = this.#parts.advice.comeBackMs(offer, 0, now);
+    this.#components.attempts.refuse(attemptId, now);
+    const retryAfterMs = this.#components.advice.retryAfterMs(offer, 0, now);
     return makeRefusal(attemptId, 'overloaded', {retryAfterMs});
   }
 
-  #answerDue({leaving, lost}: HoldReview, now: number): GateAction[] {
+  #refuseDue({leaving, late}: HoldReview, now: number): GateAction[] {
     const refusals = leaving.map(({offer}) => {
-      this.#parts.attempts.refuse(offer.attemptId, now);
+      this.#components.attempts.refuse(offer.attemptId, now);
       return makeRefusal(offer.attemptId, 'draining');
     });
-    return [...refusals, ...lost.map(held => this.#giveUp(held, now))];
+    return [...refusals, ...late.map(held => this.#giveUp(held, now))];
   }
 }
--- a/packages/lovagepond-sidecar/src/sidecar_gate_parts.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_gate_components.ts
@@ -19,7 +19,7 @@
 } from './sidecar_types.js';
 
 /** What the gate decides with; each part has one job. */
-export interface GateParts {
+export interface GateComponents {
   readonly settings: GateSettings;
   readonly admission: SidecarAdmission;
   readonly attempts: SidecarAttempts;
@@ -52,10 +52,10 @@
  * @param random spreads the times at which refused callers come back
  * @returns the parts of a new gate
  */
-export function makeGateParts(
+export function makeGateComponents(
   settings: GateSettings,
   random: Random,
-): GateParts {
+): GateComponents {
   const {loadBound, prefillTokensPerSecond, decodeTokensPerSecond} =
     DEFAULT_GATE_POLICY;
   const admission = new SidecarAdmission(settings, loadBound);
@@ -77,17 +77,17 @@
 }
 
 /**
- * @param parts a gate's parts
+ * @param components a gate's parts
  * @param mode what is set
  * @param now present time
  * @returns what the checks of an offer look at
  */
 export function makeRefusalView(
-  parts: GateParts,
+  components: GateComponents,
   mode: GateMode,
   now: number,
 ): RefusalView {
-  const {settings, hold, cache, pointers, advice, runs, drain} = parts;
+  const {settings, hold, cache, pointers, advice, runs, drain} = components;
   const {policy, revision, notReady} = mode;
   return {
     policy,
@@ -101,17 +101,21 @@
     runningTokensOf: workspace => runs.tokensOf(workspace),
     expectedWaitMs: offer => hold.expectedWaitMs(offer, now),
     serviceMs: tokens => hold.estimate.serviceMs(tokens),
-    comeBackMs: (offer, missingMs) => advice.comeBackMs(offer, missingMs, now),
+    retryAfterMs: (offer, missingMs) =>
+      advice.retryAfterMs(offer, missingMs, now),
   };
 }
 
 /**
- * @param parts a gate's parts
+ * @param components a gate's parts
  * @param now present time
  * @returns the load to announce
  */
-export function readGateLoad(parts: GateParts, now: number): GateLoad {
-  const {admission, hold} = parts;
+export function readGateLoad(
+  components: GateComponents,
+  now: number,
+): GateLoad {
+  const {admission, hold} = components;
   return {
     runningTokens: Math.round(admission.runningTokens(now)),
     queuedTokens: hold.queue.tokens,
@@ -120,19 +124,19 @@
 }
 
 /**
- * @param parts a gate's parts
+ * @param components a gate's parts
  * @param mode what is set
  * @param now present time
  * @returns the gate's state for an operator
  */
 export function dumpGate(
-  parts: GateParts,
+  components: GateComponents,
   mode: GateMode,
   now: number,
 ): Readonly<Record<string, unknown>> {
-  const {admission, hold, runs, attempts, cache, pointers, drain} = parts;
+  const {admission, hold, runs, attempts, cache, pointers, drain} = components;
   return {
-    ...readGateLoad(parts, now),
+    ...readGateLoad(components, now),
     limitTokens: Math.round(admission.limitTokens(now)),
     capacityTokens: admission.capacityTokens,
     poolMeanTokens: Math.round(admission.poolMeanTokens(now)),
--- a/packages/lovagepond-sidecar/src/sidecar_gate_refusals.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_gate_refusals.ts
@@ -31,7 +31,7 @@
   expectedWaitMs(offer: Offer): number;
   serviceMs(tokens: number): number;
   /** @returns when to come back, milliseconds */
-  comeBackMs(offer: Offer, missingMs: number): number;
+  retryAfterMs(offer: Offer, missingMs: number): number;
 }
 
 type Check = (
@@ -153,14 +153,14 @@
   if (warmth === WARMTH.WARM) return undefined;
   // A pointer is later than anything heard of the chat here, as serving it
   // here removes the pointer. Without one, what was heard is worth the try.
-  const heardOf = warmth === WARMTH.UNKNOWN && tokens > 0;
-  if (heardOf && !first) return undefined;
-  const followed = view.pointers.follow(workspace, chat, requestId, now);
-  if (heardOf && followed === undefined) return undefined;
+  const mayBeWarm = warmth === WARMTH.UNKNOWN && tokens > 0;
+  if (mayBeWarm && !first) return undefined;
+  const pointedTo = view.pointers.lookUp(workspace, chat, requestId, now);
+  if (mayBeWarm && pointedTo === undefined) return undefined;
   // The chat is cold where it was at home once: rebuilt there, chats would
   // pile up on the oldest servers.
   const fallback = first ? warmCandidates[0] : offer.firstChoice;
-  const pointer = followed ?? fallback;
+  const pointer = pointedTo ?? fallback;
   if (pointer === undefined || pointer === backendServer) return undefined;
   return makeRefusal(offer.attemptId, 'servedElsewhere', {pointer});
 }
@@ -176,7 +176,7 @@
   const outstanding = waiting + view.runningTokensOf(workspace);
   if (outstanding + tokens <= maxQueuedTokens) return undefined;
   return makeRefusal(offer.attemptId, 'workspaceLimit', {
-    retryAfterMs: view.comeBackMs(offer, view.expectedWaitMs(offer)),
+    retryAfterMs: view.retryAfterMs(offer, view.expectedWaitMs(offer)),
   });
 }
 
@@ -194,7 +194,7 @@
   const kind = late ? 'deadlineUnreachable' : 'overloaded';
   const missingMs = Math.max(0, waitMs - Math.min(leftMs, maxHoldMs));
   return makeRefusal(offer.attemptId, kind, {
-    retryAfterMs: view.comeBackMs(offer, missingMs),
+    retryAfterMs: view.retryAfterMs(offer, missingMs),
   });
 }
 
--- a/packages/lovagepond-sidecar/src/sidecar_hold.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_hold.ts
@@ -13,7 +13,7 @@
 
 /** Pause between two looks at all waiting requests, milliseconds. */
 const REVIEW_INTERVAL_MS = 250;
-const NOTHING_DUE: HoldReview = Object.freeze({leaving: [], lost: []});
+const NOTHING_DUE: HoldReview = Object.freeze({leaving: [], late: []});
 
 /** Holds requests until the engine has room for them. */
 export class SidecarHold {
@@ -90,12 +90,12 @@
    * @param now present time
    * @returns requests to answer as not run, out of the queue
    */
-  takeDue(now: number): HoldReview {
+  removeDue(now: number): HoldReview {
     if (now < this.nextDueAt()) return NOTHING_DUE;
     const expired = now >= this.#nextGiveUpAt ? this.#findExpired(now) : [];
-    this.#removeAll(expired);
+    this.#removeRequests(expired);
     const review = this.review(now);
-    return {leaving: review.leaving, lost: [...expired, ...review.lost]};
+    return {leaving: review.leaving, late: [...expired, ...review.late]};
   }
 
   /**
@@ -115,19 +115,19 @@
       },
       now,
     );
-    this.#removeAll(review.leaving);
-    this.#removeAll(review.lost);
+    this.#removeRequests(review.leaving);
+    this.#removeRequests(review.late);
     return review;
   }
 
   /** @returns all waiting requests, out of the queue */
-  takeAll(): HeldRequest[] {
+  removeAll(): HeldRequest[] {
     const all = [...this.queue.values()];
-    this.#removeAll(all);
+    this.#removeRequests(all);
     return all;
   }
 
-  /** @returns when {@link takeDue} is needed next; Infinity when never */
+  /** @returns when {@link removeDue} is needed next; Infinity when never */
   nextDueAt(): number {
     if (this.queue.size === 0) return Infinity;
     return Math.min(this.#nextGiveUpAt, this.#nextReviewAt);
@@ -163,7 +163,7 @@
     return expired;
   }
 
-  #removeAll(requests: readonly HeldRequest[]): void {
+  #removeRequests(requests: readonly HeldRequest[]): void {
     for (const {offer} of requests) this.queue.remove(offer.attemptId);
   }
 }
--- a/packages/lovagepond-sidecar/src/sidecar_hold_review.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_hold_review.ts
@@ -24,7 +24,7 @@
   /** They don't fit before the end of the planned leave. */
   readonly leaving: readonly HeldRequest[];
   /** They would be served too late. */
-  readonly lost: readonly HeldRequest[];
+  readonly late: readonly HeldRequest[];
 }
 
 /**
@@ -34,7 +34,7 @@
  */
 export function reviewHeld(view: HoldReviewView, now: number): HoldReview {
   const leaving: HeldRequest[] = [];
-  const lost: HeldRequest[] = [];
+  const late: HeldRequest[] = [];
   const {queue, estimate, drain, roomTokens} = view;
   queue.forEachWithTokensAhead((held, tokensAhead) => {
     const {tokens} = held.offer;
@@ -44,8 +44,8 @@
       return false;
     }
     if (waitMs <= (held.giveUpAt - now) * GIVE_UP_MARGIN) return true;
-    lost.push(held);
+    late.push(held);
     return false;
   });
-  return {leaving, lost};
+  return {leaving, late};
 }
--- a/packages/lovagepond-sidecar/src/sidecar_orders.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_orders.ts
@@ -7,7 +7,7 @@
 import {type lovagepond} from '@lovagepond/protocol';
 import {type Backend} from './sidecar_backend.js';
 import {
-  type OrderEnd,
+  type OrderResult,
   type OrderVerdict,
   SidecarFencing,
 } from './sidecar_fencing.js';
@@ -20,14 +20,14 @@
 ) => Promise<void>;
 
 /** What orders need. */
-export interface OrdersParts {
+export interface OrdersDependencies {
   readonly backendServer: string;
   readonly backend: Backend;
   readonly log: Logger;
   readonly report: ReportOrder;
 }
 
-const FENCED: OrderEnd = Object.freeze({
+const FENCED: OrderResult = Object.freeze({
   outcome: 'fenced',
   message: 'A newer order has passed.',
 });
@@ -47,7 +47,7 @@
 
 /** The orders of one backend server. */
 export class SidecarOrders {
-  readonly #parts: OrdersParts;
+  readonly #deps: OrdersDependencies;
   /** The check that holds whether or not the backend server checks too. */
   readonly fencing = new SidecarFencing();
 
@@ -58,12 +58,12 @@
     fenced: order => this.#report(order, FENCED),
     running: () => Promise.resolve(),
     ended: order =>
-      this.#report(order, this.fencing.endOf(order.orderId ?? '') ?? FENCED),
+      this.#report(order, this.fencing.resultOf(order.orderId ?? '') ?? FENCED),
     wait: () => Promise.resolve(),
   };
 
-  constructor(parts: OrdersParts) {
-    this.#parts = parts;
+  constructor(deps: OrdersDependencies) {
+    this.#deps = deps;
   }
 
   /**
@@ -83,19 +83,19 @@
   }
 
   async #execute(order: Order): Promise<void> {
-    const end = await this.#pass(readOrder(order));
-    this.fencing.finish(order.orderId ?? '', end);
+    const result = await this.#send(readOrder(order));
+    this.fencing.finish(order.orderId ?? '', result);
     const {orderId, fencingToken} = order;
-    this.#parts.log.info('order ended', {
+    this.#deps.log.info('order ended', {
       orderId: orderId ?? '',
       fencingToken: fencingToken ?? 0,
-      outcome: end.outcome,
+      outcome: result.outcome,
     });
-    await this.#report(order, end);
+    await this.#report(order, result);
   }
 
-  async #pass(order: EngineOrder | undefined): Promise<OrderEnd> {
-    const {backend} = this.#parts;
+  async #send(order: EngineOrder | undefined): Promise<OrderResult> {
+    const {backend} = this.#deps;
     if (!order || backend.kind !== 'engine') {
       const message = 'The backend server takes no such order.';
       return {outcome: 'failed', message};
@@ -105,13 +105,13 @@
     return {outcome: 'failed', message: result.failure.message};
   }
 
-  async #report(order: Order, end: OrderEnd): Promise<void> {
-    await this.#parts.report({
+  async #report(order: Order, result: OrderResult): Promise<void> {
+    await this.#deps.report({
       orderId: order.orderId ?? '',
       fencingToken: order.fencingToken ?? 0,
-      backendServer: this.#parts.backendServer,
-      outcome: end.outcome,
-      message: end.message,
+      backendServer: this.#deps.backendServer,
+      outcome: result.outcome,
+      message: result.message,
     });
   }
 }
--- a/packages/lovagepond-sidecar/src/sidecar_peers.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_peers.ts
@@ -4,7 +4,7 @@
  */
 import {type BackendServer, decodeLoad, SERVER_STATE} from '@lovagepond/core';
 import {lovagepond, readMember, SIDECAR_SERVICE} from '@lovagepond/protocol';
-import {SidecarCalls} from './sidecar_calls.js';
+import {ClientPool} from './sidecar_client_pool.js';
 import {type PeerLoad} from './sidecar_take.js';
 
 const {v1} = lovagepond;
@@ -25,7 +25,7 @@
 export class SidecarPeers {
   readonly #ownName: string;
   readonly #pool: string;
-  readonly #calls: SidecarCalls;
+  readonly #clients: ClientPool;
   readonly #peers = new Map<string, Peer>();
   #loads: readonly PeerLoad[] = [];
 
@@ -37,7 +37,7 @@
   constructor(ownName: string, pool: string, timeoutMs: number) {
     this.#ownName = ownName;
     this.#pool = pool;
-    this.#calls = new SidecarCalls(timeoutMs);
+    this.#clients = new ClientPool(timeoutMs);
   }
 
   /** @returns servers of the pool that take work, without the own one */
@@ -60,7 +60,7 @@
       if (!own) this.#peers.set(member.name, readPeer(member));
     }
     const addresses = [...this.#peers.values()].map(peer => peer.address);
-    this.#calls.keepOnly(new Set(addresses));
+    this.#clients.keepOnly(new Set(addresses));
   }
 
   /** @param digest one byte of load for each slot */
@@ -86,7 +86,7 @@
       taker: this.#ownName,
       roomTokens: Math.floor(roomTokens),
     });
-    return this.#calls.call(victim.address, SIDECAR_SERVICE.take, request);
+    return this.#clients.call(victim.address, SIDECAR_SERVICE.take, request);
   }
 
   /**
@@ -109,7 +109,7 @@
       backendServer: this.#ownName,
       tokens,
     });
-    await this.#calls.call(address, SIDECAR_SERVICE.point, request);
+    await this.#clients.call(address, SIDECAR_SERVICE.point, request);
   }
 
   /**
@@ -123,12 +123,12 @@
   ): Promise<boolean> {
     const message = new v1.MoveCacheRequest(request);
     const method = SIDECAR_SERVICE.moveCache;
-    const answer = await this.#calls.call(address, method, message);
+    const answer = await this.#clients.call(address, method, message);
     return answer?.accepted ?? false;
   }
 
   /** Closes all connections. */
   close(): void {
-    this.#calls.close();
+    this.#clients.close();
   }
 }
--- a/packages/lovagepond-sidecar/src/sidecar_pointers.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_pointers.ts
@@ -8,7 +8,7 @@
   readonly backendServer: string;
   readonly expiresAt: number;
   /** The request that was last sent along this pointer. */
-  followedBy: string;
+  lastRequestId: string;
 }
 
 /** Settings of {@link SidecarPointers}. */
@@ -52,7 +52,7 @@
     this.#pointers.set(number, {
       backendServer: name,
       expiresAt,
-      followedBy: '',
+      lastRequestId: '',
     });
     if (this.#pointers.size <= this.#settings.maxPointers) return;
     const oldest = this.#pointers.keys().next().value;
@@ -70,7 +70,7 @@
    * @param now present time
    * @returns a backend server, or undefined
    */
-  follow(
+  lookUp(
     workspace: string,
     chat: string,
     requestId: string,
@@ -80,11 +80,11 @@
     const number = chatNumber(workspace, chat);
     const pointer = this.#pointers.get(number);
     if (!pointer) return undefined;
-    if (pointer.expiresAt <= now || pointer.followedBy === requestId) {
+    if (pointer.expiresAt <= now || pointer.lastRequestId === requestId) {
       this.#pointers.delete(number);
       return undefined;
     }
-    pointer.followedBy = requestId;
+    pointer.lastRequestId = requestId;
     return pointer.backendServer;
   }
 
--- a/packages/lovagepond-sidecar/src/sidecar_presence.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_presence.ts
@@ -14,7 +14,7 @@
 type AnnounceResponse = lovagepond.v1.AnnounceResponse;
 
 /** What the presence is made from. */
-export interface PresenceParts {
+export interface PresenceDependencies {
   readonly gate: SidecarGate;
   readonly clock: Clock;
   readonly link: SidecarControlLink;
@@ -33,14 +33,14 @@
 /** The backend server as control and routers see it. */
 export class SidecarPresence {
   readonly #settings: SidecarSettings;
-  readonly #parts: PresenceParts;
+  readonly #deps: PresenceDependencies;
   readonly #announcer: SidecarAnnouncer;
 
-  constructor(settings: SidecarSettings, parts: PresenceParts) {
+  constructor(settings: SidecarSettings, deps: PresenceDependencies) {
     this.#settings = settings;
-    this.#parts = parts;
+    this.#deps = deps;
     this.#announcer = new SidecarAnnouncer({
-      link: parts.link,
+      link: deps.link,
       announceIntervalMs: settings.announceIntervalMs,
       makeAnnouncement: () => this.#makeAnnouncement(),
       onAnswer: (answer, sent) => this.#onAnswer(answer, sent),
@@ -49,7 +49,7 @@
 
   /** @returns the state that is announced */
   get state(): ServerState {
-    const {gate} = this.#parts;
+    const {gate} = this.#deps;
     if (gate.draining) return SERVER_STATE.DRAINING;
     return gate.ready ? SERVER_STATE.READY : SERVER_STATE.JOINING;
   }
@@ -72,7 +72,7 @@
   #makeAnnouncement(): AnnounceRequest {
     const {backendServer, pool, labels} = this.#settings;
     const {availabilityZone, region} = this.#settings;
-    const {gate, clock, orders, incarnation} = this.#parts;
+    const {gate, clock, orders, incarnation} = this.#deps;
     const {runningTokens, queuedTokens} = gate.load(clock.now());
     return {
       backendServer,
@@ -81,20 +81,20 @@
       labels: {...labels},
       availabilityZone,
       region,
-      address: this.#parts.address(),
+      address: this.#deps.address(),
       state: this.state,
       runningTokens,
       queuedTokens,
       capacityTokens: gate.admission.capacityTokens,
-      revision: this.#parts.revision(),
-      models: [...this.#parts.models()],
+      revision: this.#deps.revision(),
+      models: [...this.#deps.models()],
       role: 'sidecar',
       fencingFloor: orders.fencing.floor,
     };
   }
 
   #onAnswer(answer: AnnounceResponse, sent: AnnounceRequest): void {
-    const {gate, clock, orders} = this.#parts;
+    const {gate, clock, orders} = this.#deps;
     const mean = {
       meanTokens: answer.poolMeanRunningTokens || answer.poolMeanTokens,
       ageMs: answer.poolMeanAgeMs,
@@ -103,9 +103,9 @@
     };
     gate.admission.setPoolMean(mean, clock.now());
     if (answer.fencingFloorKnown) {
-      orders.fencing.learnFloor(answer.fencingFloor);
+      orders.fencing.raiseFloor(answer.fencingFloor);
     }
     void orders.receive(answer.orders);
-    this.#parts.onWantedState(answer.wantedState);
+    this.#deps.onWantedState(answer.wantedState);
   }
 }
--- a/packages/lovagepond-sidecar/src/sidecar_retry_advice.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_retry_advice.ts
@@ -14,7 +14,7 @@
 const MIN_RETRY_MS = 200;
 const MAX_RETRY_MS = 60_000;
 /** Lines above this number are looked through for those worked off. */
-const MAX_LINES = 1_024;
+const MAX_WORKSPACES = 1_024;
 /** Share of the time by which callers of one instant are spread. */
 const JITTER_SHARE = 0.5;
 
@@ -40,11 +40,11 @@
    * @param now present time
    * @returns when to come back, milliseconds
    */
-  comeBackMs(offer: Offer, missingMs: number, now: number): number {
+  retryAfterMs(offer: Offer, missingMs: number, now: number): number {
     const {workspace, tokens} = offer;
-    const before = Math.max(this.#doneAt.get(workspace) ?? now, now);
-    const line = before + this.#estimate.waitMs(tokens);
-    const doneAt = Math.min(line, now + MAX_RETRY_MS);
+    const backlogEndsAt = Math.max(this.#doneAt.get(workspace) ?? now, now);
+    const uncappedDoneAt = backlogEndsAt + this.#estimate.waitMs(tokens);
+    const doneAt = Math.min(uncappedDoneAt, now + MAX_RETRY_MS);
     this.#put(workspace, doneAt, now);
     const waitMs = missingMs + doneAt - now;
     const base = Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, waitMs));
@@ -53,7 +53,7 @@
 
   #put(workspace: string, doneAt: number, now: number): void {
     this.#doneAt.set(workspace, doneAt);
-    if (this.#doneAt.size <= MAX_LINES) return;
+    if (this.#doneAt.size <= MAX_WORKSPACES) return;
     for (const [name, time] of this.#doneAt) {
       if (time <= now) this.#doneAt.delete(name);
     }
--- a/packages/lovagepond-sidecar/src/sidecar_role.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_role.ts
@@ -25,7 +25,7 @@
 import {SidecarServer} from './sidecar_server.js';
 import {SidecarService} from './sidecar_service.js';
 import {type SidecarSettings} from './sidecar_settings.js';
-import {SidecarTakes} from './sidecar_takes.js';
+import {SidecarTakeClient} from './sidecar_take_client.js';
 
 type AttemptRequest = lovagepond.v1.AttemptRequest;
 
@@ -35,7 +35,7 @@
 const RADIX = 36;
 
 /** What a sidecar is given besides its settings. */
-export interface SidecarParts {
+export interface SidecarDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly random: Random;
@@ -44,7 +44,7 @@
 }
 
 /** One incarnation lasts from a start to its end. */
-function makeIncarnation({clock, random}: SidecarParts): string {
+function makeIncarnation({clock, random}: SidecarDependencies): string {
   const started = Math.round(clock.wallTime()).toString(RADIX);
   return `${started}-${random.below(RANDOM_DIGITS).toString(RADIX)}`;
 }
@@ -56,7 +56,7 @@
 /** One sidecar process. */
 export class SidecarRole implements Role {
   readonly #settings: SidecarSettings;
-  readonly #parts: SidecarParts;
+  readonly #deps: SidecarDependencies;
   readonly #incarnation: string;
   readonly #gate: SidecarGate;
   readonly #configuration: SidecarConfiguration;
@@ -65,27 +65,27 @@
   readonly #watch: SidecarBackendWatch;
   readonly #dispatcher: SidecarDispatcher;
   readonly #orders: SidecarOrders;
-  readonly #takes: SidecarTakes;
+  readonly #takeClient: SidecarTakeClient;
   readonly #feed: SidecarControlFeed;
   readonly #presence: SidecarPresence;
   readonly #server: SidecarServer;
   #mover: SidecarCacheMover | undefined;
-  #leave: AbortController | undefined;
+  #drainAbort: AbortController | undefined;
   /** The process ends: control can't take this leave back. */
-  #ending = false;
+  #isStopping = false;
   #address = '';
   #timers: NodeJS.Timeout[] = [];
 
   /**
    * @param settings the sidecar's settings
-   * @param parts clock, log, random numbers and the backend server
+   * @param deps clock, log, random numbers and the backend server
    */
-  constructor(settings: SidecarSettings, parts: SidecarParts) {
+  constructor(settings: SidecarSettings, deps: SidecarDependencies) {
     this.#settings = settings;
-    this.#parts = parts;
-    const {clock, log, random, backend} = parts;
+    this.#deps = deps;
+    const {clock, log, random, backend} = deps;
     const {backendServer, pool, controlTimeoutMs, floorTokens} = settings;
-    const incarnation = makeIncarnation(parts);
+    const incarnation = makeIncarnation(deps);
     this.#incarnation = incarnation;
     this.#gate = new SidecarGate({...settings, incarnation}, random);
     this.#gate.setNotReady('The sidecar starts.');
@@ -109,7 +109,7 @@
       log,
       report: outcome => this.#link.reportOrder(outcome),
     });
-    this.#takes = new SidecarTakes(settings, {
+    this.#takeClient = new SidecarTakeClient(settings, {
       gate: this.#gate,
       peers: this.#peers,
       clock,
@@ -138,20 +138,20 @@
     this.#mover = new SidecarCacheMover({
       ...this.#settings,
       gate: this.#gate,
-      backend: this.#parts.backend,
+      backend: this.#deps.backend,
       peers: this.#peers,
-      clock: this.#parts.clock,
-      log: this.#parts.log,
+      clock: this.#deps.clock,
+      log: this.#deps.log,
       hasher,
     });
     const bound = await this.#server.listen(host, port);
     this.#address = announcedAddress || `${host}:${bound}`;
     this.#watch.start();
-    await this.#look();
+    await this.#probeBackend();
     this.#feed.start();
     this.#presence.start();
     this.#startTimers();
-    this.#parts.log.info('sidecar started', {
+    this.#deps.log.info('sidecar started', {
       backendServer: this.#settings.backendServer,
       address: this.#address,
       incarnation: this.#incarnation,
@@ -165,9 +165,9 @@
 
   /** See {@link Role.drain}. */
   async drain(limitMs: number): Promise<void> {
-    this.#ending = true;
-    this.#startLeave(limitMs);
-    const {clock} = this.#parts;
+    this.#isStopping = true;
+    this.#startDrain(limitMs);
+    const {clock} = this.#deps;
     const endsAt = clock.now() + limitMs;
     while (!this.#dispatcher.idle && clock.now() < endsAt) {
       await pause(IDLE_CHECK_MS);
@@ -183,7 +183,7 @@
   async stop(): Promise<void> {
     for (const timer of this.#timers) clearInterval(timer);
     this.#timers = [];
-    this.#leave?.abort();
+    this.#drainAbort?.abort();
     this.#presence.stop();
     this.#feed.stop();
     this.#watch.stop();
@@ -191,14 +191,14 @@
     this.#server.stop();
     this.#peers.close();
     this.#link.close();
-    const {backend} = this.#parts;
+    const {backend} = this.#deps;
     if (backend.kind === 'engine') await backend.engine.close();
     else await backend.service.close();
   }
 
   /** See {@link Role.dump}. */
   dump(): StateDump {
-    const now = this.#parts.clock.now();
+    const now = this.#deps.clock.now();
     const state = {
       backendServer: this.#settings.backendServer,
       pool: this.#settings.pool,
@@ -207,7 +207,7 @@
       state: this.#presence.state,
       gate: this.#gate.dump(now),
       attempts: this.#dispatcher.counters,
-      taken: this.#takes.taken,
+      taken: this.#takeClient.taken,
       moves: this.#mover?.counters,
       peers: this.#peers.ready.length,
       fencingFloor: this.#orders.fencing.floor,
@@ -218,7 +218,7 @@
   }
 
   #makeDispatcher(): SidecarDispatcher {
-    const {clock, log, backend} = this.#parts;
+    const {clock, log, backend} = this.#deps;
     return new SidecarDispatcher(this.#settings, {
       gate: this.#gate,
       backend,
@@ -227,13 +227,13 @@
       ledger: this.#link,
       incarnation: this.#incarnation,
       newerConfiguration: revision => this.#configuration.newerThan(revision),
-      point: request => this.#point(request),
+      point: request => this.#sendPointer(request),
       noteUnreachable: () => {
         this.#watch.noteUnreachable();
         this.#updateReadiness();
-        void this.#look();
+        void this.#probeBackend();
       },
-      life: () => this.#watch.life,
+      backendInstance: () => this.#watch.instance,
       hasEnded: life => this.#watch.hasEnded(life),
       noteServed: ({workspace, chat}) =>
         this.#mover?.recent.note({workspace, chat}),
@@ -241,12 +241,12 @@
   }
 
   #makeFeed(): SidecarControlFeed {
-    const {clock, log, random} = this.#parts;
+    const {clock, log, random} = this.#deps;
     return new SidecarControlFeed(this.#settings, {
       clock,
       log,
       random,
-      heldRevision: () => this.#configuration.revision,
+      revision: () => this.#configuration.revision,
       onUpdate: update => this.#onUpdate(update),
     });
   }
@@ -254,19 +254,19 @@
   #makePresence(): SidecarPresence {
     return new SidecarPresence(this.#settings, {
       gate: this.#gate,
-      clock: this.#parts.clock,
+      clock: this.#deps.clock,
       link: this.#link,
       orders: this.#orders,
       incarnation: this.#incarnation,
       address: () => this.#address,
       revision: () => this.#configuration.revision,
       models: () => this.#watch.models,
-      onWantedState: wanted => this.#followWantedState(wanted),
+      onWantedState: wanted => this.#applyWantedState(wanted),
     });
   }
 
   #makeServer(): SidecarServer {
-    const {clock, backend} = this.#parts;
+    const {clock, backend} = this.#deps;
     const service = new SidecarService({
       gate: this.#gate,
       dispatcher: this.#dispatcher,
@@ -286,19 +286,19 @@
     const {tickMs, backendProbeMs} = this.#settings;
     this.#timers = [
       setInterval(() => this.#tick(), tickMs),
-      setInterval(() => void this.#look(), backendProbeMs),
+      setInterval(() => void this.#probeBackend(), backendProbeMs),
     ];
   }
 
   #tick(): void {
-    const now = this.#parts.clock.now();
+    const now = this.#deps.clock.now();
     this.#dispatcher.tick(now);
-    this.#takes.tick(now);
+    this.#takeClient.tick(now);
     this.#feed.tick(now);
   }
 
-  async #look(): Promise<void> {
-    await this.#watch.look();
+  async #probeBackend(): Promise<void> {
+    await this.#watch.probe();
     this.#updateReadiness();
   }
 
@@ -314,31 +314,31 @@
     const before = this.#presence.state;
     this.#gate.setNotReady(this.#notReadyReason());
     if (!this.#watch.up) {
-      const now = this.#parts.clock.now();
+      const now = this.#deps.clock.now();
       this.#dispatcher.perform(this.#gate.backendDown(now));
     }
     if (before !== this.#presence.state) this.#presence.announce();
   }
 
-  #followWantedState(wanted: string): void {
+  #applyWantedState(wanted: string): void {
     const {draining} = this.#gate;
     if (wanted === SERVER_STATE.DRAINING && !draining) {
-      this.#startLeave(this.#settings.drainLimitMs);
+      this.#startDrain(this.#settings.drainLimitMs);
     }
-    if (wanted === SERVER_STATE.READY && draining && !this.#ending) {
-      this.#leave?.abort();
+    if (wanted === SERVER_STATE.READY && draining && !this.#isStopping) {
+      this.#drainAbort?.abort();
       this.#gate.resume();
       this.#presence.announce();
     }
   }
 
-  #startLeave(limitMs: number): void {
-    const now = this.#parts.clock.now();
+  #startDrain(limitMs: number): void {
+    const now = this.#deps.clock.now();
     this.#dispatcher.perform(this.#gate.startDraining(now, limitMs));
     this.#presence.announce();
-    this.#leave?.abort();
-    this.#leave = new AbortController();
-    void this.#mover?.run(this.#leave.signal);
+    this.#drainAbort?.abort();
+    this.#drainAbort = new AbortController();
+    void this.#mover?.run(this.#drainAbort.signal);
   }
 
   #onUpdate(update: lovagepond.v1.ControlUpdate): void {
@@ -347,12 +347,12 @@
       this.#updateReadiness();
     }
     const {addresses} = update.controlMembers ?? {};
-    if (addresses) this.#link.learnMembers(addresses);
+    if (addresses) this.#link.updateMembers(addresses);
     if (update.membership) this.#peers.updateMembership(update.membership);
     if (update.load) this.#peers.updateLoads(update.load);
   }
 
-  #point(request: AttemptRequest): void {
+  #sendPointer(request: AttemptRequest): void {
     const {firstChoiceAddress, workspace, chat, estimatedTokens} = request;
     if (!firstChoiceAddress) return;
     void this.#peers.point(
--- a/packages/lovagepond-sidecar/src/sidecar_run.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_run.ts
@@ -18,7 +18,7 @@
 const MAX_RESUMES = 2;
 
 /** Failures after which an engine may still hold the generation, or have ended. */
-const BROKEN_OFF: ReadonlySet<ErrorKind> = new Set([
+const INTERRUPTED: ReadonlySet<ErrorKind> = new Set([
   'backendFailed',
   'backendSilent',
   'answerTruncated',
@@ -32,7 +32,7 @@
   | {readonly kind: 'notRun'; readonly failure: Failure};
 
 /** What a run needs. */
-export interface RunParts {
+export interface RunDependencies {
   readonly backend: Backend;
   readonly session: SidecarSession;
   readonly clock: Clock;
@@ -59,7 +59,7 @@
   },
   started: ({status, contentType, cachedTokens}, session, state) => {
     state.cachedTokens = cachedTokens;
-    session.begin({status, contentType});
+    session.setHead({status, contentType});
     session.start(makeStarted(cachedTokens > 0, cachedTokens));
     return undefined;
   },
@@ -78,12 +78,12 @@
   },
 };
 
-async function follow(
-  parts: RunParts,
+async function streamAnswer(
+  deps: RunDependencies,
   resumeFrom: number,
   state: RunState,
 ): Promise<RunOutcome> {
-  const {backend, session, clock, signal} = parts;
+  const {backend, session, clock, signal} = deps;
   const {request, deadlineAt: deadline} = session;
   const run = {request, deadline, resumeFrom, signal};
   for await (const event of runAtBackend(backend, run, clock.now())) {
@@ -100,13 +100,13 @@
  * A run that threw would never end for the gate, and its tokens would fill the
  * bound for good; whatever was thrown, the request may have run.
  */
-async function followOnce(
-  parts: RunParts,
+async function streamOnce(
+  deps: RunDependencies,
   resumeFrom: number,
 ): Promise<RunOutcome> {
   const state: RunState = {dispatched: false, cachedTokens: 0};
   try {
-    return await follow(parts, resumeFrom, state);
+    return await streamAnswer(deps, resumeFrom, state);
   } catch (err) {
     const message = err instanceof Error ? err.message : String(err);
     return {kind: 'failed', failure: makeFailure('internal', {message})};
@@ -117,15 +117,15 @@
  * @param outcome how a run ended
  * @returns true when the backend server didn't end it by an answer
  */
-export function hasBrokenOff(outcome: RunOutcome): boolean {
-  return outcome.kind === 'failed' && BROKEN_OFF.has(outcome.failure.kind);
+export function wasInterrupted(outcome: RunOutcome): boolean {
+  return outcome.kind === 'failed' && INTERRUPTED.has(outcome.failure.kind);
 }
 
-function mayResume(outcome: RunOutcome, parts: RunParts): boolean {
-  const {session, backend, signal} = parts;
+function canResume(outcome: RunOutcome, deps: RunDependencies): boolean {
+  const {session, backend, signal} = deps;
   return (
     backend.kind === 'engine' &&
-    hasBrokenOff(outcome) &&
+    wasInterrupted(outcome) &&
     session.answerBytes > 0 &&
     !session.request.nonRepeatable &&
     !signal.aborted
@@ -137,15 +137,15 @@
  * byte, the same generation is asked to go on from there; an engine that no
  * longer holds it refuses, and the attempt fails as it would have.
  *
- * @param parts the attempt and its backend server
+ * @param deps the attempt and its backend server
  * @returns how it ended; never throws
  */
-export async function runAttempt(parts: RunParts): Promise<RunOutcome> {
-  const first = await followOnce(parts, 0);
+export async function runAttempt(deps: RunDependencies): Promise<RunOutcome> {
+  const first = await streamOnce(deps, 0);
   let outcome = first;
   for (let resumes = 0; resumes < MAX_RESUMES; resumes += 1) {
-    if (!mayResume(outcome, parts)) break;
-    outcome = await followOnce(parts, parts.session.answerBytes);
+    if (!canResume(outcome, deps)) break;
+    outcome = await streamOnce(deps, deps.session.answerBytes);
   }
   // The resume was not run, but the first run was.
   return outcome.kind === 'notRun' ? first : outcome;
--- a/packages/lovagepond-sidecar/src/sidecar_runs.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_runs.ts
@@ -55,7 +55,7 @@
     if (!run) return undefined;
     this.#runs.delete(attemptId);
     this.#admission.finish(run.offer.tokens, now);
-    this.#admission.noteRun(now - run.startedAt);
+    this.#admission.recordRunTime(now - run.startedAt);
     return run;
   }
 
--- a/packages/lovagepond-sidecar/src/sidecar_server.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_server.ts
@@ -11,7 +11,7 @@
   type sendUnaryData,
 } from '@grpc/grpc-js';
 import {lovagepond, SIDECAR_SERVICE} from '@lovagepond/protocol';
-import {MAX_MESSAGE_BYTES} from './sidecar_calls.js';
+import {MAX_MESSAGE_BYTES} from './sidecar_client_pool.js';
 import {type FrameBody} from './sidecar_frames.js';
 import {type FrameStream, type SidecarSession} from './sidecar_session.js';
 
@@ -35,7 +35,7 @@
     request: lovagepond.v1.AttemptRequest,
     stream: FrameStream,
   ): SidecarSession | undefined;
-  streamGone(session: SidecarSession, stream: FrameStream): void;
+  streamClosed(session: SidecarSession, stream: FrameStream): void;
   revoke(
     request: lovagepond.v1.RevokeRequest.$Properties,
   ): lovagepond.v1.RevokeResponse.$Properties;
@@ -97,8 +97,8 @@
     call.on('error', () => {});
     const session = handlers.offer(request, stream);
     if (!session) return;
-    call.on('drain', () => session.drained(stream));
-    call.on('cancelled', () => handlers.streamGone(session, stream));
+    call.on('drain', () => session.onDrain(stream));
+    call.on('cancelled', () => handlers.streamClosed(session, stream));
   };
 }
 
--- a/packages/lovagepond-sidecar/src/sidecar_service.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_service.ts
@@ -12,7 +12,7 @@
 const {v1} = lovagepond;
 
 /** What the service works on. */
-export interface ServiceParts {
+export interface ServiceDependencies {
   readonly gate: SidecarGate;
   readonly dispatcher: SidecarDispatcher;
   readonly backend: Backend;
@@ -26,17 +26,17 @@
 
 /** The sidecar's side of its protocol. */
 export class SidecarService implements SidecarHandlers {
-  readonly #parts: ServiceParts;
+  readonly #deps: ServiceDependencies;
 
-  constructor(parts: ServiceParts) {
-    this.#parts = parts;
+  constructor(deps: ServiceDependencies) {
+    this.#deps = deps;
   }
 
   /** See {@link SidecarHandlers.frameHead}. */
   frameHead(): FrameHead {
-    const {gate, clock, incarnation} = this.#parts;
+    const {gate, clock, incarnation} = this.#deps;
     const {runningTokens, queuedTokens} = gate.load(clock.now());
-    const revision = this.#parts.revision();
+    const revision = this.#deps.revision();
     return {incarnation, revision, runningTokens, queuedTokens};
   }
 
@@ -45,12 +45,12 @@
     request: lovagepond.v1.AttemptRequest,
     stream: FrameStream,
   ): SidecarSession | undefined {
-    return this.#parts.dispatcher.offer(request, stream);
+    return this.#deps.dispatcher.offer(request, stream);
   }
 
-  /** See {@link SidecarHandlers.streamGone}. */
-  streamGone(session: SidecarSession, stream: FrameStream): void {
-    this.#parts.dispatcher.streamGone(session, stream);
+  /** See {@link SidecarHandlers.streamClosed}. */
+  streamClosed(session: SidecarSession, stream: FrameStream): void {
+    this.#deps.dispatcher.streamClosed(session, stream);
   }
 
   /** See {@link SidecarHandlers.revoke}. */
@@ -58,16 +58,16 @@
     request: lovagepond.v1.RevokeRequest.$Properties,
   ): lovagepond.v1.RevokeResponse {
     // What a former incarnation did with its attempts is not known here.
-    const own = request.incarnation === this.#parts.incarnation;
+    const own = request.incarnation === this.#deps.incarnation;
     const outcome = own
-      ? this.#parts.dispatcher.revoke(request.attemptId ?? '')
+      ? this.#deps.dispatcher.revoke(request.attemptId ?? '')
       : 'unknown';
     return new v1.RevokeResponse({outcome});
   }
 
   /** See {@link SidecarHandlers.probe}. */
   probe(): lovagepond.v1.ProbeResponse {
-    const {draining} = this.#parts.gate;
+    const {draining} = this.#deps.gate;
     return new v1.ProbeResponse({...this.frameHead(), draining});
   }
 
@@ -75,8 +75,8 @@
   install(
     request: lovagepond.v1.InstallRequest.$Properties,
   ): lovagepond.v1.InstallResponse {
-    if (request.configuration) this.#parts.install(request.configuration);
-    return new v1.InstallResponse({revision: this.#parts.revision()});
+    if (request.configuration) this.#deps.install(request.configuration);
+    return new v1.InstallResponse({revision: this.#deps.revision()});
   }
 
   /** See {@link SidecarHandlers.moveCache}. */
@@ -92,7 +92,7 @@
     request: lovagepond.v1.PointerRequest.$Properties,
   ): lovagepond.v1.PointerResponse {
     const {workspace = '', chat = '', backendServer = ''} = request;
-    const {gate, clock} = this.#parts;
+    const {gate, clock} = this.#deps;
     if (workspace && chat && backendServer) {
       gate.pointers.put(workspace, chat, backendServer, clock.now());
     }
@@ -104,7 +104,7 @@
     request: lovagepond.v1.TakeRequest.$Properties,
   ): lovagepond.v1.TakeResponse {
     const {taker, roomTokens} = request;
-    const {gate, dispatcher, clock} = this.#parts;
+    const {gate, dispatcher, clock} = this.#deps;
     if (!taker) return new v1.TakeResponse();
     const handOver = gate.handOver(taker, roomTokens ?? 0, clock.now());
     dispatcher.perform(handOver.actions);
@@ -115,7 +115,7 @@
   async #importCache(
     request: lovagepond.v1.MoveCacheRequest.$Properties,
   ): Promise<boolean> {
-    const {backend, gate} = this.#parts;
+    const {backend, gate} = this.#deps;
     const {workspace, chat, cache, tokens} = request;
     if (!workspace || !chat || !cache || gate.draining) return false;
     if (backend.kind !== 'engine') return false;
--- a/packages/lovagepond-sidecar/src/sidecar_session.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_session.ts
@@ -36,12 +36,12 @@
   /** Offset behind the last byte sent over the present stream. */
   #sentEnd = 0;
   #blocked = false;
-  #wantsHeartbeatAt = 0;
+  #nextHeartbeatAt = 0;
   #started: FrameBody | undefined;
   /** The last frame: end or failure. */
-  #closing: FrameBody | undefined;
+  #finalFrame: FrameBody | undefined;
   #closedAt: number | undefined;
-  #wake: (() => void) | undefined;
+  #onRoom: (() => void) | undefined;
 
   /**
    * @param request the attempt
@@ -119,7 +119,7 @@
   }
 
   /** @param stream the stream that takes frames again */
-  drained(stream: FrameStream): void {
+  onDrain(stream: FrameStream): void {
     if (this.#stream !== stream) return;
     this.#blocked = false;
     this.#flush();
@@ -143,7 +143,7 @@
   }
 
   /** @param head status and content type of the answer */
-  begin(head: AnswerHead): void {
+  setHead(head: AnswerHead): void {
     this.#head = head;
   }
 
@@ -187,9 +187,9 @@
    * @param now present time
    * @param intervalMs longest time without a frame
    */
-  beat(now: number, intervalMs: number): void {
-    if (now < this.#wantsHeartbeatAt || this.#blocked) return;
-    this.#wantsHeartbeatAt = now + intervalMs;
+  sendHeartbeat(now: number, intervalMs: number): void {
+    if (now < this.#nextHeartbeatAt || this.#blocked) return;
+    this.#nextHeartbeatAt = now + intervalMs;
     if (this.#stream && this.#closedAt === undefined) {
       this.#write(HEARTBEAT_FRAME);
     }
@@ -205,15 +205,15 @@
   async waitForRoom(maxUnsentBytes: number): Promise<void> {
     while (this.#buffer.end - this.#sentEnd > maxUnsentBytes) {
       await new Promise<void>(resolve => {
-        this.#wake = resolve;
+        this.#onRoom = resolve;
       });
     }
   }
 
   /** The run is given up: whoever waits for room goes on. */
-  release(): void {
+  abandon(): void {
     this.#sentEnd = this.#buffer.end;
-    this.#wakeUp();
+    this.#notifyRoom();
   }
 
   #flush(): void {
@@ -224,16 +224,16 @@
       this.#write(makeChunk(piece, this.#head));
     }
     this.#buffer.trim(this.#sentEnd);
-    this.#wakeUp();
+    this.#notifyRoom();
     const sent = this.#sentEnd >= this.#buffer.end;
-    if (!this.#closing || !this.#stream || !sent) return;
-    this.#write(this.#closing);
+    if (!this.#finalFrame || !this.#stream || !sent) return;
+    this.#write(this.#finalFrame);
     this.#endStream();
   }
 
   #close(body: FrameBody, now: number): void {
     if (this.#closedAt !== undefined) return;
-    this.#closing = body;
+    this.#finalFrame = body;
     this.#closedAt = now;
     this.#flush();
   }
@@ -249,9 +249,9 @@
     stream?.end();
   }
 
-  #wakeUp(): void {
-    const wake = this.#wake;
-    this.#wake = undefined;
-    wake?.();
+  #notifyRoom(): void {
+    const onRoom = this.#onRoom;
+    this.#onRoom = undefined;
+    onRoom?.();
   }
 }
--- a/packages/lovagepond-sidecar/src/sidecar_sessions.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_sessions.ts
@@ -42,7 +42,7 @@
   }
 
   /** @param attemptId an attempt whose answer nobody asks for any more */
-  forget(attemptId: string): void {
+  remove(attemptId: string): void {
     this.#sessions.delete(attemptId);
   }
 
@@ -57,15 +57,15 @@
     const abandoned: SidecarSession[] = [];
     const finished: string[] = [];
     for (const [attemptId, session] of this.#sessions) {
-      session.beat(now, heartbeatIntervalMs);
+      session.sendHeartbeat(now, heartbeatIntervalMs);
       if (session.closedAt === undefined) {
         if (this.#isAbandoned(session, now)) abandoned.push(session);
       } else if (this.#isPast(session.closedAt, now)) {
-        this.forget(attemptId);
+        this.remove(attemptId);
       } else if (!session.attached) finished.push(attemptId);
     }
     const surplus = Math.max(0, finished.length - maxFinishedAnswers);
-    for (const attemptId of finished.slice(0, surplus)) this.forget(attemptId);
+    for (const attemptId of finished.slice(0, surplus)) this.remove(attemptId);
     return abandoned;
   }
 
--- a/packages/lovagepond-sidecar/src/sidecar_settings.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_settings.ts
@@ -6,15 +6,16 @@
 import {DEFAULT_GATE_SETTINGS, type GateSettings} from './sidecar_types.js';
 
 /** What a restarted sidecar does while it can't reach control. */
-export const ISLAND_POLICY = {
+export const PARTITION_POLICY = {
   /** Serve by a configuration that a router brought. */
   SERVE: 'serve',
   /** Refuse requests with `notReady` until control confirms a revision. */
   REFUSE: 'refuse',
 } as const;
 
-/** One of the values of {@link ISLAND_POLICY}. */
-export type IslandPolicy = (typeof ISLAND_POLICY)[keyof typeof ISLAND_POLICY];
+/** One of the values of {@link PARTITION_POLICY}. */
+export type PartitionPolicy =
+  (typeof PARTITION_POLICY)[keyof typeof PARTITION_POLICY];
 
 /** One of the values of `POOL_KIND`. */
 export type BackendKind = (typeof POOL_KIND)[keyof typeof POOL_KIND];
@@ -42,7 +43,7 @@
   readonly controlTimeoutMs: number;
   /** Without an update for so long, another control member is tried. */
   readonly controlSilentAfterMs: number;
-  readonly islandPolicy: IslandPolicy;
+  readonly islandPolicy: PartitionPolicy;
   /** Frames to a router come at least this often. */
   readonly heartbeatIntervalMs: number;
   readonly tickMs: number;
@@ -84,7 +85,7 @@
   announceIntervalMs: 1_000,
   controlTimeoutMs: 1_000,
   controlSilentAfterMs: 5_000,
-  islandPolicy: ISLAND_POLICY.REFUSE,
+  islandPolicy: PARTITION_POLICY.REFUSE,
   heartbeatIntervalMs: 1_000,
   tickMs: 20,
   detachGraceMs: 1_500,
--- a/packages/lovagepond-sidecar/src/sidecar_take.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_take.ts
@@ -129,10 +129,10 @@
     if (now < this.#nextTakeAt || peers.length === 0) return undefined;
     const first = this.#random.pick(peers);
     const second = this.#random.pick(peers);
-    const longer = first.tokens >= second.tokens ? first : second;
-    if (longer.tokens <= ownTokens) return undefined;
+    const busier = first.tokens >= second.tokens ? first : second;
+    if (busier.tokens <= ownTokens) return undefined;
     this.#nextTakeAt = now + this.#intervalMs;
-    return longer;
+    return busier;
   }
 
   /**
--- a/packages/lovagepond-sidecar/src/sidecar_takes.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_take_client.ts
@@ -11,7 +11,7 @@
 } from './sidecar_take.js';
 
 /** What taking needs. */
-export interface TakesParts {
+export interface TakeClientDependencies {
   readonly gate: SidecarGate;
   readonly peers: SidecarPeers;
   readonly clock: Clock;
@@ -21,17 +21,17 @@
 }
 
 /** Takes one request at a time. */
-export class SidecarTakes {
+export class SidecarTakeClient {
   readonly #settings: TakerSettings;
-  readonly #parts: TakesParts;
+  readonly #deps: TakeClientDependencies;
   readonly #taker: SidecarTaker;
-  #asking = false;
+  #isRequestPending = false;
   #taken = 0;
 
-  constructor(settings: TakerSettings, parts: TakesParts) {
+  constructor(settings: TakerSettings, deps: TakeClientDependencies) {
     this.#settings = settings;
-    this.#parts = parts;
-    this.#taker = new SidecarTaker(settings, parts.random);
+    this.#deps = deps;
+    this.#taker = new SidecarTaker(settings, deps.random);
   }
 
   /** @returns requests taken since the start */
@@ -41,9 +41,9 @@
 
   /** @param now present time; call it at each tick */
   tick(now: number): void {
-    if (this.#asking) return;
-    const {gate, peers, floorTokens} = this.#parts;
-    const roomTokens = gate.takeRoom(now);
+    if (this.#isRequestPending) return;
+    const {gate, peers, floorTokens} = this.#deps;
+    const roomTokens = gate.roomForTake(now);
     if (roomTokens <= 0) return;
     const loaded = peers.loads.filter(({tokens}) => tokens > floorTokens);
     const {runningTokens} = gate.load(now);
@@ -52,15 +52,15 @@
   }
 
   async #take(victim: PeerLoad, roomTokens: number): Promise<void> {
-    this.#asking = true;
-    const answer = await this.#parts.peers.take(victim, roomTokens);
-    this.#asking = false;
-    const now = this.#parts.clock.now();
+    this.#isRequestPending = true;
+    const answer = await this.#deps.peers.take(victim, roomTokens);
+    this.#isRequestPending = false;
+    const now = this.#deps.clock.now();
     const count = answer?.attemptIds?.length ?? 0;
     this.#taken += count;
     this.#taker.noteAnswer(count, now);
     if (count === 0) return;
     const until = now + this.#settings.reservationMs;
-    this.#parts.gate.reserve(victim.backendServer, answer?.tokens ?? 0, until);
+    this.#deps.gate.reserve(victim.backendServer, answer?.tokens ?? 0, until);
   }
 }
--- a/packages/lovagepond-sidecar/src/sidecar_wait_estimate.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_wait_estimate.ts
@@ -4,7 +4,7 @@
  */
 
 const WINDOW_MS = 500;
-const LEARNING_SHARE = 0.3;
+const SMOOTHING_FACTOR = 0.3;
 const MS_PER_SECOND = 1_000;
 
 /** Learns the rate of work; gives expected times. */
@@ -49,13 +49,13 @@
     const perToken = serviceMs / tokens;
     const former = this.#serviceMsPerToken;
     this.#serviceMsPerToken =
-      former === 0 ? perToken : former + LEARNING_SHARE * (perToken - former);
+      former === 0 ? perToken : former + SMOOTHING_FACTOR * (perToken - former);
     if (this.#windowStart === undefined) return;
     this.#windowTokens += tokens;
     const elapsed = now - this.#windowStart;
     if (elapsed < WINDOW_MS) return;
     const rate = this.#windowTokens / elapsed;
-    this.#tokensPerMs += LEARNING_SHARE * (rate - this.#tokensPerMs);
+    this.#tokensPerMs += SMOOTHING_FACTOR * (rate - this.#tokensPerMs);
     this.#windowStart = now;
     this.#windowTokens = 0;
   }
