--- a/packages/lovagepond-sidecar/src/sidecar_admission.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_admission.ts
@@ -1,22 +1,29 @@
 /**
- * The load bound: work running at the engine stays within a set multiple of
- * the pool's mean, whatever stale view brought the requests here.
+ * Load bound: limits the work running at the engine to a set multiple of the
+ * pool's mean, even when routers send requests based on stale loads.
  */
 
-/** Share by which an engine's own count may exceed ours without a meaning. */
+/**
+ * Share by which an engine's count may exceed the sidecar's own without being
+ * taken for foreign work.
+ */
 const REPORT_TOLERANCE = 0.1;
-/** Age given to a router's estimate, which tells none, milliseconds. */
+/** Assumed age of a router's estimate, which carries none, milliseconds. */
 const ROUTER_ESTIMATE_AGE_MS = 1_500;
 const MAX_HISTORY = 256;
 /**
- * How much of the bound's span above the mean is given out. The mean is a
- * second old, and falls while what was let in still runs: used in full, the
- * engine would stand above the bound by the time that others have finished.
+ * Share of the span between the mean and the bound that is admitted. The mean
+ * is a second old and falls while admitted work still runs: with the full span,
+ * the engine would exceed the bound once other servers have finished their
+ * work.
  */
 const HEADROOM_SHARE = 0.5;
-/** Share by which each run moves the learnt length of a run. */
+/** Smoothing factor of the mean run time. */
 const RUN_SMOOTHING_FACTOR = 0.1;
-/** Time that work let in now goes on weighing on the bound, milliseconds. */
+/**
+ * Time for which newly admitted work keeps counting towards the bound, added to
+ * the age of the mean, milliseconds.
+ */
 const REACTION_MS = 300;
 
 /** Settings of {@link SidecarAdmission}. */
@@ -27,19 +34,19 @@
   readonly meanTrustMs: number;
 }
 
-/** The pool's mean load as control knows it. */
+/** Mean load of the pool as control reports it. */
 export interface PoolMean {
   readonly meanTokens: number;
   /** Age of the mean when it was received, milliseconds. */
   readonly ageMs: number;
-  /** Servers over which the mean is taken. */
+  /** Ready servers that the mean covers. */
   readonly readyServers: number;
-  /** What this server had in the mean. */
+  /** This server's tokens that the mean includes. */
   readonly ownTokens: number;
 }
 
 interface Sample {
-  /** Work of the other servers, summed. */
+  /** Total tokens of the other servers. */
   readonly othersTokens: number;
   readonly readyServers: number;
   readonly takenAt: number;
@@ -61,8 +68,8 @@
 }
 
 /**
- * Before the first mean was heard only the floor may run: taken for a pool of
- * one server, this one would fill up to its capacity.
+ * Before the first mean arrives, only the floor may run: with a count of one
+ * server, this one would fill up to its capacity.
  */
 const NO_SAMPLE: Sample = {
   othersTokens: 0,
@@ -70,7 +77,7 @@
   takenAt: -Infinity,
 };
 
-/** Decides whether more work may be handed to the engine. */
+/** Decides whether more work may be dispatched to the engine. */
 export class SidecarAdmission {
   readonly #settings: AdmissionSettings;
   #loadBound: number;
@@ -81,7 +88,7 @@
   #report: EngineReport = {foreignTokens: 0, takenAt: -Infinity};
   readonly #history: OwnLoad[] = [];
   #capacityTokens: number;
-  /** Mean time that a request runs; 0 before any was seen. */
+  /** Mean run time of a request, milliseconds; 0 before the first run. */
   #meanRunMs = 0;
 
   /**
@@ -94,16 +101,17 @@
     this.#capacityTokens = settings.capacityTokens;
   }
 
-  /** @returns tokens that the engine holds at once */
+  /** @returns tokens that the engine can hold at once */
   get capacityTokens(): number {
     return this.#capacityTokens;
   }
 
   /**
-   * What an engine is given beyond its capacity waits inside of it, where no
-   * fair queue orders it and nobody can take it over.
+   * Sets the engine's capacity. Work beyond it would wait inside the engine,
+   * where the fair queue does not order it and no other server can take it
+   * over.
    *
-   * @param tokens what the engine says it holds; 0 when it doesn't say
+   * @param tokens capacity that the engine reports; 0 when it reports none
    */
   setEngineCapacity(tokens: number): void {
     const {capacityTokens} = this.#settings;
@@ -116,14 +124,14 @@
     this.#loadBound = loadBound;
   }
 
-  /** @returns tokens that this sidecar has handed out and not seen end */
+  /** @returns tokens that this sidecar has dispatched and that still run */
   get ownTokens(): number {
     return this.#ownTokens;
   }
 
   /**
    * @param mean the pool's mean from control
-   * @param now present time
+   * @param now current time
    */
   setPoolMean(mean: PoolMean, now: number): void {
     const sum = mean.meanTokens * Math.max(1, mean.readyServers);
@@ -135,8 +143,8 @@
   }
 
   /**
-   * @param meanTokens a router's estimate; 0 when it has none
-   * @param now present time
+   * @param meanTokens a router's estimate of the mean; 0 when it has none
+   * @param now current time
    */
   setRouterEstimate(meanTokens: number, now: number): void {
     if (meanTokens <= 0) return;
@@ -153,13 +161,13 @@
   }
 
   /**
-   * Takes the engine's report. It is old when it comes, so only what it shows
-   * beyond our own work of that moment counts: work of a former incarnation,
-   * or cancelled streams that still run.
+   * Processes a load report of the engine. The report is delayed, so only the
+   * excess over this sidecar's work at that time counts. Such an excess comes
+   * from a former incarnation, or from cancelled streams that still run.
    *
-   * @param tokens outstanding work as the engine counted it
+   * @param tokens outstanding tokens that the engine counted
    * @param lagMs age of the report, milliseconds
-   * @param now present time
+   * @param now current time
    */
   setEngineReport(tokens: number, lagMs: number, now: number): void {
     const takenAt = now - lagMs;
@@ -170,24 +178,22 @@
   }
 
   /**
-   * @param tokens work handed to the engine
-   * @param now present time
+   * @param tokens tokens dispatched to the engine
+   * @param now current time
    */
   start(tokens: number, now: number): void {
     this.#adjustOwnTokens(tokens, now);
   }
 
   /**
-   * @param tokens work that ended
-   * @param now present time
+   * @param tokens tokens whose run has ended
+   * @param now current time
    */
   finish(tokens: number, now: number): void {
     this.#adjustOwnTokens(-tokens, now);
   }
 
-  /**
-   * @param runMs how long a request ran at the engine, milliseconds
-   */
+  /** @param runMs run time of a request at the engine, milliseconds */
   recordRunTime(runMs: number): void {
     const former = this.#meanRunMs;
     this.#meanRunMs =
@@ -195,7 +201,7 @@
   }
 
   /**
-   * @param now present time
+   * @param now current time
    * @returns tokens running at the engine
    */
   runningTokens(now: number): number {
@@ -204,10 +210,10 @@
   }
 
   /**
-   * The pool's mean now: others' work as last heard, believed less with age,
-   * and our own work exactly.
+   * Current mean load of the pool: the other servers' work as last reported,
+   * weighted by its age, plus the exact work of this server.
    *
-   * @param now present time
+   * @param now current time
    * @returns mean tokens over the pool's ready servers
    */
   poolMeanTokens(now: number): number {
@@ -216,18 +222,18 @@
   }
 
   /**
-   * Our own work is a part of the mean, so the mean moves with each request
-   * that we let in. This is the load at which `load = multiple * mean` holds
-   * with the mean of that very moment, for a multiple safely below the bound.
+   * This server's own work is part of the mean, so the mean changes with each
+   * admitted request. The limit is the load at which `load = multiple * mean`
+   * holds including that change, for a multiple below the bound.
    *
-   * @param now present time
+   * @param now current time
    * @returns tokens that may run here
    */
   limitTokens(now: number): number {
     const {floorTokens} = this.#settings;
     const capacityTokens = this.#capacityTokens;
     const {readyServers} = this.#sample(now);
-    // So few servers that one of them can't stand out by this much.
+    // With this few servers, none can exceed the mean by the bound.
     if (readyServers <= this.#loadBound) return capacityTokens;
     const multiple = 1 + (this.#loadBound - 1) * HEADROOM_SHARE;
     const others = this.#othersTokens(now);
@@ -236,12 +242,12 @@
   }
 
   /**
-   * A request alone on an idle engine is always let in: no waiting could make
-   * it smaller, and it would never be served.
+   * Checks whether a request may be dispatched. An idle engine always admits
+   * one request, as a request larger than the limit could otherwise never run.
    *
-   * @param tokens a request's work
-   * @param now present time
-   * @returns true when it may be handed to the engine
+   * @param tokens the request's tokens
+   * @param now current time
+   * @returns true when it may be dispatched to the engine
    */
   admits(tokens: number, now: number): boolean {
     const running = this.runningTokens(now);
@@ -249,8 +255,8 @@
   }
 
   /**
-   * @param now present time
-   * @returns tokens that fit now
+   * @param now current time
+   * @returns tokens that can be admitted now
    */
   roomTokens(now: number): number {
     return Math.max(0, this.limitTokens(now) - this.runningTokens(now));
@@ -263,9 +269,10 @@
   }
 
   /**
-   * Work ends while the news of it is on its way. In the tail of a surge of
-   * short requests the others finish all they had within the age of the mean:
-   * believed whole, it would let this engine run at twice their load.
+   * Estimates the share of reported work that still runs. At the end of a surge
+   * of short requests, other servers finish all of their work within the age of
+   * the mean. Counted in full, the mean would let this engine run at twice
+   * their load.
    */
   #unfinished(takenAt: number, now: number): number {
     if (this.#meanRunMs === 0) return 1;
@@ -274,18 +281,20 @@
   }
 
   /**
-   * The engine restarted: nothing of the old runs is left in it.
+   * Discards the reported foreign work after an engine restart, which ends all
+   * former runs.
    *
-   * @param now present time
+   * @param now current time
    */
   reset(now: number): void {
     this.#report = {foreignTokens: 0, takenAt: now};
   }
 
   /**
-   * Control's mean while it is fresh. After that a router's later estimate
-   * may confirm that the pool is still busy, but never raise the mean: it
-   * counts queues too, and would let every engine grow with the queues.
+   * Returns control's mean while it is fresh. After that, a newer estimate of a
+   * router may confirm that the pool is still busy but never raises the mean:
+   * the estimate includes queues, so it would let every engine's load grow with
+   * them.
    */
   #sample(now: number): Sample {
     const control = this.#control;
@@ -300,8 +309,8 @@
   }
 
   /**
-   * A mean that is not renewed says ever less: servers may have finished their
-   * work since. Believed for good, it would let this engine run far above a
+   * Weight of a mean by its age. Servers may have finished their work since an
+   * old mean was taken. At full weight it would let this engine run far above a
    * pool that has become idle.
    */
   #ageWeight(takenAt: number, now: number): number {
@@ -312,11 +321,12 @@
   }
 
   /**
-   * Control's count of servers is soft state: a new leader may hear of them
-   * one by one. Believed at once, a pool that is counted as one server would
-   * have no bound, so a count that falls by more than half holds only after
-   * the former one has aged. A few that leave count at once: too high a count
-   * would keep the others from taking over their work.
+   * Updates the number of ready servers. Control's count is soft state: a new
+   * leader may register the servers one by one, and a pool counted as one
+   * server has no bound. So a count that falls by more than half takes effect
+   * only after the previous count has aged. A smaller decrease takes effect at
+   * once, as too high a count would keep the other servers from taking over the
+   * work of those that left.
    */
   #updateReadyServers(count: number, now: number): number {
     const aged = now - this.#ready.updatedAt > this.#settings.meanTrustMs;
--- a/packages/lovagepond-sidecar/src/sidecar_attempts.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_attempts.ts
@@ -1,22 +1,22 @@
 /**
- * What became of each attempt: the one place that decides between a revoke
- * and a dispatch, and that knows copies.
+ * State of each attempt. This table alone decides between a revoke and a
+ * dispatch of the same attempt, and detects duplicates.
  */
 
-/** Where an attempt stands. */
+/** State of an attempt. */
 export const ATTEMPT_STATE = {
   HELD: 'held',
   CLAIMING: 'claiming',
-  /** Handed to the backend server, running or over. */
+  /** Dispatched to the backend server: running or ended. */
   DISPATCHED: 'dispatched',
-  /** Answered as not run; never to be dispatched. */
+  /** Answered as not run; must never be dispatched. */
   NOT_RUN: 'notRun',
 } as const;
 
 /** One of the values of {@link ATTEMPT_STATE}. */
 export type AttemptState = (typeof ATTEMPT_STATE)[keyof typeof ATTEMPT_STATE];
 
-/** Answer to a revoke, as it travels to the router. */
+/** Outcome of a revoke as sent to the router. */
 export const REVOKE_OUTCOME = {
   REVOKED: 'revoked',
   DISPATCHED: 'dispatched',
@@ -36,28 +36,28 @@
 
 interface AttemptRecord {
   state: AttemptState;
-  /** Until when it must not be forgotten; Infinity while it is open. */
+  /** Earliest expiry of the record; Infinity while the attempt is open. */
   keepUntil: number;
 }
 
 /** Settings of {@link SidecarAttempts}. */
 export interface AttemptsSettings {
-  /** How long an attempt is remembered that was answered as not run. */
+  /** Retention of an attempt that was answered as not run, milliseconds. */
   readonly refusalRetentionMs: number;
-  /** How long one that was dispatched is remembered after its end. */
+  /** Retention of a dispatched attempt after its end, milliseconds. */
   readonly attemptRetentionMs: number;
   readonly maxAttempts: number;
 }
 
-/** The attempts that this incarnation has seen. */
+/** Attempts that this incarnation has seen. */
 export class SidecarAttempts {
   readonly #settings: AttemptsSettings;
   readonly #records = new Map<string, AttemptRecord>();
-  /** Attempts whose run is over, oldest first. */
+  /** Attempts whose run has ended, oldest first. */
   readonly #ended = new Set<string>();
   /** Attempts answered as not run, oldest first. */
   readonly #refused = new Set<string>();
-  /** Attempts that were taken back before they came, oldest first. */
+  /** Attempts revoked before their arrival, oldest first. */
   readonly #unseen = new Set<string>();
   #forcedEvictionAt = -Infinity;
 
@@ -65,14 +65,14 @@
     this.#settings = settings;
   }
 
-  /** @returns number of attempts remembered */
+  /** @returns number of recorded attempts */
   get size(): number {
     return this.#records.size;
   }
 
   /**
    * @param attemptId an attempt
-   * @returns where it stands, or undefined when it was never seen here
+   * @returns its state; undefined when it is not recorded
    */
   stateOf(attemptId: string): AttemptState | undefined {
     return this.#records.get(attemptId)?.state;
@@ -87,8 +87,8 @@
   }
 
   /**
-   * @param attemptId a held attempt whose claim is asked for
-   * @returns false when it was taken back meanwhile
+   * @param attemptId a held attempt that is to be claimed
+   * @returns false when it was revoked meanwhile
    */
   claim(attemptId: string): boolean {
     const record = this.#records.get(attemptId);
@@ -98,9 +98,10 @@
   }
 
   /**
-   * The point of no return. A revoke and a dispatch of one attempt both pass
-   * through this table on one thread, so exactly one of them wins: without it
-   * a caller could read "not run" of a request that the engine runs.
+   * Marks an attempt as dispatched, after which it can't be revoked. Revokes
+   * and dispatches of an attempt both pass through this table on one thread, so
+   * exactly one of them succeeds. Otherwise a caller could receive "not run"
+   * for a request that the engine runs.
    *
    * @param attemptId a held or claimed attempt
    * @returns false when it must not be dispatched
@@ -115,8 +116,8 @@
 
   /**
    * @param attemptId an attempt that is answered as not run
-   * @param now present time
-   * @returns false when it was dispatched and the answer would be a lie
+   * @param now current time
+   * @returns false when it was dispatched, so that "not run" would be false
    */
   refuse(attemptId: string, now: number): boolean {
     const record = this.#records.get(attemptId);
@@ -127,9 +128,9 @@
   }
 
   /**
-   * @param attemptId a dispatched attempt whose run is over
-   * @param notRun no byte of it reached the backend server
-   * @param now present time
+   * @param attemptId a dispatched attempt whose run has ended
+   * @param notRun true if no byte of it reached the backend server
+   * @param now current time
    */
   finish(attemptId: string, notRun: boolean, now: number): void {
     const {DISPATCHED, NOT_RUN} = ATTEMPT_STATE;
@@ -137,12 +138,12 @@
   }
 
   /**
-   * Takes an attempt back. One that never came is remembered as not run, so
-   * that its late arrival is refused and the answer stays true.
+   * Revokes an attempt. An attempt that has not arrived is recorded as not run,
+   * so that it is refused if it arrives later.
    *
    * @param attemptId any attempt of this incarnation
-   * @param now present time
-   * @returns what the router may believe
+   * @param now current time
+   * @returns the outcome for the router
    */
   revoke(attemptId: string, now: number): RevokeOutcome {
     const record = this.#records.get(attemptId);
@@ -154,10 +155,15 @@
     return this.#revokeUnseen(attemptId, now);
   }
 
-  /** @param now present time; attempts past their retention go */
+  /**
+   * Removes records past their retention.
+   *
+   * @param now current time
+   */
   expire(now: number): void {
-    // A refused attempt has come already. The end of a run is kept longer:
-    // forgotten, a revoke of it could not be answered.
+    // Refused attempts are evicted before ended ones: they have already
+    // arrived, while a revoke of an ended attempt could not be answered without
+    // its record.
     this.#expireUnseen(now);
     this.#evictOldest(this.#refused, now);
     if (this.#evictOldest(this.#ended, now)) this.#forcedEvictionAt = now;
@@ -165,9 +171,11 @@
 
   #revokeUnseen(attemptId: string, now: number): RevokeOutcome {
     const {attemptRetentionMs, maxAttempts} = this.#settings;
-    // It may be among the ended ones dropped for space: it may have run.
+    // A record of an ended run may have been evicted to save space, so the
+    // attempt may have run.
     const evictedRecently = now - this.#forcedEvictionAt < attemptRetentionMs;
-    // Forgotten before its time, it could still arrive and run.
+    // If the table is full, the record could be evicted before the attempt
+    // arrives, which would then run.
     const full = this.#unseen.size >= maxAttempts / 2;
     if (evictedRecently || full) return REVOKE_OUTCOME.UNKNOWN;
     const keepUntil = now + attemptRetentionMs;
@@ -184,7 +192,7 @@
     }
   }
 
-  /** @returns true when one was dropped for space before its time */
+  /** @returns true when a record was evicted before the end of its retention */
   #evictOldest(attempts: Set<string>, now: number): boolean {
     let forced = false;
     for (const attemptId of attempts) {
--- a/packages/lovagepond-sidecar/src/sidecar_cache_index.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_cache_index.ts
@@ -1,20 +1,21 @@
 /**
- * Which chats' contexts the engine holds, as far as its events tell.
+ * Index of the chats whose contexts the engine caches, based on the engine's
+ * events.
  *
- * Events come late and with gaps. An entry older than the last gap is unknown:
- * counted as warm it would send chats to a rebuild, counted as cold it would
- * send them away from their context.
+ * Events arrive late and with gaps, so entries older than the last gap are
+ * unknown. If they counted as warm, chats would be sent here for a rebuild; if
+ * they counted as cold, chats would be sent away from their context.
  */
 import {type ChatWarmth, WARMTH} from './sidecar_types.js';
 
-/** Room for 2^32 tokens below the epoch in one packed number. */
+/** Factor of the epoch in a packed number; leaves room for 2^32 tokens. */
 const EPOCH_UNIT = 2 ** 32;
 const UNKNOWN: ChatWarmth = Object.freeze({
   warmth: WARMTH.UNKNOWN,
   tokens: 0,
 });
 const COLD: ChatWarmth = Object.freeze({warmth: WARMTH.COLD, tokens: 0});
-/** Number of an engine's first event: nothing was cached before it. */
+/** Sequence number of an engine's first event: nothing was cached before it. */
 const FIRST_SEQUENCE = 1;
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
@@ -32,9 +33,9 @@
 }
 
 /**
- * A chat as a number of 52 bits, so that an index entry needs no string. Two
- * chats of one sidecar share a number once in some 10^7 sidecars with 16,384
- * chats each; the result is one rebuild, never a wrong answer.
+ * Hashes a chat to a number of 52 bits, so that an index entry needs no string.
+ * About one sidecar in 10^7, with 16,384 chats each, has two chats with the
+ * same number. A collision costs one rebuild and never causes a wrong answer.
  *
  * @param workspace the chat's workspace
  * @param chat the chat's name
@@ -46,18 +47,24 @@
   return high * EPOCH_UNIT + hashText(text, FNV_OFFSET);
 }
 
-/** Bounded index of the engine's cached chats, least recently used last. */
+/**
+ * Bounded index of the engine's cached chats; the least recently used is
+ * evicted first.
+ */
 export class SidecarCacheIndex {
   readonly #maxChats: number;
-  /** Chat number to `epoch * 2^32 + tokens`; oldest use first. */
+  /** Chat number to `epoch * 2^32 + tokens`; least recently used first. */
   readonly #entries = new Map<number, number>();
-  /** Rises with each gap; an entry of a former one is unknown. */
+  /** Incremented at each gap; entries of former epochs are unknown. */
   #epoch = 1;
   #nextSequence: number | undefined;
-  /** Absent chats are cold: every event since the engine's start was seen. */
+  /**
+   * True when every event since the engine's start was received, so that chats
+   * without an entry are cold.
+   */
   #complete = false;
 
-  /** @param maxChats entries kept at most */
+  /** @param maxChats maximum number of entries */
   constructor(maxChats: number) {
     this.#maxChats = maxChats;
   }
@@ -70,7 +77,7 @@
   /**
    * @param workspace the chat's workspace
    * @param chat the chat's name
-   * @returns what is known of its context
+   * @returns cache state of its context
    */
   read(workspace: string, chat: string): ChatWarmth {
     if (chat === '') return COLD;
@@ -82,7 +89,8 @@
   }
 
   /**
-   * @param sequence the event's number; a jump is a gap, an old one a copy
+   * @param sequence the event's sequence number; a jump indicates a gap, an old
+   *     number a duplicate
    * @param workspace the chat's workspace
    * @param chat the chat's name
    * @param tokens cached tokens; 0 when it was evicted
@@ -100,9 +108,9 @@
   }
 
   /**
-   * Events were lost, or the engine restarted and counts from its beginning.
+   * Handles lost events, or an engine that restarted its sequence numbers.
    *
-   * @param sequence the number up to which nothing is known
+   * @param sequence the last sequence number that was missed
    */
   noteGap(sequence: number): void {
     this.#nextSequence = sequence + 1;
@@ -110,11 +118,12 @@
   }
 
   /**
-   * A chat was served here; its context may be cached until an event says so.
+   * Notes that a chat was served here. A chat without an entry becomes unknown
+   * until an event confirms its context.
    *
    * @param workspace the chat's workspace
    * @param chat the chat's name
-   * @param tokens its context
+   * @param tokens tokens of its context
    */
   noteServed(workspace: string, chat: string, tokens: number): void {
     if (chat === '') return;
@@ -126,7 +135,10 @@
     this.#put(number, epoch, Math.max(before, tokens));
   }
 
-  /** The engine restarted: what it held is gone; what it holds is unknown. */
+  /**
+   * Clears the index after an engine restart. The contents of the new cache are
+   * unknown.
+   */
   reset(): void {
     this.#entries.clear();
     this.#invalidate();
@@ -153,7 +165,7 @@
     if (this.#entries.size <= this.#maxChats) return;
     const oldest = this.#entries.keys().next().value;
     if (oldest !== undefined) this.#entries.delete(oldest);
-    // What was dropped for space may well be warm.
+    // An evicted entry's context may still be cached.
     this.#complete = false;
   }
 }
--- a/packages/lovagepond-sidecar/src/sidecar_drain.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_drain.ts
@@ -1,19 +1,19 @@
 /**
- * A planned leave: what runs finishes, nothing new comes in, and what waits is
- * served only when it fits within the limit.
+ * Draining: running requests finish, new ones are refused, and held ones are
+ * served only if they end within the limit.
  */
 
-/** Whether the sidecar is leaving, and until when it serves. */
+/** Draining state of the sidecar and the end of its limit. */
 export class SidecarDrain {
   #endsAt: number | undefined;
 
-  /** @returns true from the start of the leave */
+  /** @returns true while draining */
   get draining(): boolean {
     return this.#endsAt !== undefined;
   }
 
   /**
-   * @param now present time
+   * @param now current time
    * @param limitMs longest time for requests in flight, milliseconds
    */
   start(now: number, limitMs: number): void {
@@ -21,15 +21,16 @@
     this.#endsAt = Math.min(this.#endsAt ?? endsAt, endsAt);
   }
 
-  /** The operators took the leave back. */
+  /** Cancels draining. */
   resume(): void {
     this.#endsAt = undefined;
   }
 
   /**
-   * @param expectedMs wait and service still ahead of a waiting request
-   * @param now present time
-   * @returns true when it ends within the limit
+   * @param expectedMs expected wait and run time of a held request,
+   *     milliseconds
+   * @param now current time
+   * @returns true when the request ends within the limit
    */
   mayServe(expectedMs: number, now: number): boolean {
     return this.#endsAt === undefined || now + expectedMs <= this.#endsAt;
--- a/packages/lovagepond-sidecar/src/sidecar_fair_queue.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_fair_queue.ts
@@ -1,8 +1,9 @@
 /**
  * Deficit round robin between workspaces, counted in tokens.
  *
- * A workspace that surges waits behind itself: each turn gives every waiting
- * workspace its share, so a quiet one waits at most one round.
+ * Each round gives every waiting workspace its share. A surge of one workspace
+ * therefore delays its own requests, and a quiet workspace waits at most one
+ * round.
  */
 import {
   DEFAULT_WORKSPACE_SHARE,
@@ -10,7 +11,10 @@
   type WorkspaceShare,
 } from './sidecar_types.js';
 
-/** About one short request: a larger one makes a quiet workspace wait longer. */
+/**
+ * About one short request. A larger quantum makes a quiet workspace wait
+ * longer.
+ */
 const QUANTUM_TOKENS = 1_024;
 const NEUTRAL_PRIORITY = 5;
 const HIGHEST_PRIORITY = 9;
@@ -21,17 +25,17 @@
 export interface HeldRequest {
   readonly offer: Offer;
   readonly heldAt: number;
-  /** From here on it can't be served in time any more. */
+  /** Time from which the request can no longer be served in time. */
   readonly giveUpAt: number;
 }
 
-/** The waiting requests of one workspace, one list for each priority. */
+/** Queued requests of one workspace, one list per priority. */
 class Flow {
   readonly #lists = new Map<number, Map<string, HeldRequest>>();
   readonly share: number;
   readonly limitTokens: number;
   deficit = 0;
-  /** It got this turn's quantum. */
+  /** Whether the flow has received the quantum of this round. */
   granted = false;
   tokens = 0;
 
@@ -73,7 +77,7 @@
     return tokens;
   }
 
-  /** The waiting requests in the order in which they will be served. */
+  /** Yields the queued requests in the order in which they will be served. */
   *inOrder(): Generator<HeldRequest> {
     for (let priority = HIGHEST_PRIORITY; priority >= 0; priority -= 1) {
       yield* this.#lists.get(priority)?.values() ?? [];
@@ -90,28 +94,29 @@
   return share.weight * 2 ** (steps / PRIORITY_STEPS_PER_DOUBLING);
 }
 
-/** The waiting requests of a sidecar. */
+/** Queued requests of a sidecar. */
 export class SidecarFairQueue {
   #shares: ReadonlyMap<string, WorkspaceShare> = new Map();
   readonly #held = new Map<string, HeldRequest>();
-  /** Workspaces with waiting requests; the first one has the turn. */
+  /** Workspaces with queued requests; the first one is served next. */
   #flows = new Map<string, Flow>();
   #tokens = 0;
 
-  /** @returns tokens of all waiting requests */
+  /** @returns tokens of all queued requests */
   get tokens(): number {
     return this.#tokens;
   }
 
-  /** @returns number of waiting requests */
+  /** @returns number of queued requests */
   get size(): number {
     return this.#held.size;
   }
 
   /**
-   * Takes new shares; waiting requests keep their place in their workspace.
+   * Applies new shares; queued requests keep their position within their
+   * workspace.
    *
-   * @param shares share of each named workspace
+   * @param shares share of each configured workspace
    */
   configure(shares: ReadonlyMap<string, WorkspaceShare>): void {
     this.#shares = shares;
@@ -145,8 +150,8 @@
   }
 
   /**
-   * @param attemptId a waiting attempt
-   * @returns the request, now out of the queue, or undefined
+   * @param attemptId a queued attempt
+   * @returns the request, removed from the queue; undefined when not queued
    */
   remove(attemptId: string): HeldRequest | undefined {
     const held = this.#held.get(attemptId);
@@ -154,14 +159,15 @@
     const {workspace, tokens} = held.offer;
     const flow = this.#flows.get(workspace);
     flow?.remove(held);
-    // An idle workspace keeps no credit: saved up, it would buy a burst later.
+    // An idle workspace keeps no deficit: accumulated credit would allow a
+    // burst later.
     if (flow && flow.tokens <= 0 && !flow.head()) this.#flows.delete(workspace);
     this.#held.delete(attemptId);
     this.#tokens -= tokens;
     return held;
   }
 
-  /** @returns the request whose turn it is, still in the queue */
+  /** @returns the request to serve next, still in the queue */
   peek(): HeldRequest | undefined {
     let skipped = 0;
     for (;;) {
@@ -186,7 +192,9 @@
     }
   }
 
-  /** @returns the request whose turn it is, out of the queue and charged */
+  /**
+   * @returns the request to serve next, removed and charged to its workspace
+   */
   pop(): HeldRequest | undefined {
     const head = this.peek();
     if (!head) return undefined;
@@ -196,12 +204,12 @@
   }
 
   /**
-   * Estimates the work served before a request that would come now, as if the
-   * workspaces were served side by side by their shares.
+   * Estimates the work served before a request that arrives now, as if all
+   * workspaces were served in parallel by their shares.
    *
-   * @param workspace its workspace
+   * @param workspace workspace of the request
    * @param priority its priority within the workspace
-   * @param tokens its own work
+   * @param tokens its own tokens
    * @returns tokens served first
    */
   tokensAhead(workspace: string, priority: number, tokens: number): number {
@@ -212,10 +220,11 @@
   }
 
   /**
-   * Walks the waiting requests with the work that is served before each.
+   * Visits the queued requests with the work that is served before each.
    *
    * @param visit called with a request and the tokens ahead of it; returns
-   *     false when the request is not going to be served before later ones
+   *     false when the request will not be served, so that it does not delay
+   *     later ones
    */
   forEachWithTokensAhead(
     visit: (held: HeldRequest, tokensAhead: number) => boolean,
@@ -236,13 +245,13 @@
 
   /**
    * @param workspace a workspace's name
-   * @returns tokens it has waiting
+   * @returns its queued tokens
    */
   tokensOf(workspace: string): number {
     return this.#flows.get(workspace)?.tokens ?? 0;
   }
 
-  /** @returns the waiting requests in order of arrival */
+  /** @returns the queued requests in order of arrival */
   values(): IterableIterator<HeldRequest> {
     return this.#held.values();
   }
@@ -256,7 +265,10 @@
     return tokens;
   }
 
-  /** Gives all the rounds at once in which no workspace could be served. */
+  /**
+   * Skips the rounds in which no request could be served, by adding their
+   * quanta at once.
+   */
   #skipEmptyRounds(): void {
     let rounds = Infinity;
     for (const flow of this.#flows.values()) {
--- a/packages/lovagepond-sidecar/src/sidecar_gate.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_gate.ts
@@ -1,6 +1,6 @@
 /**
- * The one gate before a backend server: offers, revokes, ends of runs and
- * present time go in; what to answer, dispatch and cancel comes out.
+ * Admission control of one backend server. Offers, revokes, ends of runs and
+ * the current time go in; answers, dispatches and cancellations come out.
  */
 import {type Random} from '@lovagepond/core';
 import {type SidecarAdmission} from './sidecar_admission.js';
@@ -36,55 +36,55 @@
   type RunEnd,
 } from './sidecar_types.js';
 
-/** Rebuild and wait count alike. */
+/** Weighs a context rebuild and a queue wait equally. */
 const NEUTRAL_REUSE_WEIGHT = 0.5;
 
-/** Decides everything that reaches one backend server. Without I/O. */
+/** Decides about every request to one backend server. Performs no I/O. */
 export class SidecarGate {
   readonly #components: GateComponents;
   #mode = INITIAL_GATE_MODE;
 
   /**
    * @param settings the sidecar's own settings
-   * @param random spreads the times at which refused callers come back
+   * @param random spreads the retry times of refused callers
    */
   constructor(settings: GateSettings, random: Random) {
     this.#components = makeGateComponents(settings, random);
   }
 
-  /** @returns the bound on the engine's work */
+  /** @returns the limit on the work at the engine */
   get admission(): SidecarAdmission {
     return this.#components.admission;
   }
 
-  /** @returns which chats are warm here */
+  /** @returns which chats' contexts are cached here */
   get cache(): SidecarCacheIndex {
     return this.#components.cache;
   }
 
-  /** @returns which chats of this first choice are warm elsewhere */
+  /** @returns where chats whose first choice this server is were served last */
   get pointers(): SidecarPointers {
     return this.#components.pointers;
   }
 
-  /** @returns true when work may be taken, but for a planned leave */
+  /** @returns true when new work is accepted, apart from draining */
   get ready(): boolean {
     return this.#mode.notReady === undefined;
   }
 
-  /** @returns true during a planned leave */
+  /** @returns true while the server is draining */
   get draining(): boolean {
     return this.#components.drain.draining;
   }
 
-  /** @returns true when nothing waits and nothing runs */
+  /** @returns true when no request is queued or running */
   get idle(): boolean {
     const {hold, runs} = this.#components;
     return hold.queue.size === 0 && runs.size === 0;
   }
 
   /**
-   * @param policy what the configuration sets
+   * @param policy settings from the configuration
    * @param revision the configuration's revision
    */
   configure(policy: GatePolicy, revision: number): void {
@@ -93,15 +93,15 @@
     this.#components.hold.queue.configure(policy.workspaces);
   }
 
-  /** @param reason why no work may be taken; undefined when it may */
+  /** @param reason why new work is refused; undefined when it is accepted */
   setNotReady(reason: string | undefined): void {
     this.#mode = {...this.#mode, notReady: reason};
   }
 
   /**
    * @param offer an attempt from a router
-   * @param now present time
-   * @returns the answer, and whatever may be dispatched now
+   * @param now current time
+   * @returns the answer, and dispatches that are possible now
    */
   offer(offer: Offer, now: number): GateAction[] {
     const {attemptId} = offer;
@@ -130,9 +130,9 @@
   }
 
   /**
-   * @param attemptId an attempt the router takes back
-   * @param now present time
-   * @returns the outcome for the router and what to do
+   * @param attemptId the attempt to revoke
+   * @param now current time
+   * @returns the outcome for the router and the actions to perform
    */
   revoke(attemptId: string, now: number): RevokeResult {
     const former = this.#components.attempts.stateOf(attemptId);
@@ -153,13 +153,13 @@
   }
 
   /**
-   * The caller went away. What waits is dropped; what runs is cancelled,
-   * unless it must not be repeated: then its outcome is worth more than its
-   * cost.
+   * Handles a caller that disconnected. A queued request is dropped and a
+   * running one is cancelled. A non-repeatable call keeps running, as its
+   * outcome is worth more than the cost of the run.
    *
    * @param attemptId the caller's attempt
-   * @param now present time
-   * @returns what to do
+   * @param now current time
+   * @returns the actions to perform
    */
   callerGone(attemptId: string, now: number): readonly GateAction[] {
     if (
@@ -174,8 +174,8 @@
 
   /**
    * @param attemptId an attempt whose claim was asked for
-   * @param now present time
-   * @returns the dispatch, unless it was taken back meanwhile
+   * @param now current time
+   * @returns the dispatch; nothing if the attempt was revoked meanwhile
    */
   claimGranted(attemptId: string, now: number): GateAction[] {
     const run = this.#components.runs.find(attemptId);
@@ -184,11 +184,11 @@
   }
 
   /**
-   * The claim was not granted: this attempt never runs.
+   * Handles a claim that was not granted: this attempt is never run.
    *
    * @param attemptId an attempt whose claim was asked for
-   * @param now present time
-   * @returns what may be dispatched in its place
+   * @param now current time
+   * @returns other requests that can be dispatched instead
    */
   claimDenied(attemptId: string, now: number): GateAction[] {
     if (!this.#components.attempts.refuse(attemptId, now)) return [];
@@ -199,8 +199,8 @@
   /**
    * @param attemptId a dispatched attempt
    * @param end how its run ended
-   * @param now present time
-   * @returns a refusal when it was not run, and what may be dispatched next
+   * @param now current time
+   * @returns a refusal if it was not run, and requests dispatched next
    */
   finish(attemptId: string, end: RunEnd, now: number): GateAction[] {
     const run = this.#components.runs.end(attemptId, now);
@@ -216,10 +216,11 @@
   }
 
   /**
-   * Drives whatever depends on time alone.
+   * Performs everything that depends on time alone.
    *
-   * @param now present time
-   * @returns refusals of what can't be served any more, and dispatches
+   * @param now current time
+   * @returns refusals of requests that can't be served in time, and
+   *     dispatches
    */
   tick(now: number): GateAction[] {
     this.#components.attempts.expire(now);
@@ -228,18 +229,20 @@
     return [...this.#refuseDue(due, now), ...this.#dispatchReady(now)];
   }
 
-  /** @returns when {@link tick} is needed next; Infinity when nothing waits */
+  /**
+   * @returns when {@link tick} is needed next; Infinity when the queue is empty
+   */
   nextTickAt(): number {
     return this.#components.hold.nextDueAt();
   }
 
   /**
-   * Another sidecar of the pool asks for a held request.
+   * Hands a held request over to another sidecar of the pool.
    *
-   * @param taker its backend server
-   * @param roomTokens what fits there
-   * @param now present time
-   * @returns at most one request, already out of the queue
+   * @param taker backend server of that sidecar
+   * @param roomTokens free capacity there, tokens
+   * @param now current time
+   * @returns at most one request, removed from the queue
    */
   handOver(taker: string, roomTokens: number, now: number): HandOver {
     const {hold, cache, attempts, pointers, settings} = this.#components;
@@ -268,8 +271,8 @@
   }
 
   /**
-   * @param now present time
-   * @returns room to offer in a take; 0 while anything waits here
+   * @param now current time
+   * @returns free tokens to offer in a take; 0 while requests are queued here
    */
   roomForTake(now: number): number {
     const closed = !this.ready || this.#components.drain.draining;
@@ -278,39 +281,39 @@
   }
 
   /**
-   * Keeps room for a request that a take will bring.
+   * Reserves capacity for a request that a take will bring.
    *
-   * @param victim backend server that is asked
-   * @param tokens the room offered; 0 gives it back
-   * @param until when it is given back by itself
+   * @param victim backend server that is asked for a request
+   * @param tokens tokens to reserve; 0 releases the reservation
+   * @param until when the reservation expires
    */
   reserve(victim: string, tokens: number, until: number): void {
     this.#components.hold.reserve(victim, tokens, until);
   }
 
   /**
-   * Starts a planned leave.
+   * Starts draining.
    *
-   * @param now present time
+   * @param now current time
    * @param limitMs longest time for requests in flight, milliseconds
-   * @returns refusals of what can't be served within the limit
+   * @returns refusals of requests that can't be served within the limit
    */
   startDraining(now: number, limitMs: number): GateAction[] {
     this.#components.drain.start(now, limitMs);
     return this.#refuseDue(this.#components.hold.review(now), now);
   }
 
-  /** Takes a planned leave back. */
+  /** Cancels draining and accepts work again. */
   resume(): void {
     this.#components.drain.resume();
   }
 
   /**
-   * The backend server does not answer. What waits for it is told at once, so
-   * that its routers go elsewhere.
+   * Refuses all held requests at once when the backend server is down, so that
+   * their routers can try another server.
    *
-   * @param now present time
-   * @returns refusals of all that waits
+   * @param now current time
+   * @returns refusals of all held requests
    */
   backendDown(now: number): GateAction[] {
     return this.#components.hold.removeAll().map(({offer}) => {
@@ -320,9 +323,10 @@
   }
 
   /**
-   * The backend server restarted: its cache is empty and its runs are gone.
+   * Resets the cache index and the engine's reported load after a restart of
+   * the backend server: its cache is empty and its runs have ended.
    *
-   * @param now present time
+   * @param now current time
    */
   backendRestarted(now: number): void {
     this.#components.cache.reset();
@@ -330,7 +334,7 @@
   }
 
   /**
-   * @param now present time
+   * @param now current time
    * @returns the load to announce
    */
   load(now: number): GateLoad {
@@ -338,7 +342,7 @@
   }
 
   /**
-   * @param now present time
+   * @param now current time
    * @returns the gate's state for an operator
    */
   dump(now: number): Readonly<Record<string, unknown>> {
--- a/packages/lovagepond-sidecar/src/sidecar_gate_components.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_gate_components.ts
@@ -1,5 +1,5 @@
 /**
- * The parts that a gate is made of, and views of them.
+ * Creates the components of a gate and derives views of them.
  */
 import {type Random} from '@lovagepond/core';
 import {SidecarAdmission} from './sidecar_admission.js';
@@ -18,7 +18,7 @@
   type GateSettings,
 } from './sidecar_types.js';
 
-/** What the gate decides with; each part has one job. */
+/** Components of a gate, each with one responsibility. */
 export interface GateComponents {
   readonly settings: GateSettings;
   readonly admission: SidecarAdmission;
@@ -31,16 +31,16 @@
   readonly runs: SidecarRuns;
 }
 
-/** What operators and the sidecar's shell set. */
+/** State of the gate that operators and the sidecar role set. */
 export interface GateMode {
   readonly policy: GatePolicy;
-  /** Configuration revision that the policy is of. */
+  /** Configuration revision of the policy. */
   readonly revision: number;
-  /** Why no work may be taken; undefined when it may. */
+  /** Why new work is refused; undefined when it is accepted. */
   readonly notReady: string | undefined;
 }
 
-/** The mode before anything was set. */
+/** Mode before the first configuration. */
 export const INITIAL_GATE_MODE: GateMode = Object.freeze({
   policy: DEFAULT_GATE_POLICY,
   revision: 0,
@@ -49,8 +49,8 @@
 
 /**
  * @param settings the sidecar's own settings
- * @param random spreads the times at which refused callers come back
- * @returns the parts of a new gate
+ * @param random spreads the retry times of refused callers
+ * @returns the components of a new gate
  */
 export function makeGateComponents(
   settings: GateSettings,
@@ -60,7 +60,8 @@
     DEFAULT_GATE_POLICY;
   const admission = new SidecarAdmission(settings, loadBound);
   const drain = new SidecarDrain();
-  // Nothing is known of the mix of prompt and answer before the first runs.
+  // The mix of prompt and answer tokens is unknown before the first run, so the
+  // initial rate is the mean of both rates.
   const rate = (prefillTokensPerSecond + decodeTokensPerSecond) / 2;
   const hold = new SidecarHold(admission, drain, rate);
   return {
@@ -77,10 +78,10 @@
 }
 
 /**
- * @param components a gate's parts
- * @param mode what is set
- * @param now present time
- * @returns what the checks of an offer look at
+ * @param components components of a gate
+ * @param mode current mode of the gate
+ * @param now current time
+ * @returns the state that the checks of an offer read
  */
 export function makeRefusalView(
   components: GateComponents,
@@ -107,8 +108,8 @@
 }
 
 /**
- * @param components a gate's parts
- * @param now present time
+ * @param components components of a gate
+ * @param now current time
  * @returns the load to announce
  */
 export function readGateLoad(
@@ -124,9 +125,9 @@
 }
 
 /**
- * @param components a gate's parts
- * @param mode what is set
- * @param now present time
+ * @param components components of a gate
+ * @param mode current mode of the gate
+ * @param now current time
  * @returns the gate's state for an operator
  */
 export function dumpGate(
--- a/packages/lovagepond-sidecar/src/sidecar_gate_refusals.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_gate_refusals.ts
@@ -1,5 +1,5 @@
 /**
- * Why the gate refuses an offer: one check for each reason, in a fixed order.
+ * Checks an offer against each reason for a refusal, in a fixed order.
  */
 import {type ErrorKind, makeFailure} from '@lovagepond/core';
 import {ATTEMPT_STATE, type AttemptState} from './sidecar_attempts.js';
@@ -17,7 +17,7 @@
 
 const NOT_READY_RETRY_MS = 1_000;
 
-/** The gate's state, as far as the checks need it. */
+/** State of the gate that the checks read. */
 export interface RefusalView {
   readonly settings: GateSettings;
   readonly policy: GatePolicy;
@@ -30,7 +30,7 @@
   runningTokensOf(workspace: string): number;
   expectedWaitMs(offer: Offer): number;
   serviceMs(tokens: number): number;
-  /** @returns when to come back, milliseconds */
+  /** @returns time until the caller should retry, milliseconds */
   retryAfterMs(offer: Offer, missingMs: number): number;
 }
 
@@ -42,8 +42,8 @@
 
 /**
  * @param attemptId the attempt
- * @param kind a kind whose disposition is "not run"
- * @param details better message, time to come back, server to try
+ * @param kind an error kind with disposition "not run"
+ * @param details message, retry time and backend server to try, if any
  * @returns the refusal
  */
 export function makeRefusal(
@@ -67,12 +67,13 @@
 }
 
 /**
- * Answers a second copy of an attempt. Only one that was answered as not run
- * may be told so again; of any other the first copy may run or have run.
+ * Answers a duplicate of an attempt. Only an attempt that was answered as not
+ * run may be refused as not run again; in any other state the first delivery
+ * may run or have run.
  *
  * @param attemptId the attempt
- * @param state where it stands, or undefined when it is new
- * @returns the answer, or undefined for a new one
+ * @param state state of the attempt; undefined when it is new
+ * @returns the answer; undefined for a new attempt
  */
 export function answerCopy(
   attemptId: string,
@@ -80,7 +81,7 @@
 ): GateAction | undefined {
   if (state === undefined) return undefined;
   if (state === ATTEMPT_STATE.NOT_RUN) return makeRefusal(attemptId, 'revoked');
-  const message = 'This attempt was sent twice; its first copy is answered.';
+  const message = 'Duplicate attempt: only the first delivery is answered.';
   const failure = makeFailure('inProgress', {message});
   return {kind: 'rejectCopy', attemptId, failure};
 }
@@ -112,9 +113,10 @@
 }
 
 /**
- * Whichever side is behind, the request is not run under a configuration that
- * operators were told is replaced. The frame carries our revision, so the
- * router knows whether to install ours or to hand us its own.
+ * Refuses a request when the router and the sidecar hold different revisions,
+ * so that none runs under a configuration that was reported to operators as
+ * replaced. The frame carries this sidecar's revision, from which the router
+ * sees whether to install the sidecar's configuration or to send its own.
  */
 function checkRevision(
   offer: Offer,
@@ -151,14 +153,16 @@
   if (chat === '' || offer.handOvers > 0 || !(first || named)) return undefined;
   const {warmth, tokens} = view.cache.read(workspace, chat);
   if (warmth === WARMTH.WARM) return undefined;
-  // A pointer is later than anything heard of the chat here, as serving it
-  // here removes the pointer. Without one, what was heard is worth the try.
+  // Serving the chat here removes its pointer, so an existing pointer is newer
+  // than an unconfirmed cache entry. Without a pointer, the chat is served here
+  // in case the entry is still valid.
   const mayBeWarm = warmth === WARMTH.UNKNOWN && tokens > 0;
   if (mayBeWarm && !first) return undefined;
   const pointedTo = view.pointers.lookUp(workspace, chat, requestId, now);
   if (mayBeWarm && pointedTo === undefined) return undefined;
-  // The chat is cold where it was at home once: rebuilt there, chats would
-  // pile up on the oldest servers.
+  // A cold first choice redirects to a warm candidate, a cold candidate to the
+  // first choice. If candidates rebuilt cold chats, these would accumulate on
+  // the oldest servers.
   const fallback = first ? warmCandidates[0] : offer.firstChoice;
   const pointer = pointedTo ?? fallback;
   if (pointer === undefined || pointer === backendServer) return undefined;
@@ -212,8 +216,8 @@
 /**
  * @param offer an attempt that was not seen before
  * @param view the gate's state
- * @param now present time
- * @returns why it is refused, or undefined
+ * @param now current time
+ * @returns the refusal; undefined when no check fails
  */
 export function findRefusal(
   offer: Offer,
--- a/packages/lovagepond-sidecar/src/sidecar_hold.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_hold.ts
@@ -1,7 +1,7 @@
 /**
- * The requests that wait in the sidecar, outside the engine: what each may
- * expect, which goes next, and which must be answered because it can't be
- * served in time any more.
+ * Requests held in the sidecar, outside the engine: their expected waits, which
+ * one is dispatched next, and which must be refused because they can no longer
+ * be served in time.
  */
 import {type SidecarAdmission} from './sidecar_admission.js';
 import {type SidecarDrain} from './sidecar_drain.js';
@@ -11,26 +11,26 @@
 import {type Offer} from './sidecar_types.js';
 import {SidecarWaitEstimate} from './sidecar_wait_estimate.js';
 
-/** Pause between two looks at all waiting requests, milliseconds. */
+/** Interval between reviews of all held requests, milliseconds. */
 const REVIEW_INTERVAL_MS = 250;
 const NOTHING_DUE: HoldReview = Object.freeze({leaving: [], late: []});
 
-/** Holds requests until the engine has room for them. */
+/** Holds requests until the engine has capacity for them. */
 export class SidecarHold {
   readonly #admission: SidecarAdmission;
   readonly #drain: SidecarDrain;
   readonly #reservations = new TakeReservations();
   #nextGiveUpAt = Infinity;
   #nextReviewAt = -Infinity;
-  /** The waiting requests. */
+  /** The held requests. */
   readonly queue = new SidecarFairQueue();
-  /** How fast the backend server works. */
+  /** Processing rate of the backend server. */
   readonly estimate: SidecarWaitEstimate;
 
   /**
-   * @param admission the bound on the engine's work
-   * @param drain whether the server is leaving
-   * @param tokensPerSecond rate of work to assume at first
+   * @param admission the limit on the work at the engine
+   * @param drain draining state of the server
+   * @param tokensPerSecond initial processing rate
    */
   constructor(
     admission: SidecarAdmission,
@@ -43,8 +43,8 @@
   }
 
   /**
-   * @param now present time
-   * @returns tokens that fit and are kept for nobody
+   * @param now current time
+   * @returns tokens that can be admitted and are not reserved
    */
   freeTokens(now: number): number {
     const room = this.#admission.roomTokens(now);
@@ -52,8 +52,8 @@
   }
 
   /**
-   * @param offer a request that would come now
-   * @param now present time
+   * @param offer a request that arrives now
+   * @param now current time
    * @returns its expected wait, milliseconds
    */
   expectedWaitMs(offer: Offer, now: number): number {
@@ -65,8 +65,8 @@
 
   /**
    * @param offer a request to hold
-   * @param maxHoldMs upper bound of its wait, milliseconds
-   * @param now present time
+   * @param maxHoldMs longest wait, milliseconds
+   * @param now current time
    */
   add(offer: Offer, maxHoldMs: number, now: number): void {
     const latest = offer.deadlineAt - this.estimate.serviceMs(offer.tokens);
@@ -77,8 +77,9 @@
   }
 
   /**
-   * @param now present time
-   * @returns the next request that the engine has room for, out of the queue
+   * @param now current time
+   * @returns the next request for which the engine has capacity, removed from
+   *     the queue
    */
   next(now: number): HeldRequest | undefined {
     const head = this.queue.peek();
@@ -87,8 +88,8 @@
   }
 
   /**
-   * @param now present time
-   * @returns requests to answer as not run, out of the queue
+   * @param now current time
+   * @returns requests to refuse as not run, removed from the queue
    */
   removeDue(now: number): HoldReview {
     if (now < this.nextDueAt()) return NOTHING_DUE;
@@ -99,10 +100,10 @@
   }
 
   /**
-   * Looks at all waiting requests at once.
+   * Reviews all held requests.
    *
-   * @param now present time
-   * @returns requests to answer as not run, out of the queue
+   * @param now current time
+   * @returns requests to refuse as not run, removed from the queue
    */
   review(now: number): HoldReview {
     this.#nextReviewAt = now + REVIEW_INTERVAL_MS;
@@ -120,25 +121,25 @@
     return review;
   }
 
-  /** @returns all waiting requests, out of the queue */
+  /** @returns all held requests, removed from the queue */
   removeAll(): HeldRequest[] {
     const all = [...this.queue.values()];
     this.#removeRequests(all);
     return all;
   }
 
-  /** @returns when {@link removeDue} is needed next; Infinity when never */
+  /** @returns when {@link removeDue} is needed next; Infinity for never */
   nextDueAt(): number {
     if (this.queue.size === 0) return Infinity;
     return Math.min(this.#nextGiveUpAt, this.#nextReviewAt);
   }
 
   /**
-   * Keeps room for a request that a take will bring.
+   * Reserves capacity for a request that a take will bring.
    *
-   * @param victim backend server that is asked
-   * @param tokens the room offered; 0 gives it back
-   * @param until when it is given back by itself
+   * @param victim backend server that is asked for a request
+   * @param tokens tokens to reserve; 0 releases the reservation
+   * @param until when the reservation expires
    */
   reserve(victim: string, tokens: number, until: number): void {
     if (tokens > 0) this.#reservations.add(victim, tokens, until);
--- a/packages/lovagepond-sidecar/src/sidecar_hold_review.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_hold_review.ts
@@ -1,36 +1,39 @@
 /**
- * Finds waiting requests that by now can't be served in time. They are
- * answered at once: kept until their time is up, they would hold a place that
- * others need, and their callers would learn the same later.
+ * Finds held requests that can no longer be served in time. They are refused at
+ * once: kept until their deadline, they would occupy places in the queue that
+ * others need, and their callers would only learn of the refusal later.
  */
 import {type SidecarDrain} from './sidecar_drain.js';
 import {type HeldRequest, type SidecarFairQueue} from './sidecar_fair_queue.js';
 import {type SidecarWaitEstimate} from './sidecar_wait_estimate.js';
 
-/** A wait estimated this much longer than the time left is given up. */
+/**
+ * Factor by which the estimated wait must exceed the time left before a request
+ * is refused.
+ */
 const GIVE_UP_MARGIN = 1.25;
 
-/** What the review looks at. */
+/** State that the review reads. */
 export interface HoldReviewView {
   readonly queue: SidecarFairQueue;
   readonly estimate: SidecarWaitEstimate;
   readonly drain: SidecarDrain;
-  /** Room at the engine now. */
+  /** Free capacity of the engine, tokens. */
   readonly roomTokens: number;
 }
 
-/** Waiting requests that should go, still in the queue. */
+/** Held requests that should be refused, still in the queue. */
 export interface HoldReview {
-  /** They don't fit before the end of the planned leave. */
+  /** They can't be served before the drain limit. */
   readonly leaving: readonly HeldRequest[];
-  /** They would be served too late. */
+  /** They can't be served before their deadline or hold limit. */
   readonly late: readonly HeldRequest[];
 }
 
 /**
- * @param view the queue and what is expected of it
- * @param now present time
- * @returns the requests to answer now
+ * @param view the queue, its estimates and the draining state
+ * @param now current time
+ * @returns the requests to refuse now
  */
 export function reviewHeld(view: HoldReviewView, now: number): HoldReview {
   const leaving: HeldRequest[] = [];
--- a/packages/lovagepond-sidecar/src/sidecar_pointers.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_pointers.ts
@@ -1,13 +1,13 @@
 /**
- * Where this sidecar's first-choice chats were served last, when that was
- * elsewhere: one extra hop brings a returning chat to its context.
+ * Where chats whose first choice is this server were served last, if elsewhere.
+ * A returning chat reaches its cached context with one extra hop.
  */
 import {chatNumber} from './sidecar_cache_index.js';
 
 interface Pointer {
   readonly backendServer: string;
   readonly expiresAt: number;
-  /** The request that was last sent along this pointer. */
+  /** The last request that was redirected by this pointer. */
   lastRequestId: string;
 }
 
@@ -17,11 +17,14 @@
   readonly pointerLifetimeMs: number;
 }
 
-/** Bounded, expiring pointers; the oldest goes first. */
+/** Bounded table of expiring pointers; the oldest is evicted first. */
 export class SidecarPointers {
   readonly #settings: PointersSettings;
   readonly #pointers = new Map<number, Pointer>();
-  /** Names are shared, so that a pointer costs no string of its own. */
+  /**
+   * Interned server names, so that pointers to the same server share one
+   * string.
+   */
   readonly #names = new Map<string, string>();
 
   constructor(settings: PointersSettings) {
@@ -36,8 +39,8 @@
   /**
    * @param workspace the chat's workspace
    * @param chat the chat's name
-   * @param backendServer where it was served
-   * @param now present time
+   * @param backendServer backend server that served the chat
+   * @param now current time
    */
   put(
     workspace: string,
@@ -60,15 +63,16 @@
   }
 
   /**
-   * Finds where a request should go. A request that comes back after it was
-   * sent along the pointer shows that nobody is there any more: sent along it
-   * again, it would bounce between two servers until its deadline.
+   * Finds where to redirect a request. If a request returns after it was
+   * redirected, the pointer's server no longer serves the chat, and the pointer
+   * is removed. Otherwise the request would bounce between two servers until
+   * its deadline.
    *
    * @param workspace the chat's workspace
    * @param chat the chat's name
    * @param requestId the request
-   * @param now present time
-   * @returns a backend server, or undefined
+   * @param now current time
+   * @returns a backend server; undefined when there is no valid pointer
    */
   lookUp(
     workspace: string,
@@ -89,7 +93,7 @@
   }
 
   /**
-   * The chat is served here again.
+   * Removes the pointer of a chat that is served here again.
    *
    * @param workspace the chat's workspace
    * @param chat the chat's name
@@ -99,7 +103,11 @@
     this.#pointers.delete(chatNumber(workspace, chat));
   }
 
-  /** @param now present time; expired pointers at the old end go */
+  /**
+   * Removes expired pointers.
+   *
+   * @param now current time
+   */
   expire(now: number): void {
     for (const [number, pointer] of this.#pointers) {
       if (pointer.expiresAt > now) return;
--- a/packages/lovagepond-sidecar/src/sidecar_retry_advice.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_retry_advice.ts
@@ -1,11 +1,11 @@
 /**
- * Tells refused callers when to come back.
+ * Computes when refused callers should retry.
  *
- * All that were refused lately of one workspace form a line that is worked off
- * at the server's rate, and each is told the time of its place in it. Told the
- * same short time, a surge would come back at once, be refused again, and
- * double itself. The lines are apart, so that a quiet workspace is not told to
- * stay away for another's surge.
+ * The recently refused requests of a workspace form a virtual queue that drains
+ * at the server's rate, and each caller receives the time of its position in
+ * it. With one short time for all, the requests of a surge would return
+ * together, be refused again, and double the surge. The queues are separate, so
+ * that a quiet workspace is not delayed by the surge of another.
  */
 import {type Random} from '@lovagepond/core';
 import {type Offer} from './sidecar_types.js';
@@ -13,21 +13,21 @@
 
 const MIN_RETRY_MS = 200;
 const MAX_RETRY_MS = 60_000;
-/** Lines above this number are looked through for those worked off. */
-const MAX_WORKSPACES = 1_024;
-/** Share of the time by which callers of one instant are spread. */
+/** Number of workspaces above which drained queues are removed. */
+const CLEANUP_THRESHOLD = 1_024;
+/** Maximum jitter as a share of the retry time. */
 const JITTER_SHARE = 0.5;
 
-/** Spreads the return of refused callers over the work that they bring. */
+/** Spreads retries over the time that the refused work takes. */
 export class SidecarRetryAdvice {
   readonly #estimate: SidecarWaitEstimate;
   readonly #random: Random;
-  /** When the work of those refused so far would be done, by workspace. */
+  /** When the refused work would be done, by workspace. */
   readonly #doneAt = new Map<string, number>();
 
   /**
-   * @param estimate how fast the server works
-   * @param random spreads callers of one instant
+   * @param estimate processing rate of the server
+   * @param random adds jitter to callers refused at the same time
    */
   constructor(estimate: SidecarWaitEstimate, random: Random) {
     this.#estimate = estimate;
@@ -36,9 +36,10 @@
 
   /**
    * @param offer the refused request
-   * @param missingMs time after which it would have been taken
-   * @param now present time
-   * @returns when to come back, milliseconds
+   * @param missingMs time by which its expected wait exceeds the limit,
+   *     milliseconds
+   * @param now current time
+   * @returns time until the caller should retry, milliseconds
    */
   retryAfterMs(offer: Offer, missingMs: number, now: number): number {
     const {workspace, tokens} = offer;
@@ -53,7 +54,7 @@
 
   #put(workspace: string, doneAt: number, now: number): void {
     this.#doneAt.set(workspace, doneAt);
-    if (this.#doneAt.size <= MAX_WORKSPACES) return;
+    if (this.#doneAt.size <= CLEANUP_THRESHOLD) return;
     for (const [name, time] of this.#doneAt) {
       if (time <= now) this.#doneAt.delete(name);
     }
--- a/packages/lovagepond-sidecar/src/sidecar_runs.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_runs.ts
@@ -1,6 +1,6 @@
 /**
- * The attempts that hold a part of the engine's work: dispatched, or waiting
- * for their claim.
+ * Attempts that count as work of the engine: dispatched, or waiting for their
+ * claim.
  */
 import {type SidecarAdmission} from './sidecar_admission.js';
 import {type Offer} from './sidecar_types.js';
@@ -12,12 +12,12 @@
   readonly startedAt: number;
 }
 
-/** Keeps the running attempts and the admission's account in step. */
+/** Tracks running attempts and updates the admission's token count. */
 export class SidecarRuns {
   readonly #admission: SidecarAdmission;
   readonly #runs = new Map<string, Run>();
 
-  /** @param admission told of each start and end */
+  /** @param admission updated at each start and end of a run */
   constructor(admission: SidecarAdmission) {
     this.#admission = admission;
   }
@@ -37,8 +37,8 @@
 
   /**
    * @param offer the attempt
-   * @param heldAt when it came
-   * @param now present time
+   * @param heldAt when it was queued
+   * @param now current time
    */
   start(offer: Offer, heldAt: number, now: number): void {
     this.#runs.set(offer.attemptId, {offer, heldAt, startedAt: now});
@@ -46,9 +46,9 @@
   }
 
   /**
-   * @param attemptId an attempt whose run is over
-   * @param now present time
-   * @returns the run, or undefined when it is not running
+   * @param attemptId an attempt whose run has ended
+   * @param now current time
+   * @returns the run; undefined when the attempt is not running
    */
   end(attemptId: string, now: number): Run | undefined {
     const run = this.#runs.get(attemptId);
@@ -61,7 +61,7 @@
 
   /**
    * @param workspace a workspace's name
-   * @returns tokens it has running
+   * @returns its running tokens
    */
   tokensOf(workspace: string): number {
     let tokens = 0;
--- a/packages/lovagepond-sidecar/src/sidecar_take.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_take.ts
@@ -1,10 +1,10 @@
 /**
- * Hold and take: a sidecar with room and an empty queue takes one held request
- * from a longer queue of its pool.
+ * Work stealing between the sidecars of a pool ("take"): a sidecar with free
+ * capacity and an empty queue takes one held request from a longer queue.
  *
- * The victim removes the request from its own queue and tells the router,
- * which alone owns the request, where to go. The taker never gets a copy, so a
- * lost answer to Take costs a reservation and nothing else.
+ * The victim removes the request from its queue and redirects the router, which
+ * owns the request, to the taker. The taker never receives a copy of the
+ * request itself, so a lost answer to Take costs only a reservation.
  */
 import {type Random} from '@lovagepond/core';
 import {type SidecarCacheIndex} from './sidecar_cache_index.js';
@@ -13,39 +13,42 @@
 import {type SidecarWaitEstimate} from './sidecar_wait_estimate.js';
 
 const MS_PER_SECOND = 1_000;
-/** Chance that a context of unknown state is still cached. */
+/** Probability that a context of unknown state is still cached. */
 const UNKNOWN_WARM_SHARE = 0.5;
-/** Hops between two sidecars that a hand-over costs, milliseconds. */
+/** Network cost of a hand-over between two sidecars, milliseconds. */
 const HAND_OVER_COST_MS = 5;
-/** A rebuild counts so many times as much, or as little, at the extremes. */
+/**
+ * Factor by which a rebuild is weighted up or down at the extremes of the reuse
+ * weight.
+ */
 const REBUILD_FACTOR_SPAN = 4;
 
-/** What a victim needs to choose a request. */
+/** State of the victim from which a request is chosen. */
 export interface HandOverView {
   readonly queue: SidecarFairQueue;
   readonly cache: SidecarCacheIndex;
   readonly estimate: SidecarWaitEstimate;
-  /** Room at the victim's own engine, tokens. */
+  /** Free capacity of the victim's own engine, tokens. */
   readonly roomTokens: number;
   readonly prefillTokensPerSecond: number;
-  /** 0 weighs only skew, 1 only cache reuse. */
+  /** 0 considers only load skew, 1 only cache reuse. */
   readonly reuseWeight: number;
 }
 
 /**
- * @param warmth what is known of a context
- * @returns cached tokens to expect
+ * @param warmth cache state of a context
+ * @returns expected number of cached tokens
  */
 export function expectedWarmTokens({warmth, tokens}: ChatWarmth): number {
   return warmth === WARMTH.UNKNOWN ? tokens * UNKNOWN_WARM_SHARE : tokens;
 }
 
 /**
- * Chooses the held request with the least warm context whose rebuild costs
- * less than the wait that it saves.
+ * Chooses the held request with the least cached context among those whose
+ * rebuild costs less than the wait that it saves.
  *
- * @param view the victim's queue and what it knows
- * @param takerRoomTokens room at the taker
+ * @param view the victim's queue, cache and estimates
+ * @param takerRoomTokens free capacity of the taker, tokens
  * @returns a request still in the queue, or undefined
  */
 export function chooseHandOver(
@@ -73,7 +76,7 @@
   return best;
 }
 
-/** One server of the pool as the load digest shows it. */
+/** Load of one server of the pool, from the load digest. */
 export interface PeerLoad {
   readonly backendServer: string;
   readonly address: string;
@@ -83,22 +86,22 @@
 
 /** Settings of {@link SidecarTaker}. */
 export interface TakerSettings {
-  /** Least time between two takes, milliseconds. */
+  /** Minimum time between two takes, milliseconds. */
   readonly takeIntervalMs: number;
-  /** Longest pause after takes that brought nothing, milliseconds. */
+  /** Maximum interval after takes that brought no request, milliseconds. */
   readonly maxTakeIntervalMs: number;
-  /** How long room is kept for a request on its way, milliseconds. */
+  /** How long capacity is reserved for a request in transit, milliseconds. */
   readonly reservationMs: number;
 }
 
-/** Settings that suit a digest of once a second. */
+/** Defaults for a load digest that is sent once a second. */
 export const DEFAULT_TAKER_SETTINGS: TakerSettings = Object.freeze({
   takeIntervalMs: 20,
   maxTakeIntervalMs: 1_000,
   reservationMs: 250,
 });
 
-/** Decides when to take and from whom. */
+/** Decides when to take a request, and from which server. */
 export class SidecarTaker {
   readonly #settings: TakerSettings;
   readonly #random: Random;
@@ -106,8 +109,9 @@
   #intervalMs: number;
 
   /**
-   * @param settings pauses and reservation
-   * @param random breaks ties, so that idle servers don't all ask one victim
+   * @param settings intervals and reservation time
+   * @param random samples two peers, so that idle servers do not all ask the
+   *     same victim
    */
   constructor(settings: TakerSettings, random: Random) {
     this.#settings = settings;
@@ -117,9 +121,9 @@
 
   /**
    * @param peers the other servers of the pool
-   * @param ownTokens own running and queued tokens
-   * @param now present time
-   * @returns whom to ask now, or undefined
+   * @param ownTokens running and queued tokens of this server
+   * @param now current time
+   * @returns the server to ask now, or undefined
    */
   chooseVictim(
     peers: readonly PeerLoad[],
@@ -136,8 +140,8 @@
   }
 
   /**
-   * @param taken requests handed over; 0 also for a lost answer
-   * @param now present time
+   * @param taken number of requests handed over; 0 also when no answer came
+   * @param now current time
    */
   noteAnswer(taken: number, now: number): void {
     const {takeIntervalMs, maxTakeIntervalMs} = this.#settings;
@@ -154,27 +158,27 @@
   readonly until: number;
 }
 
-/** Room kept for requests that were taken and are on their way here. */
+/** Capacity reserved for requests that were taken and are in transit. */
 export class TakeReservations {
   readonly #byVictim = new Map<string, Reservation>();
 
   /**
    * @param victim backend server that was asked
-   * @param tokens room it was offered
-   * @param until when the room is free again
+   * @param tokens tokens to reserve
+   * @param until when the reservation expires
    */
   add(victim: string, tokens: number, until: number): void {
     this.#byVictim.set(victim, {tokens, until});
   }
 
-  /** @param victim backend server that had nothing to hand over */
+  /** @param victim backend server that handed nothing over */
   remove(victim: string): void {
     this.#byVictim.delete(victim);
   }
 
   /**
-   * @param now present time
-   * @returns tokens kept free
+   * @param now current time
+   * @returns reserved tokens
    */
   tokens(now: number): number {
     let tokens = 0;
@@ -185,7 +189,7 @@
     return tokens;
   }
 
-  /** @param offer an arriving request; one that was taken uses up its room */
+  /** @param offer an arriving request; a taken one releases its reservation */
   use(offer: Offer): void {
     if (offer.handOvers === 0) return;
     const [victim] = this.#byVictim.keys();
--- a/packages/lovagepond-sidecar/src/sidecar_take_client.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_take_client.ts
@@ -1,5 +1,5 @@
 /**
- * Asks other sidecars for held requests while this one has room.
+ * Takes held requests from other sidecars while this one has free capacity.
  */
 import {type Clock, type Random} from '@lovagepond/core';
 import {type SidecarGate} from './sidecar_gate.js';
@@ -10,17 +10,17 @@
   type TakerSettings,
 } from './sidecar_take.js';
 
-/** What taking needs. */
+/** Dependencies of {@link SidecarTakeClient}. */
 export interface TakeClientDependencies {
   readonly gate: SidecarGate;
   readonly peers: SidecarPeers;
   readonly clock: Clock;
   readonly random: Random;
-  /** A server below this load holds nothing back. */
+  /** A server below this load has no held requests. */
   readonly floorTokens: number;
 }
 
-/** Takes one request at a time. */
+/** Takes one request at a time from other sidecars. */
 export class SidecarTakeClient {
   readonly #settings: TakerSettings;
   readonly #deps: TakeClientDependencies;
@@ -34,12 +34,16 @@
     this.#taker = new SidecarTaker(settings, deps.random);
   }
 
-  /** @returns requests taken since the start */
+  /** @returns number of requests taken since the start */
   get taken(): number {
     return this.#taken;
   }
 
-  /** @param now present time; call it at each tick */
+  /**
+   * Asks one sidecar for a request if one is due; called at each tick.
+   *
+   * @param now current time
+   */
   tick(now: number): void {
     if (this.#isRequestPending) return;
     const {gate, peers, floorTokens} = this.#deps;
--- a/packages/lovagepond-sidecar/src/sidecar_types.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_types.ts
@@ -1,5 +1,5 @@
 /**
- * What goes into the gate of a sidecar and what comes out of it.
+ * Input and output types of the sidecar's gate.
  *
  * All times are monotonic milliseconds of the sidecar's clock; all amounts of
  * work are estimated tokens.
@@ -7,93 +7,102 @@
 import {type ErrorKind, type Failure} from '@lovagepond/core';
 import {type RevokeOutcome} from './sidecar_attempts.js';
 
-/** One attempt as a router offers it. */
+/** An attempt that a router sends to this sidecar. */
 export interface Offer {
   readonly requestId: string;
   readonly attemptId: string;
-  /** The sidecar incarnation the router means. */
+  /** Incarnation of the sidecar that the router addressed. */
   readonly incarnation: string;
   readonly workspace: string;
   /** Empty for a request that belongs to no chat. */
   readonly chat: string;
-  /** Work of the whole request, prompt and answer. */
+  /** Tokens of prompt and answer together. */
   readonly tokens: number;
-  /** Order among the requests of its own workspace, 9 first. */
+  /** Priority among the requests of the same workspace; 9 is served first. */
   readonly priority: number;
-  /** When the caller's deadline passes; Infinity without one. */
+  /** Time of the caller's deadline; Infinity without one. */
   readonly deadlineAt: number;
-  /** The call must not run twice: it is claimed in the ledger first. */
+  /**
+   * The call must not run twice, so it is claimed in the ledger before its
+   * dispatch.
+   */
   readonly nonRepeatable: boolean;
-  /** Configuration revision of the router. */
+  /** The router's configuration revision. */
   readonly revision: number;
-  /** First-choice backend server; empty when it is this one. */
+  /** The chat's first-choice backend server; empty when it is this one. */
   readonly firstChoice: string;
   /**
-   * Servers where the chat may be warm if it isn't at its first choice: the
-   * router saw that one join after the chat may have begun. The first choice
-   * sends the request there; a server that finds itself named and the chat
-   * cold sends it back.
+   * Servers that may hold the chat's context. The router names them when the
+   * first choice joined after the chat may have begun. A cold first choice
+   * redirects the request to them; a named server where the chat is cold
+   * redirects it back.
    */
   readonly warmCandidates?: readonly string[];
-  /** Times this request was handed over by a take. */
+  /** How many times a take has handed this request over. */
   readonly handOvers: number;
-  /** The router's estimate of the pool's mean load; 0 when it has none. */
+  /**
+   * The router's estimate of the pool's mean load in tokens; 0 when it has
+   * none.
+   */
   readonly poolMeanTokens: number;
 }
 
-/** How sure the sidecar is of a chat's context in the engine's cache. */
+/** Whether the engine's cache holds a chat's context. */
 export const WARMTH = {
   WARM: 'warm',
   COLD: 'cold',
-  /** Events are missing, so neither may be assumed. */
+  /** Cache events are missing: the context may or may not be cached. */
   UNKNOWN: 'unknown',
 } as const;
 
 /** One of the values of {@link WARMTH}. */
 export type Warmth = (typeof WARMTH)[keyof typeof WARMTH];
 
-/** What the cache index knows of one chat. */
+/** State of one chat in the cache index. */
 export interface ChatWarmth {
   readonly warmth: Warmth;
-  /** Cached tokens as last heard; 0 when cold. */
+  /** Cached tokens as of the last event; 0 when cold. */
   readonly tokens: number;
 }
 
-/** The request waits in the sidecar's queue. */
+/** The request was accepted into the sidecar's queue. */
 export interface AcceptAction {
   readonly kind: 'accept';
   readonly attemptId: string;
   readonly expectedWaitMs: number;
 }
 
-/** The request was not run, and this attempt never will be. */
+/** The request was not run, and this attempt will never be run. */
 export interface RefuseAction {
   readonly kind: 'refuse';
   readonly attemptId: string;
   readonly failure: Failure;
-  /** Backend server to try instead; empty when none is known. */
+  /** Backend server to try instead; empty for none. */
   readonly pointer: string;
 }
 
-/** A copy of a known attempt came: it may have run, but not through this. */
+/**
+ * A duplicate of a known attempt arrived. The attempt may have run, but the
+ * duplicate did not.
+ */
 export interface RejectCopyAction {
   readonly kind: 'rejectCopy';
   readonly attemptId: string;
   readonly failure: Failure;
 }
 
-/** Claim the call in the ledger, then tell the gate the answer. */
+/** Claim the call in the ledger, then pass the result to the gate. */
 export interface ClaimAction {
   readonly kind: 'claim';
   readonly attemptId: string;
 }
 
-/** Hand the request to the backend server: from here it may have run. */
+/** Send the request to the backend server. From here on it may have run. */
 export interface DispatchAction {
   readonly kind: 'dispatch';
   readonly attemptId: string;
   readonly warmth: ChatWarmth;
-  /** How long it was held, milliseconds. */
+  /** Time spent in the queue, milliseconds. */
   readonly heldMs: number;
 }
 
@@ -109,13 +118,13 @@
   readonly attemptId: string;
 }
 
-/** Tell the chat's first choice that the chat was served here. */
+/** Send the chat's first choice a pointer to this server. */
 export interface PointAction {
   readonly kind: 'point';
   readonly attemptId: string;
 }
 
-/** What the gate wants done, in this order. */
+/** Actions of the gate, to be performed in order. */
 export type GateAction =
   | AcceptAction
   | RefuseAction
@@ -126,79 +135,79 @@
   | ReleaseClaimAction
   | PointAction;
 
-/** How a dispatched run ended. */
+/** How a run ended after its dispatch. */
 export type RunEnd =
   | {readonly kind: 'done'}
-  /** It may have run. */
+  /** The request may have run. */
   | {readonly kind: 'failed'}
-  /** No byte of it reached the backend server. */
+  /** No byte of the request reached the backend server. */
   | {
       readonly kind: 'notRun';
       readonly message: string;
-      /** A kind whose disposition is "not run"; `unreachable` by default. */
+      /** An error kind with disposition "not run"; `unreachable` by default. */
       readonly errorKind?: ErrorKind;
     };
 
-/** Answer to a revoke and what follows from it. */
+/** Outcome of a revoke and the actions that follow from it. */
 export interface RevokeResult {
   readonly outcome: RevokeOutcome;
   readonly actions: readonly GateAction[];
 }
 
-/** One hand-over to a taker. */
+/** Result of one request to hand over work. */
 export interface HandOver {
   /** At most one attempt. */
   readonly attemptIds: readonly string[];
-  /** Work of that attempt. */
+  /** Tokens of that attempt. */
   readonly tokens: number;
   readonly actions: readonly GateAction[];
 }
 
-/** Load as it is announced and as it travels with each frame. */
+/** Load as announced to control and sent with each frame. */
 export interface GateLoad {
   readonly runningTokens: number;
   readonly queuedTokens: number;
   readonly queuedRequests: number;
 }
 
-/** Share of one workspace at this sidecar. */
+/** Queueing settings of one workspace at this sidecar. */
 export interface WorkspaceShare {
   readonly weight: number;
   /** 0 to 9; 5 is neutral. */
   readonly priority: number;
-  /** Bound of its outstanding tokens here; 0 means none. */
+  /** Limit of its outstanding tokens here; 0 means none. */
   readonly maxQueuedTokens: number;
 }
 
-/** What the operators' configuration sets for the gate. */
+/** Settings of the gate that come from the operators' configuration. */
 export interface GatePolicy {
-  /** Multiple of the pool's mean that may run here. */
+  /** Multiple of the pool's mean load that may run here. */
   readonly loadBound: number;
-  /** 0 weighs only skew, 1 only cache reuse; 0.5 when it isn't set. */
+  /** 0 considers only load skew, 1 only cache reuse; 0.5 when unset. */
   readonly reuseWeight?: number;
   readonly maxHoldMs: number;
-  /** Prompt tokens a second the server rebuilds of a cold context. */
+  /** Prompt tokens per second at which the server rebuilds a cold context. */
   readonly prefillTokensPerSecond: number;
-  /** Answer tokens a second over all streams. */
+  /** Answer tokens per second over all streams. */
   readonly decodeTokensPerSecond: number;
   readonly workspaces: ReadonlyMap<string, WorkspaceShare>;
 }
 
-/** What the sidecar's own settings fix for the gate. */
+/** Settings of the gate that come from the sidecar's own settings. */
 export interface GateSettings {
   readonly backendServer: string;
   readonly incarnation: string;
-  /** Tokens that may run here whatever the pool's mean is. */
+  /** Tokens that may always run here, however low the pool's mean is. */
   readonly floorTokens: number;
-  /** Tokens the backend server can hold by itself. */
+  /** Tokens that the backend server can hold on its own. */
   readonly capacityTokens: number;
-  /** Pool means up to this age are believed whole, milliseconds. */
+  /** Pool means up to this age count in full, milliseconds. */
   readonly meanFreshMs: number;
-  /** Pool means of this age are not believed at all, milliseconds. */
+  /** Pool means of this age or older are ignored, milliseconds. */
   readonly meanTrustMs: number;
-  /** How long a refused attempt is remembered, milliseconds. */
+  /** Retention of a refused attempt's record, milliseconds. */
   readonly refusalRetentionMs: number;
-  /** How long the end of a run is remembered, milliseconds. */
+  /** Retention of a finished attempt's record, milliseconds. */
   readonly attemptRetentionMs: number;
   readonly maxAttempts: number;
   readonly maxQueuedRequests: number;
@@ -207,7 +216,7 @@
   readonly pointerLifetimeMs: number;
 }
 
-/** Settings that suit a model engine of today's size. */
+/** Defaults for a model engine. */
 export const DEFAULT_GATE_SETTINGS: Omit<
   GateSettings,
   'backendServer' | 'incarnation'
@@ -225,7 +234,7 @@
   pointerLifetimeMs: 3_600_000,
 });
 
-/** The policy of a sidecar whose pool the configuration doesn't name. */
+/** Policy of a sidecar whose pool the configuration does not name. */
 export const DEFAULT_GATE_POLICY: GatePolicy = Object.freeze({
   loadBound: 1.5,
   maxHoldMs: 8_000,
@@ -234,7 +243,7 @@
   workspaces: new Map(),
 });
 
-/** Share of a workspace that the configuration doesn't name. */
+/** Share of a workspace that the configuration does not name. */
 export const DEFAULT_WORKSPACE_SHARE: WorkspaceShare = Object.freeze({
   weight: 1,
   priority: 5,
--- a/packages/lovagepond-sidecar/src/sidecar_wait_estimate.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_wait_estimate.ts
@@ -1,35 +1,35 @@
 /**
- * How fast this backend server works, learnt from what it finished, and the
- * waits that follow from it.
+ * Estimates the backend server's processing rate from finished work, and the
+ * expected waits that follow from it.
  */
 
 const WINDOW_MS = 500;
 const SMOOTHING_FACTOR = 0.3;
 const MS_PER_SECOND = 1_000;
 
-/** Learns the rate of work; gives expected times. */
+/** Estimates the processing rate, waits and run times. */
 export class SidecarWaitEstimate {
   #tokensPerMs: number;
   #serviceMsPerToken = 0;
   #windowStart: number | undefined;
   #windowTokens = 0;
 
-  /** @param tokensPerSecond rate to assume before anything was measured */
+  /** @param tokensPerSecond initial rate, before the first measurement */
   constructor(tokensPerSecond: number) {
     this.#tokensPerMs = tokensPerSecond / MS_PER_SECOND;
   }
 
-  /** @returns tokens a second finished while requests were waiting */
+  /** @returns tokens finished per second while requests were queued */
   get tokensPerSecond(): number {
     return this.#tokensPerMs * MS_PER_SECOND;
   }
 
   /**
-   * Only a time in which requests wait tells what the server can do: an idle
-   * server finishes little because it is given little.
+   * Starts or stops the measurement. The rate is measured only while requests
+   * are queued, as an idle server finishes little because it receives little.
    *
-   * @param waiting true while requests wait
-   * @param now present time
+   * @param waiting true while requests are queued
+   * @param now current time
    */
   noteQueue(waiting: boolean, now: number): void {
     if (!waiting) {
@@ -40,9 +40,9 @@
   }
 
   /**
-   * @param tokens work of a request that ran to its end
-   * @param serviceMs how long it ran
-   * @param now present time
+   * @param tokens tokens of a request that ran to its end
+   * @param serviceMs its run time, milliseconds
+   * @param now current time
    */
   noteFinish(tokens: number, serviceMs: number, now: number): void {
     if (tokens <= 0) return;
@@ -61,16 +61,16 @@
   }
 
   /**
-   * @param tokens work to be finished first
-   * @returns milliseconds until it is
+   * @param tokens tokens to process first
+   * @returns expected time to process them, milliseconds
    */
   waitMs(tokens: number): number {
     return tokens <= 0 ? 0 : tokens / this.#tokensPerMs;
   }
 
   /**
-   * @param tokens a request's work
-   * @returns milliseconds from its dispatch to its end; 0 before any was seen
+   * @param tokens tokens of a request
+   * @returns expected run time, milliseconds; 0 before the first finished run
    */
   serviceMs(tokens: number): number {
     return tokens * this.#serviceMsPerToken;
