--- a/packages/lovagepond-sidecar/src/sidecar_answer_buffer.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_answer_buffer.ts
@@ -1,26 +1,26 @@
 /**
- * The part of one answer that a router may still ask for again.
+ * Buffer of the part of an answer from which a router may still resume.
  */
 
-/** A piece of the answer at its place. */
+/** Bytes of the answer at their offset. */
 export interface AnswerPiece {
   readonly offset: number;
   readonly bytes: Uint8Array;
 }
 
-/** Keeps the end of an answer, up to a limit. Pieces follow without a hole. */
+/** Keeps the last bytes of an answer, up to a limit. Pieces are contiguous. */
 export class AnswerBuffer {
   readonly #maxBytes: number;
   readonly #pieces: AnswerPiece[] = [];
   #base = 0;
   #end = 0;
 
-  /** @param maxBytes bytes kept at most, beside those not yet sent */
+  /** @param maxBytes maximum number of kept bytes, apart from unsent ones */
   constructor(maxBytes: number) {
     this.#maxBytes = maxBytes;
   }
 
-  /** @returns offset behind the last byte */
+  /** @returns offset after the last byte */
   get end(): number {
     return this.#end;
   }
@@ -32,8 +32,8 @@
 
   /**
    * @param piece the next piece from the backend server
-   * @returns false when it doesn't follow: bytes are missing, doubled or
-   *     another answer's, and the answer must not be passed on
+   * @returns false when it is not contiguous: bytes are missing, duplicated or
+   *     from another answer, and the answer must not be forwarded
    */
   append(piece: AnswerPiece): boolean {
     if (piece.offset !== this.#end) return false;
@@ -44,8 +44,8 @@
   }
 
   /**
-   * @param offset where to go on; at least {@link base}
-   * @returns the next piece from there, or undefined at the end
+   * @param offset offset to read from; at least {@link base}
+   * @returns the piece at the offset; undefined at the end
    */
   read(offset: number): AnswerPiece | undefined {
     const piece = this.#pieces[this.#indexAt(offset)];
@@ -53,16 +53,16 @@
     return {offset, bytes: piece.bytes.subarray(offset - piece.offset)};
   }
 
-  /** @returns all bytes, or undefined when the first ones were dropped */
+  /** @returns all bytes; undefined when the first ones were dropped */
   whole(): Uint8Array | undefined {
     if (this.#base > 0) return undefined;
     return Buffer.concat(this.#pieces.map(piece => piece.bytes));
   }
 
   /**
-   * Drops the oldest pieces above the limit, but none that was not sent.
+   * Drops the oldest pieces above the limit, but no unsent ones.
    *
-   * @param sentEnd offset behind the last byte sent
+   * @param sentEnd offset after the last sent byte
    */
   trim(sentEnd: number): void {
     for (;;) {
@@ -75,7 +75,7 @@
     }
   }
 
-  /** Index of the first piece that ends behind the offset. */
+  /** Returns the index of the first piece that ends after the offset. */
   #indexAt(offset: number): number {
     let low = 0;
     let high = this.#pieces.length;
--- a/packages/lovagepond-sidecar/src/sidecar_backend.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_backend.ts
@@ -1,6 +1,6 @@
 /**
- * The backend server as the sidecar's shell uses it: model engines and plain
- * services run a request the same way.
+ * Common interface to model engines and plain services: both run a request in
+ * the same way.
  */
 import {
   type EngineEvent,
@@ -18,9 +18,9 @@
 /** One run of an attempt. */
 export interface BackendRun {
   readonly request: lovagepond.v1.AttemptRequest;
-  /** Monotonic milliseconds. */
+  /** Deadline of the caller, monotonic milliseconds. */
   readonly deadline: number;
-  /** Bytes of the answer that the engine must not generate again. */
+  /** Number of answer bytes that the engine must not generate again. */
   readonly resumeFrom: number;
   readonly signal: AbortSignal;
 }
@@ -29,8 +29,9 @@
 const decoder = new TextDecoder();
 
 /**
- * The field counts at the top alone, as in the caller's front. Taken from some
- * inner object, a caller that wants one piece would get the text of a stream.
+ * Checks the top-level `stream` field, as the caller-facing server does. If
+ * nested fields counted, a caller that expects a single response would get the
+ * raw text of an event stream.
  */
 function requestsStream(body: Uint8Array): boolean {
   const text = decoder.decode(body);
@@ -109,9 +110,9 @@
 
 /**
  * @param backend a connected backend server
- * @param run what to run
- * @param now present time
- * @returns the events of a model engine's run, whatever the backend server is
+ * @param run the attempt and its parameters
+ * @param now current time
+ * @returns the run's events, in the form of a model engine's for both kinds
  */
 export function runAtBackend(
   backend: Backend,
--- a/packages/lovagepond-sidecar/src/sidecar_claimed_calls.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_claimed_calls.ts
@@ -1,5 +1,5 @@
 /**
- * Sends the claims and records that {@link SidecarClaims} decides.
+ * Sends the claims and records that {@link SidecarClaims} decides on.
  */
 import {type Clock, type Failure} from '@lovagepond/core';
 import {type lovagepond} from '@lovagepond/protocol';
@@ -13,14 +13,14 @@
 
 type AttemptRequest = lovagepond.v1.AttemptRequest;
 
-/** An answer as the ledger keeps it. */
+/** An answer as recorded in the ledger. */
 export interface RecordedAnswer {
   readonly status: number;
   readonly contentType: string;
   readonly answer: Uint8Array;
 }
 
-/** The calls to control's ledger. */
+/** Calls to control's ledger. */
 export interface LedgerCalls {
   claim(
     request: lovagepond.v1.ClaimRequest.$Properties,
@@ -28,14 +28,14 @@
   record(request: lovagepond.v1.RecordRequest.$Properties): Promise<boolean>;
 }
 
-/** Hears how claims end. */
+/** Receives the outcome of claims. */
 export interface ClaimListener {
   onGranted(attemptId: string): void;
   onReplay(attemptId: string, answer: ClaimAnswer): void;
   onDenied(attemptId: string, failure: Failure): void;
 }
 
-/** Who claims. */
+/** Identity of the sidecar that claims. */
 export interface Claimant {
   readonly backendServer: string;
   readonly incarnation: string;
@@ -69,10 +69,10 @@
 
   /**
    * @param settings time limits
-   * @param claimant this sidecar
+   * @param claimant identity of this sidecar
    * @param ledger the calls to control
-   * @param clock present time
-   * @param listener hears how claims end
+   * @param clock the monotonic clock
+   * @param listener receives the outcome of claims
    */
   constructor(
     settings: ClaimsSettings,
@@ -95,7 +95,9 @@
     };
   }
 
-  /** @returns calls between their claim and the end of their record */
+  /**
+   * @returns number of calls between their claim and the end of their record
+   */
   get size(): number {
     return this.#claims.size;
   }
@@ -107,15 +109,15 @@
     this.#perform(this.#claims.start(attemptId, this.#clock.now()));
   }
 
-  /** @param attemptId an attempt taken back before its dispatch */
+  /** @param attemptId an attempt revoked before its dispatch */
   release(attemptId: string): void {
     this.#perform(this.#claims.release(attemptId, this.#clock.now()));
   }
 
   /**
-   * @param attemptId a granted attempt whose run is over
-   * @param outcome what is known of it
-   * @param answer its answer, when it ran
+   * @param attemptId a granted attempt whose run has ended
+   * @param outcome known outcome of the run
+   * @param answer its answer if it ran
    */
   finish(
     attemptId: string,
@@ -129,7 +131,7 @@
     this.#perform(this.#claims.finished(attemptId, outcome, now));
   }
 
-  /** @param now present time */
+  /** @param now current time */
   tick(now: number): void {
     this.#perform(this.#claims.tick(now));
     for (const attemptId of this.#calls.keys()) {
--- a/packages/lovagepond-sidecar/src/sidecar_claims.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_claims.ts
@@ -1,15 +1,17 @@
 /**
- * Calls that may not be repeated: a claim in the ledger before the dispatch,
- * a record of the outcome after it.
+ * At-most-once execution of non-repeatable calls: a claim in the ledger before
+ * the dispatch, a record of the outcome after it.
  *
- * Only `granted` lets a call be dispatched. A claim whose answer is lost may
- * stand in the ledger all the same, so it is asked again under the same
- * attempt, which the ledger grants again; given up, the call is refused as not
- * run and the ledger is told, or every repeat would wait for nobody.
+ * A call is dispatched only after the answer `granted`. If the answer to a
+ * claim is lost, the claim may still stand in the ledger. It is therefore sent
+ * again for the same attempt, to which the ledger grants it again. When the
+ * claim times out, the call is refused as not run and the release is recorded
+ * in the ledger; an unreleased claim would block every later repeat of the
+ * call.
  */
 import {type ErrorKind, makeFailure, type Failure} from '@lovagepond/core';
 
-/** What the ledger answered to a claim. */
+/** Answer of the ledger to a claim. */
 export interface ClaimAnswer {
   /** `granted`, `recorded`, or the name of a refusal. */
   readonly outcome: string;
@@ -21,18 +23,18 @@
 /** Outcome of a call as the ledger records it. */
 export type RecordedOutcome = 'ran' | 'notRun' | 'unknown';
 
-/** What to do for a claimed call. */
+/** Action for a claimed call. */
 export type ClaimAction =
   | {readonly kind: 'sendClaim'; readonly attemptId: string}
-  /** Tell the gate: the call may be dispatched. */
+  /** Notify the gate that the call may be dispatched. */
   | {readonly kind: 'granted'; readonly attemptId: string}
-  /** Answer with what an earlier call with this key was answered. */
+  /** Send the recorded answer of an earlier call with the same key. */
   | {
       readonly kind: 'replay';
       readonly attemptId: string;
       readonly answer: ClaimAnswer;
     }
-  /** Answer with the failure; the call is not dispatched by this attempt. */
+  /** Fail the call; this attempt does not dispatch it. */
   | {
       readonly kind: 'denied';
       readonly attemptId: string;
@@ -46,16 +48,16 @@
 
 /** Settings of {@link SidecarClaims}. */
 export interface ClaimsSettings {
-  /** Time for the whole of a claim, its repeats included, milliseconds. */
+  /** Time limit of a claim including its retries, milliseconds. */
   readonly claimTimeoutMs: number;
-  /** How long a record is sent again, milliseconds. */
+  /** Time limit for retries of a record, milliseconds. */
   readonly recordTimeoutMs: number;
-  /** Pause before a claim or record is sent again, milliseconds. */
+  /** Delay before a claim or record is sent again, milliseconds. */
   readonly retryMs: number;
 }
 
 const CLAIM_STATE = {
-  PENDING: 'asked',
+  PENDING: 'pending',
   GRANTED: 'granted',
   RECORDING: 'recording',
 } as const;
@@ -63,14 +65,15 @@
 interface Claim {
   state: (typeof CLAIM_STATE)[keyof typeof CLAIM_STATE];
   giveUpAt: number;
-  /** When to send again; Infinity while an answer is awaited. */
+  /** When to send again; Infinity while an answer is pending. */
   sendAt: number;
   outcome: RecordedOutcome;
 }
 
 /**
- * Answers of the ledger that deny a claim, and what the caller is told. Any
- * other answer leaves open whether the claim stands: it is asked again.
+ * Answers of the ledger that deny a claim, with the error kind for the caller.
+ * After any other answer, the claim may stand in the ledger, so it is sent
+ * again.
  */
 const DENIALS: Readonly<Record<string, ErrorKind>> = {
   inProgress: 'inProgress',
@@ -82,7 +85,7 @@
   wrongIncarnation: 'wrongIncarnation',
 };
 
-/** Follows each call from its claim to its record. Without I/O. */
+/** Tracks each call from its claim to its record. Performs no I/O. */
 export class SidecarClaims {
   readonly #settings: ClaimsSettings;
   readonly #claims = new Map<string, Claim>();
@@ -91,7 +94,9 @@
     this.#settings = settings;
   }
 
-  /** @returns calls between their claim and the end of their record */
+  /**
+   * @returns number of calls between their claim and the end of their record
+   */
   get size(): number {
     return this.#claims.size;
   }
@@ -105,8 +110,8 @@
   }
 
   /**
-   * @param attemptId an attempt that the gate wants claimed
-   * @param now present time
+   * @param attemptId an attempt for which the gate needs a claim
+   * @param now current time
    * @returns the claim to send
    */
   start(attemptId: string, now: number): ClaimAction[] {
@@ -121,10 +126,10 @@
 
   /**
    * @param attemptId a claimed attempt
-   * @param answer what the ledger said; undefined when no answer came or the
-   *     member asked could not give one
-   * @param now present time
-   * @returns what follows
+   * @param answer the ledger's answer; undefined when none came or the control
+   *     member could not give one
+   * @param now current time
+   * @returns the actions that follow
    */
   answered(
     attemptId: string,
@@ -132,7 +137,8 @@
     now: number,
   ): ClaimAction[] {
     const claim = this.#claims.get(attemptId);
-    // Released meanwhile: the record "not run" is on its way already.
+    // The attempt was released meanwhile and its "not run" record is already
+    // being sent.
     if (claim?.state !== CLAIM_STATE.PENDING) return [];
     if (answer?.outcome === 'granted') {
       claim.state = CLAIM_STATE.GRANTED;
@@ -152,10 +158,10 @@
   }
 
   /**
-   * The attempt was taken back before its dispatch.
+   * Releases a claim whose attempt was revoked before its dispatch.
    *
    * @param attemptId a claimed attempt
-   * @param now present time
+   * @param now current time
    * @returns the record to send
    */
   release(attemptId: string, now: number): ClaimAction[] {
@@ -163,9 +169,9 @@
   }
 
   /**
-   * @param attemptId a granted attempt whose run is over
-   * @param outcome what is known of it
-   * @param now present time
+   * @param attemptId a granted attempt whose run has ended
+   * @param outcome known outcome of the run
+   * @param now current time
    * @returns the record to send
    */
   finished(
@@ -178,8 +184,8 @@
 
   /**
    * @param attemptId an attempt whose record was sent
-   * @param recorded whether the ledger confirmed it
-   * @param now present time
+   * @param recorded true if the ledger confirmed the record
+   * @param now current time
    */
   recordAnswered(attemptId: string, recorded: boolean, now: number): void {
     const claim = this.#claims.get(attemptId);
@@ -189,8 +195,8 @@
   }
 
   /**
-   * @param now present time
-   * @returns what is to be sent again, and claims that are given up
+   * @param now current time
+   * @returns messages to send again, and denials of claims that timed out
    */
   tick(now: number): ClaimAction[] {
     const actions: ClaimAction[] = [];
@@ -207,8 +213,8 @@
   }
 
   /**
-   * No member confirmed the claim in time. It may stand in the ledger, so the
-   * ledger is told that this attempt never runs.
+   * Ends a claim or record that timed out. The claim may stand in the ledger,
+   * so a "not run" record for this attempt is sent.
    */
   #giveUp(attemptId: string, claim: Claim, now: number): ClaimAction[] {
     if (claim.state === CLAIM_STATE.RECORDING) {
--- a/packages/lovagepond-sidecar/src/sidecar_client_pool.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_client_pool.ts
@@ -1,5 +1,5 @@
 /**
- * Unary calls to other processes of the system, each with a time limit.
+ * Unary gRPC calls to other processes, each with a timeout.
  */
 import {
   type ChannelOptions,
@@ -9,13 +9,14 @@
   type MethodDefinition,
 } from '@grpc/grpc-js';
 
-/** Largest message between processes, bytes. */
+/** Maximum message size between processes, bytes. */
 export const MAX_MESSAGE_BYTES = 64 * 1024 * 1024;
 
 const CHANNEL_OPTIONS: ChannelOptions = {
-  // Shared subchannels would make a "fresh" connection the silent one again.
+  // With shared subchannels, a new client would reuse a connection that no
+  // longer responds.
   'grpc.use_local_subchannel_pool': 1,
-  // The library must not resend what may have arrived.
+  // The library must not retry calls that may have arrived.
   'grpc.enable_retries': 0,
   'grpc.max_receive_message_length': MAX_MESSAGE_BYTES,
   'grpc.max_send_message_length': MAX_MESSAGE_BYTES,
@@ -26,7 +27,7 @@
 
 /**
  * @param address `host:port`
- * @returns a client on a connection of its own
+ * @returns a client with its own connection
  */
 export function connect(address: string): Client {
   return new Client(address, credentials.createInsecure(), CHANNEL_OPTIONS);
@@ -36,8 +37,8 @@
  * @param client a client
  * @param method the method to call
  * @param request its request
- * @param timeoutMs time for the answer
- * @returns the answer, or undefined when none came
+ * @param timeoutMs time limit, milliseconds
+ * @returns the answer; undefined after an error or timeout
  */
 export function callOnce<Req, Res>(
   client: Client,
@@ -60,12 +61,15 @@
   });
 }
 
-/** Clients by address. One that doesn't answer is replaced. */
+/**
+ * Connection pool: one client per address. A client whose call fails is
+ * replaced.
+ */
 export class ClientPool {
   readonly #timeoutMs: number;
   readonly #clients = new Map<string, Client>();
 
-  /** @param timeoutMs time for an answer */
+  /** @param timeoutMs time limit of each call, milliseconds */
   constructor(timeoutMs: number) {
     this.#timeoutMs = timeoutMs;
   }
@@ -74,7 +78,7 @@
    * @param address `host:port`
    * @param method the method to call
    * @param request its request
-   * @returns the answer, or undefined when none came
+   * @returns the answer; undefined after an error or timeout
    */
   async call<Req, Res>(
     address: string,
@@ -84,12 +88,12 @@
     const client = this.#clients.get(address) ?? connect(address);
     this.#clients.set(address, client);
     const answer = await callOnce(client, method, request, this.#timeoutMs);
-    // A connection can be silent for good while new ones work.
+    // A connection can stay unresponsive while new ones work.
     if (answer === undefined) this.#closeClient(address, client);
     return answer;
   }
 
-  /** @param addresses those still in use; connections to others are closed */
+  /** @param addresses addresses in use; connections to others are closed */
   keepOnly(addresses: ReadonlySet<string>): void {
     for (const [address, client] of this.#clients) {
       if (!addresses.has(address)) this.#closeClient(address, client);
--- a/packages/lovagepond-sidecar/src/sidecar_dispatcher.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_dispatcher.ts
@@ -1,5 +1,6 @@
 /**
- * Does what the gate decides: answers routers, claims, runs and cancels.
+ * Performs the actions of the gate: answers routers, claims calls, and starts
+ * and cancels runs.
  */
 import {
   answerFor,
@@ -32,11 +33,14 @@
 const RECORD_TIMEOUT_MS = 600_000;
 const LEDGER_RETRY_MS = 100;
 
-/** Time in which a backend server that broke a run off shows that it ended, ms. */
+/**
+ * Time limit of the check whether a backend server crashed during a run,
+ * milliseconds.
+ */
 const CRASH_CHECK_TIMEOUT_MS = 300;
 const NO_BYTES = new Uint8Array();
 
-/** What the dispatcher needs besides its settings. */
+/** Dependencies of the dispatcher. */
 export interface DispatcherDependencies {
   readonly gate: SidecarGate;
   readonly backend: Backend;
@@ -44,17 +48,20 @@
   readonly log: Logger;
   readonly ledger: LedgerCalls;
   readonly incarnation: string;
-  /** @returns our configuration when the revision given is older, else none */
+  /**
+   * @returns the configuration in force if newer than the given revision, else
+   *     no bytes
+   */
   newerConfiguration(revision: number): Uint8Array;
-  /** Tells a chat's first choice that the chat was served here. */
+  /** Sends a chat's first choice a pointer to this server. */
   point(request: AttemptRequest): void;
-  /** The backend server could not be reached. */
+  /** Reports that the backend server could not be reached. */
   noteUnreachable(): void;
-  /** Life of the backend server that runs now. */
+  /** @returns number of the current instance of the backend server */
   readonly backendInstance: () => number;
-  /** @returns true when that life of the backend server has ended */
+  /** @returns true when that instance has ended */
   readonly hasEnded: (instance: number) => Promise<boolean>;
-  /** A chat's run is over; its context is cached. */
+  /** Reports that a chat was served, so that its context is cached. */
   noteServed(request: AttemptRequest): void;
 }
 
@@ -66,7 +73,7 @@
   ) => void;
 };
 
-/** Counts since the start. */
+/** Counters since the start. */
 export interface DispatcherCounters {
   readonly answered: number;
   readonly failedByKind: Readonly<Record<string, number>>;
@@ -106,7 +113,7 @@
   counts.set(name, (counts.get(name) ?? 0) + 1);
 }
 
-/** The attempts at one sidecar, with their streams and runs. */
+/** Attempts at one sidecar, with their streams and runs. */
 export class SidecarDispatcher {
   readonly #settings: SidecarSettings;
   readonly #deps: DispatcherDependencies;
@@ -134,7 +141,7 @@
 
   /**
    * @param settings the sidecar's settings
-   * @param deps the gate and what it decides about
+   * @param deps the gate, its backend server and callbacks
    */
   constructor(settings: SidecarSettings, deps: DispatcherDependencies) {
     this.#settings = settings;
@@ -159,7 +166,7 @@
     );
   }
 
-  /** @returns counts since the start */
+  /** @returns counters since the start */
   get counters(): DispatcherCounters {
     return {
       answered: this.#answered,
@@ -170,10 +177,11 @@
   }
 
   /**
-   * A run can be over while its answer still waits for a slow reader: stopped
-   * then, the process would cut a request in flight.
+   * Whether the process may stop. A run can have ended while its answer is
+   * still being sent to a slow reader, which stopping the process would
+   * interrupt.
    *
-   * @returns true when nothing runs, waits, is recorded or is still sent
+   * @returns true when nothing is queued, running, being recorded or being sent
    */
   get idle(): boolean {
     if (!this.#gate.idle || this.#calls.size > 0) return false;
@@ -181,12 +189,14 @@
   }
 
   /**
-   * Takes an attempt in. The same attempt over another stream goes on with
-   * the answer: the router lost its first stream, and nothing runs twice.
+   * Accepts an attempt. If the same attempt arrives over another stream because
+   * the router lost its first one, the answer is resumed on the new stream and
+   * nothing runs twice.
    *
    * @param request the attempt
-   * @param stream where to answer
-   * @returns the attempt's session; undefined when there is none to keep
+   * @param stream stream for the answer
+   * @returns the attempt's session; undefined when the attempt was refused
+   *     without one
    */
   offer(
     request: AttemptRequest,
@@ -216,7 +226,7 @@
 
   /**
    * @param session an attempt
-   * @param stream its stream that is gone
+   * @param stream its stream that was closed
    */
   streamClosed(session: SidecarSession, stream: FrameStream): void {
     const now = this.#deps.clock.now();
@@ -224,13 +234,13 @@
     if (session.detachedAt === undefined) return;
     if (session.closedAt !== undefined) return;
     const {attemptId} = session.request;
-    // What runs may be asked for again over another stream.
+    // A running attempt may be resumed over another stream.
     if (this.#aborts.has(attemptId)) return;
     this.perform(this.#gate.callerGone(attemptId, now));
   }
 
   /**
-   * @param attemptId an attempt the router takes back
+   * @param attemptId the attempt to revoke
    * @returns the outcome
    */
   revoke(attemptId: string): string {
@@ -240,7 +250,7 @@
     return outcome;
   }
 
-  /** @param actions what the gate decided */
+  /** @param actions actions of the gate */
   perform(actions: readonly GateAction[]): void {
     const now = this.#deps.clock.now();
     for (const action of actions) {
@@ -249,7 +259,7 @@
     }
   }
 
-  /** @param now present time */
+  /** @param now current time */
   tick(now: number): void {
     this.perform(this.#gate.tick(now));
     this.#calls.tick(now);
@@ -259,12 +269,12 @@
     }
   }
 
-  /** Cuts what still runs. */
+  /** Aborts all runs. */
   stop(): void {
     for (const abort of this.#aborts.values()) abort.abort();
   }
 
-  /** Refusals that concern no session: nothing of them is remembered. */
+  /** Checks for refusals that need no session and leave no record. */
   #findInvalid({incarnation, body}: AttemptRequest): ErrorKind | undefined {
     if (incarnation !== this.#deps.incarnation) return 'wrongIncarnation';
     const tooLarge = body.length > this.#settings.maxBodyBytes;
@@ -311,7 +321,10 @@
     this.#onRunEnd(session, outcome, crashedLife);
   }
 
-  /** The caller of a run that broke off doesn't wait long for what it was. */
+  /**
+   * Checks whether the backend instance has ended, for a limited time, so that
+   * the caller of an interrupted run is not kept waiting.
+   */
   #hasEnded(instance: number): Promise<boolean> {
     const limit = new Promise<boolean>(resolve => {
       setTimeout(() => {
@@ -348,7 +361,10 @@
     this.perform(this.#gate.finish(request.attemptId, end, now));
   }
 
-  /** An answer too large to keep can't be told again: its outcome is unknown. */
+  /**
+   * Records the outcome of a non-repeatable call. An answer too large to keep
+   * can't be replayed, so its outcome is recorded as unknown.
+   */
   #record(session: SidecarSession, outcome: RunOutcome): void {
     const {attemptId} = session.request;
     const answer = session.wholeAnswer();
--- a/packages/lovagepond-sidecar/src/sidecar_frames.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_frames.ts
@@ -1,5 +1,5 @@
 /**
- * Makes the frames of an attempt's answer.
+ * Creates the frames of an attempt's answer.
  */
 import {type Failure} from '@lovagepond/core';
 import {lovagepond} from '@lovagepond/protocol';
@@ -7,7 +7,7 @@
 
 const {v1} = lovagepond;
 
-/** A frame's kind and content, without what every frame carries. */
+/** Kind and content of a frame, without the fields that every frame carries. */
 export type FrameBody = Pick<
   lovagepond.v1.AttemptFrame.$Properties,
   'accepted' | 'started' | 'refused' | 'chunk' | 'heartbeat' | 'end' | 'failed'
@@ -19,13 +19,13 @@
   readonly contentType: string;
 }
 
-/** The frame that says nothing but that the attempt lives. */
+/** Frame that only reports that the attempt is still in progress. */
 export const HEARTBEAT_FRAME: FrameBody = Object.freeze({
   heartbeat: new v1.Heartbeat(),
 });
 
 /**
- * @param expectedWaitMs expected wait in the queue
+ * @param expectedWaitMs expected wait in the queue, milliseconds
  * @returns the frame
  */
 export function makeAccepted(expectedWaitMs: number): FrameBody {
@@ -35,8 +35,8 @@
 }
 
 /**
- * @param warm a part of the context was cached
- * @param cachedTokens how much
+ * @param warm true if part of the context was cached
+ * @param cachedTokens number of cached tokens
  * @returns the frame
  */
 export function makeStarted(warm: boolean, cachedTokens: number): FrameBody {
@@ -46,9 +46,10 @@
 }
 
 /**
- * @param failure why it is not run
- * @param pointer backend server to try; empty for none
- * @param configuration ours, when the router's is older
+ * @param failure reason for the refusal
+ * @param pointer backend server to try instead; empty for none
+ * @param configuration this sidecar's configuration if the router's is older,
+ *     else empty
  * @returns the frame
  */
 export function makeRefused(
@@ -71,8 +72,7 @@
 
 /**
  * @param failure why the dispatched attempt failed
- * @param crashedLife life of the backend server that ended meanwhile; empty when
- *     it goes on
+ * @param crashedLife backend instance that ended during the run; empty if none
  * @returns the frame
  */
 export function makeFailed(failure: Failure, crashedLife = ''): FrameBody {
@@ -84,7 +84,7 @@
 }
 
 /**
- * @param piece bytes of the answer at their place
+ * @param piece bytes of the answer with their offset
  * @param head status and content type
  * @returns the frame
  */
@@ -94,7 +94,7 @@
 }
 
 /**
- * @param totalBytes length of the whole answer
+ * @param totalBytes length of the complete answer
  * @param head status and content type
  * @returns the frame
  */
--- a/packages/lovagepond-sidecar/src/sidecar_run.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_run.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a dispatched attempt at the backend server and feeds its answer to the
+ * Runs a dispatched attempt at the backend server and passes its answer to the
  * attempt's session.
  */
 import {type EngineEvent} from '@lovagepond/backend';
@@ -13,11 +13,17 @@
 import {makeStarted} from './sidecar_frames.js';
 import {type SidecarSession} from './sidecar_session.js';
 
-/** Unsent bytes of an answer above which the backend server isn't read. */
+/**
+ * Number of unsent answer bytes above which reading from the backend server
+ * pauses.
+ */
 const MAX_UNSENT_BYTES = 64 * 1024;
 const MAX_RESUMES = 2;
 
-/** Failures after which an engine may still hold the generation, or have ended. */
+/**
+ * Failures after which the engine may still hold the generation, or may have
+ * crashed.
+ */
 const INTERRUPTED: ReadonlySet<ErrorKind> = new Set([
   'backendFailed',
   'backendSilent',
@@ -31,7 +37,7 @@
   /** No byte of the request reached the backend server. */
   | {readonly kind: 'notRun'; readonly failure: Failure};
 
-/** What a run needs. */
+/** Dependencies of a run. */
 export interface RunDependencies {
   readonly backend: Backend;
   readonly session: SidecarSession;
@@ -65,8 +71,9 @@
   },
   data: (piece, session) => {
     if (session.append(piece)) return undefined;
-    // Bytes that don't follow belong to another generation or another request:
-    // passed on, the caller would read a spliced answer as a whole one.
+    // Bytes at an unexpected offset belong to another generation or another
+    // request. Forwarding them would give the caller a spliced answer that
+    // looks complete.
     return {kind: 'failed', failure: makeFailure('answerTruncated')};
   },
   end: ({totalBytes}, session, {cachedTokens}) => {
@@ -97,8 +104,9 @@
 }
 
 /**
- * A run that threw would never end for the gate, and its tokens would fill the
- * bound for good; whatever was thrown, the request may have run.
+ * Converts an exception into a failure, as the request may have run. An
+ * uncaught exception would leave the run open in the gate, and its tokens would
+ * count towards the load bound for good.
  */
 async function streamOnce(
   deps: RunDependencies,
@@ -115,7 +123,8 @@
 
 /**
  * @param outcome how a run ended
- * @returns true when the backend server didn't end it by an answer
+ * @returns true when the run failed because the backend server crashed, went
+ *     silent or truncated the answer
  */
 export function wasInterrupted(outcome: RunOutcome): boolean {
   return outcome.kind === 'failed' && INTERRUPTED.has(outcome.failure.kind);
@@ -133,11 +142,12 @@
 }
 
 /**
- * Runs an attempt to its end. When the engine's stream breaks after its first
- * byte, the same generation is asked to go on from there; an engine that no
- * longer holds it refuses, and the attempt fails as it would have.
+ * Runs an attempt to its end. If the engine's stream breaks after the first
+ * byte, the same generation is resumed at the current offset. An engine that no
+ * longer holds the generation refuses, and the attempt fails.
  *
- * @param deps the attempt and its backend server
+ * @param deps the session of the attempt, its backend server and an abort
+ *     signal
  * @returns how it ended; never throws
  */
 export async function runAttempt(deps: RunDependencies): Promise<RunOutcome> {
@@ -147,6 +157,6 @@
     if (!canResume(outcome, deps)) break;
     outcome = await streamOnce(deps, deps.session.answerBytes);
   }
-  // The resume was not run, but the first run was.
+  // A "not run" outcome belongs to the resume only; the first run did run.
   return outcome.kind === 'notRun' ? first : outcome;
 }
--- a/packages/lovagepond-sidecar/src/sidecar_server.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_server.ts
@@ -1,6 +1,6 @@
 /**
- * The sidecar's gRPC server: turns calls of routers and other sidecars into
- * calls of the role, and its frames into messages.
+ * gRPC server of the sidecar: converts calls of routers and other sidecars into
+ * calls of the handlers, and frames into messages.
  */
 import {
   Server,
@@ -20,7 +20,7 @@
 type AttemptFrame = lovagepond.v1.AttemptFrame.$Properties;
 type AttemptProperties = lovagepond.v1.AttemptRequest.$Properties;
 
-/** What every frame carries. */
+/** Fields that every frame carries. */
 export interface FrameHead {
   readonly incarnation: string;
   readonly revision: number;
@@ -28,7 +28,7 @@
   readonly queuedTokens: number;
 }
 
-/** What the server asks of the role. */
+/** Handlers of the server's calls. */
 export interface SidecarHandlers {
   frameHead(): FrameHead;
   offer(
@@ -92,8 +92,8 @@
     const stream = new GrpcFrameStream(call, attemptId, () =>
       handlers.frameHead(),
     );
-    // A stream that breaks while it is written to reports an error: the end
-    // of the call is what counts.
+    // A stream that breaks during a write reports an error; the `cancelled`
+    // event handles its end.
     call.on('error', () => {});
     const session = handlers.offer(request, stream);
     if (!session) return;
@@ -113,14 +113,14 @@
   };
 }
 
-/** Listens on one address. */
+/** gRPC server on one address. */
 export class SidecarServer {
   readonly #server = new Server({
     'grpc.max_receive_message_length': MAX_MESSAGE_BYTES,
     'grpc.max_send_message_length': MAX_MESSAGE_BYTES,
   });
 
-  /** @param handlers the role */
+  /** @param handlers handlers of the calls */
   constructor(handlers: SidecarHandlers) {
     const implementation: Record<
       keyof typeof SIDECAR_SERVICE,
@@ -138,8 +138,8 @@
   }
 
   /**
-   * @param host IP number to listen on
-   * @param port 0 lets the system choose
+   * @param host IP address to listen on
+   * @param port port to listen on; 0 selects a free one
    * @returns the port listened on
    */
   listen(host: string, port: number): Promise<number> {
@@ -156,9 +156,9 @@
   }
 
   /**
-   * Takes no new calls and lets the open ones end.
+   * Accepts no new calls and waits for the open ones to end.
    *
-   * @param limitMs longest time to wait for them
+   * @param limitMs longest time to wait for them, milliseconds
    */
   finish(limitMs: number): Promise<void> {
     return new Promise(resolve => {
@@ -170,7 +170,7 @@
     });
   }
 
-  /** Ends all calls. */
+  /** Cancels all calls and closes the server. */
   stop(): void {
     this.#server.forceShutdown();
   }
--- a/packages/lovagepond-sidecar/src/sidecar_service.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_service.ts
@@ -11,7 +11,7 @@
 
 const {v1} = lovagepond;
 
-/** What the service works on. */
+/** Dependencies of the service. */
 export interface ServiceDependencies {
   readonly gate: SidecarGate;
   readonly dispatcher: SidecarDispatcher;
@@ -20,11 +20,11 @@
   readonly incarnation: string;
   /** @returns the revision in force */
   revision(): number;
-  /** @param bytes a configuration that a router hands over */
+  /** @param bytes an encoded configuration from a router */
   install(bytes: Uint8Array): void;
 }
 
-/** The sidecar's side of its protocol. */
+/** Implements the sidecar's gRPC service. */
 export class SidecarService implements SidecarHandlers {
   readonly #deps: ServiceDependencies;
 
@@ -57,7 +57,7 @@
   revoke(
     request: lovagepond.v1.RevokeRequest.$Properties,
   ): lovagepond.v1.RevokeResponse {
-    // What a former incarnation did with its attempts is not known here.
+    // The attempts of a former incarnation are not recorded here.
     const own = request.incarnation === this.#deps.incarnation;
     const outcome = own
       ? this.#deps.dispatcher.revoke(request.attemptId ?? '')
@@ -124,7 +124,7 @@
     const result = await backend.engine.importCache({workspace, chat}, content);
     if (!result.ok || !result.value) return false;
     gate.cache.noteServed(workspace, chat, size);
-    // The pointer may still name the server that sent the cache and leaves.
+    // The pointer may still name the draining server that sent the cache.
     gate.pointers.remove(workspace, chat);
     return true;
   }
--- a/packages/lovagepond-sidecar/src/sidecar_session.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_session.ts
@@ -1,7 +1,7 @@
 /**
- * One attempt's way to its router: the answer is kept until it was sent, sent
- * as fast as the router reads, and sent again over a new stream when the old
- * one went silent.
+ * Delivers the answer of one attempt to its router. The answer is buffered
+ * until it is sent, sent as fast as the router reads, and resumed over a new
+ * stream when the old one is lost.
  */
 import {type Failure, makeFailure} from '@lovagepond/core';
 import {type lovagepond} from '@lovagepond/protocol';
@@ -15,38 +15,41 @@
   makeFailed,
 } from './sidecar_frames.js';
 
-/** The stream of frames to a router, as the gRPC server gives it. */
+/** Stream of frames to a router, as provided by the gRPC server. */
 export interface FrameStream {
-  /** @returns false when the router reads too slowly; `onDrain` follows */
+  /**
+   * @returns false when the stream is congested; {@link SidecarSession.onDrain}
+   *     is called once it accepts frames again
+   */
   write(body: FrameBody): boolean;
   end(): void;
 }
 
 const NO_HEAD: AnswerHead = Object.freeze({status: 200, contentType: ''});
 
-/** An attempt from its arrival until its answer is no longer asked for. */
+/** An attempt from its arrival until its answer is no longer kept. */
 export class SidecarSession {
   readonly request: lovagepond.v1.AttemptRequest;
-  /** When the caller's deadline passes. */
+  /** Time of the caller's deadline, monotonic milliseconds. */
   readonly deadlineAt: number;
   readonly #buffer: AnswerBuffer;
   #stream: FrameStream | undefined;
   #detachedAt: number | undefined;
   #head = NO_HEAD;
-  /** Offset behind the last byte sent over the present stream. */
+  /** Offset after the last byte sent over the current stream. */
   #sentEnd = 0;
   #blocked = false;
   #nextHeartbeatAt = 0;
   #started: FrameBody | undefined;
-  /** The last frame: end or failure. */
+  /** Final frame: end, failure or refusal. */
   #finalFrame: FrameBody | undefined;
   #closedAt: number | undefined;
   #onRoom: (() => void) | undefined;
 
   /**
    * @param request the attempt
-   * @param now present time
-   * @param maxAnswerBytes answer bytes kept for a router that comes back
+   * @param now current time
+   * @param maxAnswerBytes answer bytes kept for a router that reconnects
    */
   constructor(
     request: lovagepond.v1.AttemptRequest,
@@ -68,27 +71,27 @@
     return this.#head;
   }
 
-  /** @returns true while a router's stream waits for something */
+  /** @returns true while a router's stream is attached */
   get attached(): boolean {
     return this.#stream !== undefined;
   }
 
-  /** @returns when the last router went away; undefined while one is there */
+  /** @returns when the last stream was lost; undefined while one is attached */
   get detachedAt(): number | undefined {
     return this.#detachedAt;
   }
 
-  /** @returns when the last frame was due; undefined while it goes on */
+  /** @returns when the final frame was queued; undefined before */
   get closedAt(): number | undefined {
     return this.#closedAt;
   }
 
   /**
-   * A new stream takes the place of any former one.
+   * Attaches a stream, which replaces any former one.
    *
    * @param stream the router's stream
-   * @param resumeFrom bytes of the answer that the router has
-   * @param now present time
+   * @param resumeFrom number of answer bytes that the router already has
+   * @param now current time
    */
   attach(stream: FrameStream, resumeFrom: number, now: number): void {
     const former = this.#stream;
@@ -108,8 +111,8 @@
   }
 
   /**
-   * @param stream the stream that is gone; a former one changes nothing
-   * @param now present time
+   * @param stream the closed stream; a former stream is ignored
+   * @param now current time
    */
   detach(stream: FrameStream, now: number): void {
     if (this.#stream !== stream) return;
@@ -118,26 +121,26 @@
     this.#blocked = false;
   }
 
-  /** @param stream the stream that takes frames again */
+  /** @param stream the stream that accepts frames again */
   onDrain(stream: FrameStream): void {
     if (this.#stream !== stream) return;
     this.#blocked = false;
     this.#flush();
   }
 
-  /** @param body a frame that stands outside of the answer's bytes */
+  /** @param body a frame that carries no answer bytes */
   send(body: FrameBody): void {
     this.#write(body);
   }
 
-  /** @param body the frame that tells of the dispatch; sent once a stream */
+  /** @param body the frame that reports the dispatch; sent once per stream */
   start(body: FrameBody): void {
     if (this.#started) return;
     this.#started = body;
     this.#write(body);
   }
 
-  /** @returns the answer, or undefined when its beginning is not kept */
+  /** @returns the complete answer; undefined when its beginning was dropped */
   wholeAnswer(): Uint8Array | undefined {
     return this.#buffer.whole();
   }
@@ -148,8 +151,8 @@
   }
 
   /**
-   * @param piece the next bytes
-   * @returns false when they don't follow the former ones
+   * @param piece the next bytes of the answer
+   * @returns false when they do not continue the answer
    */
   append(piece: AnswerPiece): boolean {
     if (!this.#buffer.append(piece)) return false;
@@ -158,9 +161,9 @@
   }
 
   /**
-   * The answer is whole.
+   * Queues the end frame of a complete answer.
    *
-   * @param now present time
+   * @param now current time
    */
   finish(now: number): void {
     this.#close(makeEnd(this.#buffer.end, this.#head), now);
@@ -168,8 +171,8 @@
 
   /**
    * @param failure why the attempt failed after its dispatch
-   * @param now present time
-   * @param crashedLife life of the backend server that ended meanwhile, if any
+   * @param now current time
+   * @param crashedLife backend instance that ended during the run, if any
    */
   fail(failure: Failure, now: number, crashedLife?: string): void {
     this.#close(makeFailed(failure, crashedLife), now);
@@ -177,15 +180,15 @@
 
   /**
    * @param body the refusal
-   * @param now present time
+   * @param now current time
    */
   refuse(body: FrameBody, now: number): void {
     this.#close(body, now);
   }
 
   /**
-   * @param now present time
-   * @param intervalMs longest time without a frame
+   * @param now current time
+   * @param intervalMs longest time without a frame, milliseconds
    */
   sendHeartbeat(now: number, intervalMs: number): void {
     if (now < this.#nextHeartbeatAt || this.#blocked) return;
@@ -196,10 +199,10 @@
   }
 
   /**
-   * Backpressure towards the backend server: its answer is not read while the
-   * router doesn't read ours, so that memory stays within the limit.
+   * Applies backpressure to the backend server: its answer is not read while
+   * too many bytes are unsent, which bounds the memory of slow readers.
    *
-   * @param maxUnsentBytes unsent bytes up to which reading goes on
+   * @param maxUnsentBytes number of unsent bytes up to which reading continues
    * @returns resolves when the next piece may be read
    */
   async waitForRoom(maxUnsentBytes: number): Promise<void> {
@@ -210,7 +213,7 @@
     }
   }
 
-  /** The run is given up: whoever waits for room goes on. */
+  /** Stops applying backpressure to a cancelled run, so that it can end. */
   abandon(): void {
     this.#sentEnd = this.#buffer.end;
     this.#notifyRoom();
--- a/packages/lovagepond-sidecar/src/sidecar_sessions.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_sessions.ts
@@ -1,20 +1,22 @@
 /**
- * The sessions of a sidecar by attempt, and how long each is kept.
+ * Sessions of a sidecar by attempt, with their retention.
  */
 import {type SidecarSession} from './sidecar_session.js';
 
 /** Settings of {@link SidecarSessions}. */
 export interface SessionsSettings {
   readonly heartbeatIntervalMs: number;
-  /** How long a run goes on without a router attached to it. */
+  /** How long a run continues without an attached stream, milliseconds. */
   readonly detachGraceMs: number;
-  /** How long a finished answer can still be attached to. */
+  /** How long a finished answer can be resumed, milliseconds. */
   readonly answerGraceMs: number;
-  /** Finished answers kept for routers that come back. */
+  /** Maximum number of finished answers kept for routers that reconnect. */
   readonly maxFinishedAnswers: number;
 }
 
-/** Sessions from the arrival of their attempt until nobody asks any more. */
+/**
+ * Holds each session from the arrival of its attempt until its retention ends.
+ */
 export class SidecarSessions {
   readonly #settings: SessionsSettings;
   readonly #sessions = new Map<string, SidecarSession>();
@@ -23,14 +25,14 @@
     this.#settings = settings;
   }
 
-  /** @returns true while a router's stream waits for something */
+  /** @returns true while any router's stream is attached */
   get anyAttached(): boolean {
     return [...this.#sessions.values()].some(({attached}) => attached);
   }
 
   /**
    * @param attemptId an attempt
-   * @returns its session while it is kept
+   * @returns its session; undefined when none is kept
    */
   find(attemptId: string): SidecarSession | undefined {
     return this.#sessions.get(attemptId);
@@ -41,16 +43,17 @@
     this.#sessions.set(session.request.attemptId, session);
   }
 
-  /** @param attemptId an attempt whose answer nobody asks for any more */
+  /** @param attemptId an attempt whose session is no longer needed */
   remove(attemptId: string): void {
     this.#sessions.delete(attemptId);
   }
 
   /**
-   * Sends heartbeats, and forgets what is past its time or above the limit.
+   * Sends heartbeats, and removes finished sessions that are past their
+   * retention or above the limit.
    *
-   * @param now present time
-   * @returns sessions that go on without a router for too long
+   * @param now current time
+   * @returns running sessions without a stream for too long
    */
   tick(now: number): SidecarSession[] {
     const {heartbeatIntervalMs, maxFinishedAnswers} = this.#settings;
