--- a/packages/lovagepond-sidecar/src/sidecar_announcer.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_announcer.ts
@@ -1,6 +1,6 @@
 /**
- * Announces the backend server to control, again and again, and hears the
- * pool's mean, the wanted state and orders in return.
+ * Announces the backend server to control periodically. Each response carries
+ * the pool's mean load, the wanted state and orders.
  */
 import {type lovagepond} from '@lovagepond/protocol';
 import {type SidecarControlLink} from './sidecar_control_link.js';
@@ -8,7 +8,7 @@
 type AnnounceRequest = lovagepond.v1.AnnounceRequest.$Properties;
 type AnnounceResponse = lovagepond.v1.AnnounceResponse;
 
-/** What the announcer needs. */
+/** Dependencies of the announcer. */
 export interface AnnouncerDependencies {
   readonly link: SidecarControlLink;
   readonly announceIntervalMs: number;
@@ -17,7 +17,7 @@
   onAnswer(answer: AnnounceResponse, sent: AnnounceRequest): void;
 }
 
-/** Keeps one announcement on its way at a time. */
+/** Sends at most one announcement at a time. */
 export class SidecarAnnouncer {
   readonly #deps: AnnouncerDependencies;
   #timer: NodeJS.Timeout | undefined;
@@ -29,7 +29,7 @@
     this.#deps = deps;
   }
 
-  /** Announces now and from then on at each interval. */
+  /** Starts announcing at each interval. */
   start(): void {
     const {announceIntervalMs} = this.#deps;
     this.#timer = setInterval(() => void this.announce(), announceIntervalMs);
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Announces at once, as when the state changed. One that is on its way may
-   * carry the former state: another follows it.
+   * Announces at once, for example after a change of state. An announcement in
+   * flight may carry the former state, so another one follows it.
    */
   async announce(): Promise<void> {
     if (this.#stopped) return;
@@ -52,7 +52,7 @@
     this.#sending = false;
   }
 
-  /** Ends it. */
+  /** Stops announcing. */
   stop(): void {
     this.#stopped = true;
     this.#sendAgain = false;
@@ -62,7 +62,7 @@
   async #sendOnce(): Promise<void> {
     const sent = this.#deps.makeAnnouncement();
     const answer = await this.#deps.link.announce(sent);
-    // A member that is not the leader knows neither mean nor orders.
+    // A member that is not the leader has neither the mean load nor orders.
     if (this.#stopped || !answer?.accepted) return;
     this.#deps.onAnswer(answer, sent);
   }
--- a/packages/lovagepond-sidecar/src/sidecar_backend_watch.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_backend_watch.ts
@@ -1,16 +1,16 @@
 /**
- * Watches the backend server: whether it answers, whether it restarted, and
- * what it reports of its load and cache.
+ * Health checking of the backend server: whether it responds, whether it
+ * restarted, and its reported load and cache contents.
  */
 import {type CacheEvent} from '@lovagepond/backend';
 import {type Clock, type Logger, type Unregister} from '@lovagepond/core';
 import {type Backend} from './sidecar_backend.js';
 import {type SidecarGate} from './sidecar_gate.js';
 
-/** Looks in a row without an answer, after which it counts as down. */
+/** Number of consecutive failed probes after which it counts as down. */
 const FAILURES_UNTIL_DOWN = 2;
 
-/** What the watch needs. */
+/** Dependencies of the watch. */
 export interface WatchDependencies {
   readonly backend: Backend;
   readonly gate: SidecarGate;
@@ -35,7 +35,7 @@
   gap: ({sequence}, gate) => gate.cache.noteGap(sequence),
 };
 
-/** Keeps the gate's knowledge of its backend server up to date. */
+/** Probes the backend server and updates the gate. */
 export class SidecarBackendWatch {
   readonly #deps: WatchDependencies;
   #failures = FAILURES_UNTIL_DOWN;
@@ -43,26 +43,26 @@
   #models: readonly string[] = [];
   #unregister: Unregister = () => {};
   #probing: Promise<void> | undefined;
-  /** Lives of the backend server that have ended. */
+  /** Number of backend instances that have ended. */
   #endedInstances = 0;
-  /** None runs now, as far as is known. */
+  /** True while no instance is known to be running. */
   #isInstanceOver = true;
 
   constructor(deps: WatchDependencies) {
     this.#deps = deps;
   }
 
-  /** @returns true while the backend server answers */
+  /** @returns true while the backend server responds */
   get up(): boolean {
     return this.#failures < FAILURES_UNTIL_DOWN;
   }
 
-  /** @returns models it has loaded */
+  /** @returns models that it has loaded */
   get models(): readonly string[] {
     return this.#models;
   }
 
-  /** Starts to listen to cache events. */
+  /** Subscribes to cache events. */
   start(): void {
     const {backend, gate} = this.#deps;
     if (backend.kind !== 'engine') return;
@@ -71,32 +71,34 @@
     });
   }
 
-  /** Ends it. */
+  /** Unsubscribes from cache events. */
   stop(): void {
     this.#unregister();
   }
 
   /**
-   * A request could not be sent. Seen by the next look alone, a dead server
-   * would fail requests for a while, and look idle and take others' meanwhile.
+   * Counts a request that could not be sent as a failed probe. If only probes
+   * counted, a crashed server would fail requests until the next probe, and
+   * meanwhile appear idle and take requests from other servers.
    */
   noteUnreachable(): void {
     this.#failures += 1;
   }
 
-  /** The life that runs now, counted from 0. */
+  /** Number of the current backend instance, counted from 0. */
   get instance(): number {
     return this.#endedInstances;
   }
 
   /**
-   * To be asked when a run broke off.
+   * Checks after an interrupted run whether the backend server has crashed.
    *
-   * @param instance of the backend server when the run began
-   * @returns true when that life has ended
+   * @param instance number of the backend instance at the start of the run
+   * @returns true when that instance has ended
    */
   async hasEnded(instance: number): Promise<boolean> {
-    // A look that is under way may have been answered before the run broke off.
+    // A probe in flight may have been answered before the run was interrupted,
+    // so a second one follows.
     for (
       let probes = 0;
       probes < 2 && instance === this.#endedInstances;
@@ -107,7 +109,7 @@
     return instance < this.#endedInstances;
   }
 
-  /** Looks once; a look that still goes on is not doubled. */
+  /** Probes the backend server once; concurrent calls share one probe. */
   probe(): Promise<void> {
     this.#probing ??= this.#probeOnce().finally(() => {
       this.#probing = undefined;
@@ -138,7 +140,8 @@
     const {incarnation, runningTokens, waitingTokens} = report.value;
     const now = clock.now();
     if (this.#incarnation !== undefined && this.#incarnation !== incarnation) {
-      // Its cache is empty now: kept as warm, chats would be held for it.
+      // The cache of the new instance is empty. If its chats stayed marked as
+      // warm, requests would be held for a context that no longer exists.
       gate.backendRestarted(now);
       this.#endInstance();
       this.#deps.log.warn('backend server restarted', {incarnation});
--- a/packages/lovagepond-sidecar/src/sidecar_cache_mover.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_cache_mover.ts
@@ -1,5 +1,6 @@
 /**
- * Sends the warmest chats' KV cache away during a planned leave.
+ * Context migration: sends the KV cache of recently used chats to other servers
+ * while draining.
  */
 import {type Clock, type Logger} from '@lovagepond/core';
 import {
@@ -22,7 +23,7 @@
 
 const BUSY_CHECK_MS = 100;
 
-/** What the mover needs. */
+/** Dependencies of the mover. */
 export interface MoverDependencies {
   readonly gate: SidecarGate;
   readonly backend: Backend;
@@ -34,14 +35,14 @@
   readonly maxMovedChats: number;
 }
 
-/** Moves caches, one after the other, within the byte rate. */
+/** Moves caches one at a time, within the byte rate. */
 export class SidecarCacheMover {
   readonly #deps: MoverDependencies;
   readonly #rate: ByteRate;
   #moved = 0;
   #movedBytes = 0;
   #running = false;
-  /** The chats served here last. */
+  /** The most recently served chats. */
   readonly recent: RecentChats;
 
   constructor(deps: MoverDependencies) {
@@ -50,16 +51,16 @@
     this.recent = new RecentChats(deps.maxMovedChats);
   }
 
-  /** @returns chats and bytes moved since the start */
+  /** @returns number of chats and bytes moved since the start */
   get counters(): {readonly moved: number; readonly movedBytes: number} {
     return {moved: this.#moved, movedBytes: this.#movedBytes};
   }
 
   /**
-   * Moves until nothing runs here any more: a chat that is still answered at
-   * the start of the leave has its context to move when it is done.
+   * Moves caches until no request runs here any more. A chat whose answer is
+   * still running at the start of the drain is moved after its answer ends.
    *
-   * @param signal ends it
+   * @param signal stops moving
    */
   async run(signal: AbortSignal): Promise<void> {
     const {backend, moveBytesPerSecond, gate} = this.#deps;
@@ -77,7 +78,7 @@
     this.#deps.log.info('caches moved', this.counters);
   }
 
-  /** Moves each chat once; a later answer here can't come during a leave. */
+  /** Moves each chat once; a draining server serves no later request of it. */
   async #moveAll(done: Set<number>, signal: AbortSignal): Promise<void> {
     for (const move of this.#plan()) {
       const number = chatNumber(move.workspace, move.chat);
@@ -90,7 +91,8 @@
 
   #plan(): PlannedMove[] {
     const {gate, peers, hasher} = this.#deps;
-    // The order of the routers over what remains: there the chats will land.
+    // Routers will place these chats with the same rendezvous order over the
+    // remaining servers.
     const table = new RendezvousTable<Peer>(peers.ready, hasher);
     return planMoves(this.recent.latest(), {
       warmTokens: ({workspace, chat}) =>
--- a/packages/lovagepond-sidecar/src/sidecar_configuration.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_configuration.ts
@@ -1,6 +1,6 @@
 /**
- * Takes configurations in from control and from routers, and puts the newest
- * in force at the gate.
+ * Receives configurations from control and from routers, and applies the newest
+ * to the gate.
  */
 import {
   decodeConfiguration,
@@ -15,11 +15,11 @@
 
 const NO_BYTES = new Uint8Array();
 
-/** What configurations are put in force at. */
+/** Dependencies of the configuration. */
 export interface ConfigurationDependencies {
   readonly gate: SidecarGate;
   readonly log: Logger;
-  /** Tells control which revision is in force here. */
+  /** Reports to control which revision is in force here. */
   report(revision: number): void;
 }
 
@@ -28,7 +28,7 @@
   readonly #pool: string;
   readonly #deps: ConfigurationDependencies;
   readonly #revisions: SidecarRevisions;
-  /** The configuration as it travels, made once per revision. */
+  /** The encoded configuration, created once per revision. */
   #encoded: Uint8Array = NO_BYTES;
 
   constructor(settings: SidecarSettings, deps: ConfigurationDependencies) {
@@ -44,23 +44,23 @@
     return this.#revisions.revision;
   }
 
-  /** @returns true when work may be taken by it */
+  /** @returns true when requests may be accepted under it */
   mayServe(): boolean {
     return this.#revisions.mayServe();
   }
 
-  /** @param update what control pushed */
+  /** @param update a configuration update from control */
   receive(update: lovagepond.v1.ConfigurationUpdate.$Properties): void {
     const {configuration, majorityConfirmed, revision} = update;
     if (configuration && configuration.length > 0) this.install(configuration);
     if (majorityConfirmed) this.#revisions.confirm(revision ?? 0);
   }
 
-  /** @param bytes a configuration from control or from a router */
+  /** @param bytes an encoded configuration from control or a router */
   install(bytes: Uint8Array): void {
     const configuration = decodeConfiguration(bytes);
     if (!configuration) {
-      this.#deps.log.error('a configuration could not be read');
+      this.#deps.log.error('received configuration could not be decoded');
       return;
     }
     if (!this.#revisions.install(configuration)) return;
@@ -73,7 +73,7 @@
 
   /**
    * @param revision a router's revision
-   * @returns our configuration when it is newer, else no bytes
+   * @returns the configuration in force if newer, else no bytes
    */
   newerThan(revision: number): Uint8Array {
     return this.revision > revision ? this.#encoded : NO_BYTES;
--- a/packages/lovagepond-sidecar/src/sidecar_control_feed.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_control_feed.ts
@@ -1,6 +1,6 @@
 /**
- * What control pushes to a sidecar: configuration, its own pool's membership
- * and load digest.
+ * Subscription to control: configuration, and membership and load digest of the
+ * sidecar's own pool.
  */
 import {type Client, type ClientReadableStream, Metadata} from '@grpc/grpc-js';
 import {
@@ -19,7 +19,7 @@
 
 const RETRY_MS = 200;
 
-/** What the feed needs besides its settings. */
+/** Dependencies of the feed. */
 export interface FeedDependencies {
   readonly clock: Clock;
   readonly log: Logger;
@@ -29,7 +29,7 @@
   onUpdate(update: ControlUpdate, now: number): void;
 }
 
-/** Keeps one subscription open, at any member that answers. */
+/** Keeps one subscription open, to any control member that responds. */
 export class SidecarControlFeed {
   readonly #settings: SidecarSettings;
   readonly #deps: FeedDependencies;
@@ -48,7 +48,7 @@
     this.#addresses = new ControlAddresses(controlAddresses, deps.random);
   }
 
-  /** @returns bytes received since the start */
+  /** @returns number of bytes received since the start */
   get receivedBytes(): number {
     return this.#receivedBytes;
   }
@@ -82,7 +82,11 @@
     this.#listen(call, address);
   }
 
-  /** @param now present time; call it a few times a second */
+  /**
+   * Restarts a subscription without updates; called a few times a second.
+   *
+   * @param now current time
+   */
   tick(now: number): void {
     if (!this.#call) return;
     const silentMs = now - this.#lastUpdateAt;
@@ -115,9 +119,12 @@
     call.on('end', onLost);
   }
 
-  /** The pause differs between sidecars, or all would come back at once. */
+  /**
+   * Subscribes to another member after a random delay, so that the sidecars do
+   * not all reconnect at the same time.
+   */
   #restart(reason: string): void {
-    this.#deps.log.debug('subscribing at another member', {reason});
+    this.#deps.log.debug('subscribing to another control member', {reason});
     this.#close();
     this.#addresses.moveOn();
     const pauseMs = RETRY_MS * (0.5 + this.#deps.random.next());
@@ -129,7 +136,7 @@
   #close(): void {
     const call = this.#call;
     this.#call = undefined;
-    // A cancelled call reports an error; nobody waits for it.
+    // A cancelled call reports an error, which is ignored here.
     call?.on('error', () => {});
     call?.cancel();
     this.#client?.close();
--- a/packages/lovagepond-sidecar/src/sidecar_control_link.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_control_link.ts
@@ -1,6 +1,7 @@
 /**
- * The sidecar's calls to control: each goes to the member that answered last,
- * and moves on to the leader it names or to the next member.
+ * Unary calls of the sidecar to control. Each goes to the member that answered
+ * last, and switches to the leader that an answer names, or to another member
+ * if no answer comes.
  */
 import {type MethodDefinition} from '@grpc/grpc-js';
 import {ControlAddresses, type Random} from '@lovagepond/core';
@@ -13,7 +14,7 @@
 
 type AnnounceResponse = lovagepond.v1.AnnounceResponse;
 
-/** Answers that may name the leader to ask instead. */
+/** An answer that may name the current leader. */
 interface LeaderHint {
   readonly leader?: string | null;
 }
@@ -26,26 +27,26 @@
 
   /**
    * @param settings the sidecar's settings
-   * @param random draws the member to ask next
+   * @param random selects the member to call next
    */
   constructor(settings: SidecarSettings, random: Random) {
     this.#addresses = new ControlAddresses(settings.controlAddresses, random);
     this.#clients = new ClientPool(settings.controlTimeoutMs);
   }
 
-  /** @returns `host:port` of the member asked next */
+  /** @returns `host:port` of the member that is called next */
   get address(): string {
     return this.#leader || this.#addresses.current;
   }
 
-  /** @param addresses `host:port` of all members of control */
+  /** @param addresses `host:port` of all control members */
   updateMembers(addresses: readonly string[]): void {
     this.#addresses.learn(addresses);
   }
 
   /**
-   * @param request what is announced
-   * @returns the answer, or undefined when none came
+   * @param request the announcement
+   * @returns the answer; undefined when none came
    */
   async announce(
     request: lovagepond.v1.AnnounceRequest.$Properties,
@@ -56,8 +57,8 @@
   }
 
   /**
-   * @param request who claims what
-   * @returns the ledger's answer, or undefined when it is to be asked again
+   * @param request the claim
+   * @returns the ledger's answer; undefined when the claim must be sent again
    */
   async claim(
     request: lovagepond.v1.ClaimRequest.$Properties,
@@ -69,8 +70,8 @@
   }
 
   /**
-   * @param request what became of a claimed call
-   * @returns true when the outcome stands in the ledger
+   * @param request the outcome of a claimed call
+   * @returns true when the ledger has recorded the outcome
    */
   async record(
     request: lovagepond.v1.RecordRequest.$Properties,
@@ -88,7 +89,7 @@
     await this.#call(CONTROL_SERVICE.reportOrder, message);
   }
 
-  /** @param report which revision this node holds */
+  /** @param report the revision in force at this node */
   async reportConvergence(
     report: lovagepond.v1.ConvergenceReport.$Properties,
   ): Promise<void> {
--- a/packages/lovagepond-sidecar/src/sidecar_fencing.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_fencing.ts
@@ -1,25 +1,28 @@
 /**
- * Checks orders on behalf of backend servers that don't: an order passes once,
- * and never below one that has passed.
+ * Checks fencing tokens of orders on behalf of backend servers that do not:
+ * each order passes once, and only if its token is higher than those of all
+ * orders that have passed.
  */
 
-/** An order as control sends it. */
+/** An order from control. */
 export interface FencedOrder {
   readonly orderId: string;
-  /** Rises with each order, also over changes of the leader. */
+  /** Increases with each order, also across changes of the leader. */
   readonly fencingToken: number;
 }
 
-/** What to do with an order. */
+/** How to handle an order. */
 export const ORDER_VERDICT = {
   PASS: 'pass',
-  /** A newer one has passed: tell control, and do nothing. */
+  /** An order with a higher token has passed: reject this one and report it. */
   FENCED: 'fenced',
-  /** It is running: its outcome follows. */
+  /** The order is running; its outcome will be reported. */
   RUNNING: 'running',
-  /** It has ended: its outcome is known. */
+  /** The order has ended and its outcome is known. */
   ENDED: 'ended',
-  /** The floor is not known yet: wait for it, and tell nothing. */
+  /**
+   * The floor is unknown or another order is running: defer without a report.
+   */
   WAIT: 'wait',
 } as const;
 
@@ -34,29 +37,30 @@
 
 const MAX_KEPT_RESULTS = 256;
 
-/** Passes orders by rising token. Without I/O. */
+/** Passes orders in increasing order of their tokens. Performs no I/O. */
 export class SidecarFencing {
   #floor = 0;
   #floorKnown = false;
   #running: string | undefined;
   readonly #results = new Map<string, OrderResult>();
 
-  /** @returns no order at or below this token passes */
+  /** @returns the floor: no order with this token or a lower one passes */
   get floor(): number {
     return this.#floor;
   }
 
-  /** @returns true once control has told the floor */
+  /** @returns true once control has reported the floor */
   get ready(): boolean {
     return this.#floorKnown;
   }
 
   /**
-   * A restarted sidecar doesn't remember what its predecessor passed. Without
-   * the floor from a majority, an order of a deposed leader, delivered late,
-   * would undo a newer one at a backend server that checks nothing itself.
+   * Raises the floor. A restarted sidecar has no record of the orders that its
+   * former incarnation passed. Without the floor of a majority, a delayed order
+   * of a deposed leader could undo a newer one at a backend server that does
+   * not check tokens.
    *
-   * @param floor the highest token known to a majority for this server
+   * @param floor the highest token that a majority has recorded for this server
    */
   raiseFloor(floor: number): void {
     this.#floorKnown = true;
@@ -65,7 +69,7 @@
 
   /**
    * @param order an order from control
-   * @returns what to do; after `pass` the order counts as running
+   * @returns how to handle it; after `pass` the order counts as running
    */
   check(order: FencedOrder): OrderVerdict {
     const {orderId, fencingToken} = order;
@@ -73,7 +77,8 @@
     if (this.#running === orderId) return ORDER_VERDICT.RUNNING;
     if (!this.#floorKnown) return ORDER_VERDICT.WAIT;
     if (fencingToken <= this.#floor) return ORDER_VERDICT.FENCED;
-    // One at a time: the backend server gets them in the order of their tokens.
+    // One order at a time, so that the backend server receives them in the
+    // order of their tokens.
     if (this.#running !== undefined) return ORDER_VERDICT.WAIT;
     this.#floor = fencingToken;
     this.#running = orderId;
@@ -81,7 +86,7 @@
   }
 
   /**
-   * @param orderId an order that was passed
+   * @param orderId an order that has passed
    * @param result how it ended
    */
   finish(orderId: string, result: OrderResult): void {
--- a/packages/lovagepond-sidecar/src/sidecar_kv_moves.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_kv_moves.ts
@@ -1,24 +1,24 @@
 /**
- * On a planned leave, moves the warmest chats' KV cache to where those chats
- * will land next, within a byte rate.
+ * Plans which chats' KV caches are moved while draining, and limits the byte
+ * rate of the transfers.
  */
 import {chatNumber} from './sidecar_cache_index.js';
 
-/** A chat by its names, as an engine exports it. */
+/** A chat with the names that an export from the engine needs. */
 export interface NamedChat {
   readonly workspace: string;
   readonly chat: string;
 }
 
 /**
- * The chats used last. The cache index keeps numbers only; an export needs the
- * names, and only of chats that are worth moving.
+ * The most recently used chats. The cache index holds only numbers, but an
+ * export needs names, and only those of chats that are worth moving.
  */
 export class RecentChats {
   readonly #maxChats: number;
   readonly #chats = new Map<number, NamedChat>();
 
-  /** @param maxChats chats kept at most */
+  /** @param maxChats maximum number of chats */
   constructor(maxChats: number) {
     this.#maxChats = maxChats;
   }
@@ -28,7 +28,7 @@
     return this.#chats.size;
   }
 
-  /** @param named a chat that was served now */
+  /** @param named the chat that was just served */
   note(named: NamedChat): void {
     if (named.chat === '') return;
     const number = chatNumber(named.workspace, named.chat);
@@ -39,34 +39,37 @@
     if (oldest !== undefined) this.#chats.delete(oldest);
   }
 
-  /** @returns the chats, last used first */
+  /** @returns the chats, most recently used first */
   latest(): NamedChat[] {
     return [...this.#chats.values()].reverse();
   }
 }
 
-/** A chat with its context and its next server. */
+/** A chat with its cached tokens and its next server. */
 export interface PlannedMove extends NamedChat {
   readonly tokens: number;
   readonly backendServer: string;
   readonly address: string;
 }
 
-/** Finds out about chats when a leave is planned. */
+/** Looks up the state of chats for a plan of moves. */
 export interface MoveView {
-  /** @returns cached tokens to expect here */
+  /** @returns expected number of cached tokens here */
   warmTokens(named: NamedChat): number;
-  /** @returns where the chat lands next, or undefined when nowhere */
+  /**
+   * @returns the server that the chat will use next; undefined if there is none
+   */
   nextServer(
     named: NamedChat,
   ): {readonly name: string; readonly address: string} | undefined;
 }
 
 /**
- * @param chats the chats used last, last first
- * @param view what is known of them
- * @returns moves in the order in which they should be made: among chats likely
- *     to return equally soon, the longest context saves most
+ * @param chats the chats, most recently used first
+ * @param view state of the chats
+ * @returns the moves in the order of execution: among chats equally likely to
+ *     return soon, the one with the longest context comes first, as it saves
+ *     most
  */
 export function planMoves(
   chats: readonly NamedChat[],
@@ -80,7 +83,7 @@
     const {name: backendServer, address} = next;
     moves.push({...named, tokens, backendServer, address});
   }
-  // Rank by context over place in the order of last use.
+  // Rank by context length divided by the position in the order of last use.
   const worth = new Map(
     moves.map((move, index) => [move, move.tokens / (index + 1)]),
   );
@@ -89,18 +92,21 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** A budget of bytes that fills with time; it may be overdrawn once. */
+/**
+ * Byte-rate limiter; a single transfer may exceed the budget, which delays the
+ * next one.
+ */
 export class ByteRate {
   readonly #bytesPerSecond: number;
   #freeAt = -Infinity;
 
-  /** @param bytesPerSecond bytes that may be sent in a second */
+  /** @param bytesPerSecond bytes that may be sent per second */
   constructor(bytesPerSecond: number) {
     this.#bytesPerSecond = bytesPerSecond;
   }
 
   /**
-   * @param now present time
+   * @param now current time
    * @returns milliseconds until the next transfer may start
    */
   waitMs(now: number): number {
@@ -109,8 +115,8 @@
   }
 
   /**
-   * @param bytes what is sent now
-   * @param now present time
+   * @param bytes number of bytes sent now
+   * @param now current time
    */
   spend(bytes: number, now: number): void {
     const start = Math.max(this.#freeAt, now);
--- a/packages/lovagepond-sidecar/src/sidecar_orders.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_orders.ts
@@ -1,6 +1,6 @@
 /**
- * Passes control's orders to the backend server, once each and by rising
- * token, and reports how they ended.
+ * Passes control's orders to the backend server, each once and in increasing
+ * order of their tokens, and reports their outcome.
  */
 import {type EngineOrder, ORDER_ACTION} from '@lovagepond/backend';
 import {type Logger} from '@lovagepond/core';
@@ -14,12 +14,12 @@
 
 type Order = lovagepond.v1.Order.$Properties;
 
-/** Tells control how an order ended. */
+/** Reports to control how an order ended. */
 export type ReportOrder = (
   outcome: lovagepond.v1.OrderOutcome.$Properties,
 ) => Promise<void>;
 
-/** What orders need. */
+/** Dependencies of the orders. */
 export interface OrdersDependencies {
   readonly backendServer: string;
   readonly backend: Backend;
@@ -29,7 +29,7 @@
 
 const FENCED: OrderResult = Object.freeze({
   outcome: 'fenced',
-  message: 'A newer order has passed.',
+  message: 'An order with a higher fencing token has already passed.',
 });
 
 function readOrder(order: Order): EngineOrder | undefined {
@@ -45,10 +45,10 @@
   };
 }
 
-/** The orders of one backend server. */
+/** Handles the orders for one backend server. */
 export class SidecarOrders {
   readonly #deps: OrdersDependencies;
-  /** The check that holds whether or not the backend server checks too. */
+  /** Token check, independent of checks at the backend server. */
   readonly fencing = new SidecarFencing();
 
   readonly #handlers: Readonly<
@@ -67,7 +67,8 @@
   }
 
   /**
-   * @param orders what control wants done; it repeats what isn't reported
+   * @param orders pending orders; control repeats those without a reported
+   *     outcome
    */
   async receive(orders: readonly Order[]): Promise<void> {
     const sorted = [...orders].sort(
@@ -97,7 +98,7 @@
   async #send(order: EngineOrder | undefined): Promise<OrderResult> {
     const {backend} = this.#deps;
     if (!order || backend.kind !== 'engine') {
-      const message = 'The backend server takes no such order.';
+      const message = 'The backend server does not support this order.';
       return {outcome: 'failed', message};
     }
     const result = await backend.engine.order(order);
--- a/packages/lovagepond-sidecar/src/sidecar_peers.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_peers.ts
@@ -1,6 +1,6 @@
 /**
- * The other servers of the pool: where they are, how loaded they are, and the
- * calls to their sidecars.
+ * The other servers of the pool: their addresses and loads, and the calls to
+ * their sidecars.
  */
 import {type BackendServer, decodeLoad, SERVER_STATE} from '@lovagepond/core';
 import {lovagepond, readMember, SIDECAR_SERVICE} from '@lovagepond/protocol';
@@ -9,19 +9,19 @@
 
 const {v1} = lovagepond;
 
-/** One server of the pool, as far as a sidecar needs it. */
+/** Fields of a pool member that a sidecar needs. */
 export type Peer = Pick<
   BackendServer,
   'name' | 'incarnation' | 'address' | 'state' | 'slot'
 >;
 
-/** Keeps no more of a member than a peer needs: pools are large. */
+/** Copies only the needed fields of a member, to save memory in large pools. */
 function readPeer(member: BackendServer): Peer {
   const {name, incarnation, address, state, slot} = member;
   return {name, incarnation, address, state, slot};
 }
 
-/** Membership and load of the own pool, without the own server. */
+/** Membership and load of the own pool, without this server. */
 export class SidecarPeers {
   readonly #ownName: string;
   readonly #pool: string;
@@ -30,9 +30,9 @@
   #loads: readonly PeerLoad[] = [];
 
   /**
-   * @param ownName the own backend server
-   * @param pool the own pool
-   * @param timeoutMs time for a call to a peer
+   * @param ownName name of this backend server
+   * @param pool pool of this server
+   * @param timeoutMs timeout of a call to a peer, milliseconds
    */
   constructor(ownName: string, pool: string, timeoutMs: number) {
     this.#ownName = ownName;
@@ -40,18 +40,18 @@
     this.#clients = new ClientPool(timeoutMs);
   }
 
-  /** @returns servers of the pool that take work, without the own one */
+  /** @returns ready servers of the pool, without this one */
   get ready(): readonly Peer[] {
     const peers = [...this.#peers.values()];
     return peers.filter(peer => peer.state === SERVER_STATE.READY);
   }
 
-  /** @returns the load of those servers, as the last digest shows it */
+  /** @returns load of those servers from the last digest */
   get loads(): readonly PeerLoad[] {
     return this.#loads;
   }
 
-  /** @param update control's membership of the pool */
+  /** @param update membership of the pool from control */
   updateMembership(update: lovagepond.v1.MembershipUpdate.$Properties): void {
     if (update.whole) this.#peers.clear();
     for (const name of update.gone ?? []) this.#peers.delete(name);
@@ -74,9 +74,9 @@
   }
 
   /**
-   * @param victim whom to ask
-   * @param roomTokens room here
-   * @returns what it hands over, or undefined when no answer came
+   * @param victim server to ask
+   * @param roomTokens free capacity of this server, tokens
+   * @returns the requests that it hands over; undefined when no answer came
    */
   take(
     victim: PeerLoad,
@@ -90,12 +90,13 @@
   }
 
   /**
-   * Tells a chat's first choice that it was served here.
+   * Sends a chat's first choice a pointer to this server, which served the
+   * chat.
    *
-   * @param address its sidecar
+   * @param address `host:port` of the first choice's sidecar
    * @param workspace the chat's workspace
    * @param chat the chat's name
-   * @param tokens its context
+   * @param tokens tokens of its context
    */
   async point(
     address: string,
@@ -113,9 +114,9 @@
   }
 
   /**
-   * @param address the sidecar the chat will land at
+   * @param address `host:port` of the sidecar that will serve the chat
    * @param request the chat's cache
-   * @returns true when it was taken in
+   * @returns true when the cache was imported
    */
   async moveCache(
     address: string,
--- a/packages/lovagepond-sidecar/src/sidecar_policy.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_policy.ts
@@ -1,5 +1,5 @@
 /**
- * Reads from the operators' configuration what concerns one pool's gate.
+ * Reads the settings of one pool's gate from the operators' configuration.
  */
 import {type ConfigurationContent} from '@lovagepond/core';
 import {DEFAULT_GATE_POLICY, type GatePolicy} from './sidecar_types.js';
@@ -7,7 +7,7 @@
 /**
  * @param content an accepted configuration
  * @param poolName the sidecar's pool
- * @returns the gate's policy; defaults when the pool is not named
+ * @returns the gate's policy; the defaults if the pool is not configured
  */
 export function readGatePolicy(
   content: ConfigurationContent,
--- a/packages/lovagepond-sidecar/src/sidecar_presence.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_presence.ts
@@ -1,6 +1,6 @@
 /**
- * What the sidecar tells control of its backend server, and what it does with
- * the answer: the pool's mean, the wanted state and orders.
+ * Announces the backend server's state to control and applies the response: the
+ * pool's mean load, the wanted state and orders.
  */
 import {type Clock, SERVER_STATE, type ServerState} from '@lovagepond/core';
 import {type lovagepond} from '@lovagepond/protocol';
@@ -13,24 +13,24 @@
 type AnnounceRequest = lovagepond.v1.AnnounceRequest.$Properties;
 type AnnounceResponse = lovagepond.v1.AnnounceResponse;
 
-/** What the presence is made from. */
+/** Dependencies of the presence. */
 export interface PresenceDependencies {
   readonly gate: SidecarGate;
   readonly clock: Clock;
   readonly link: SidecarControlLink;
   readonly orders: SidecarOrders;
   readonly incarnation: string;
-  /** @returns `host:port` that routers reach the sidecar at */
+  /** @returns `host:port` at which routers reach the sidecar */
   address(): string;
   /** @returns the revision in force */
   revision(): number;
   /** @returns models that the backend server has loaded */
   models(): readonly string[];
-  /** Operators want the server to leave, or to take work again. */
+  /** Called with the state that operators want: draining or ready. */
   onWantedState(wanted: string): void;
 }
 
-/** The backend server as control and routers see it. */
+/** Presence of the backend server at control and routers. */
 export class SidecarPresence {
   readonly #settings: SidecarSettings;
   readonly #deps: PresenceDependencies;
@@ -54,17 +54,17 @@
     return gate.ready ? SERVER_STATE.READY : SERVER_STATE.JOINING;
   }
 
-  /** Announces now and from then on. */
+  /** Starts announcing at each interval. */
   start(): void {
     this.#announcer.start();
   }
 
-  /** Announces at once: the state has changed, and routers wait for it. */
+  /** Announces a change of state at once, as routers depend on it. */
   announce(): void {
     void this.#announcer.announce();
   }
 
-  /** Ends it. */
+  /** Stops announcing. */
   stop(): void {
     this.#announcer.stop();
   }
--- a/packages/lovagepond-sidecar/src/sidecar_revisions.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_revisions.ts
@@ -1,6 +1,7 @@
 /**
- * The configuration in force here: revisions only rise, and no work is taken
- * before one is known to be as new as a majority's.
+ * The configuration in force at this sidecar. Revisions only increase, and no
+ * requests are accepted before the revision is known to be as new as a
+ * majority's.
  */
 import {
   type Configuration,
@@ -11,13 +12,14 @@
 /** Settings of {@link SidecarRevisions}. */
 export interface RevisionsSettings {
   /**
-   * An island without control: after its restart it serves with what a router
-   * brought, unconfirmed, when this is true; else it refuses as not ready.
+   * Whether a sidecar that restarted and can't reach control serves with an
+   * unconfirmed configuration from a router. If false, it refuses requests as
+   * not ready.
    */
   readonly serveUnconfirmed: boolean;
 }
 
-/** How a router's revision compares with the one in force. */
+/** Result of comparing a router's revision with the one in force. */
 export const REVISION_CHECK = {
   EQUAL: 'equal',
   ROUTER_BEHIND: 'routerBehind',
@@ -33,14 +35,14 @@
   readonly #settings: RevisionsSettings;
   readonly #published = new Published<Configuration>(EMPTY_CONFIGURATION);
   #confirmed = false;
-  /** The highest revision that a majority was known to hold. */
+  /** Highest revision that a majority is known to hold. */
   #floor = 0;
 
   constructor(settings: RevisionsSettings) {
     this.#settings = settings;
   }
 
-  /** @returns the published configuration, to read and to listen to */
+  /** @returns the published configuration, to read and to subscribe to */
   get published(): Published<Configuration> {
     return this.#published;
   }
@@ -51,12 +53,13 @@
   }
 
   /**
-   * A process that restarted after hundreds of changes holds nothing, or what
-   * some router held. Work is taken once a majority has confirmed a revision
-   * and one at least as new is in force: otherwise a change that operators
-   * were told is in force would be seen to revert.
+   * Whether requests may be accepted. A restarted process holds no
+   * configuration, or one from a router that may be hundreds of changes old. It
+   * accepts requests once a majority has confirmed a revision and one at least
+   * as new is in force. Otherwise a change that was reported to operators as in
+   * force would appear to be reverted.
    *
-   * @returns true when work may be taken
+   * @returns true when requests may be accepted
    */
   mayServe(): boolean {
     if (this.#confirmed && this.revision >= this.#floor) return true;
@@ -64,7 +67,7 @@
   }
 
   /**
-   * @param configuration from control or from a router
+   * @param configuration a configuration from control or from a router
    * @returns true when it was newer and is now in force
    */
   install(configuration: Configuration): boolean {
@@ -73,14 +76,16 @@
     return true;
   }
 
-  /** @param revision what control says a majority holds */
+  /**
+   * @param revision the revision that a majority holds, as reported by control
+   */
   confirm(revision: number): void {
     this.#confirmed = true;
     this.#floor = Math.max(this.#floor, revision);
   }
 
   /**
-   * @param revision the revision a router works with
+   * @param revision the router's revision
    * @returns which of the two is behind
    */
   compare(revision: number): RevisionCheck {
--- a/packages/lovagepond-sidecar/src/sidecar_role.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_role.ts
@@ -1,5 +1,5 @@
 /**
- * The sidecar: the slot beside one backend server, and the only way to it.
+ * The sidecar process: the only access path to one backend server.
  */
 import {
   type Clock,
@@ -34,16 +34,16 @@
 const RANDOM_DIGITS = 2 ** 32;
 const RADIX = 36;
 
-/** What a sidecar is given besides its settings. */
+/** Dependencies of a sidecar. */
 export interface SidecarDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly random: Random;
-  /** The connected backend server; the role closes it when it stops. */
+  /** Connected backend server; the role closes it on stop. */
   readonly backend: Backend;
 }
 
-/** One incarnation lasts from a start to its end. */
+/** Creates the name of this incarnation, which lasts until the process ends. */
 function makeIncarnation({clock, random}: SidecarDependencies): string {
   const started = Math.round(clock.wallTime()).toString(RADIX);
   return `${started}-${random.below(RANDOM_DIGITS).toString(RADIX)}`;
@@ -71,7 +71,7 @@
   readonly #server: SidecarServer;
   #mover: SidecarCacheMover | undefined;
   #drainAbort: AbortController | undefined;
-  /** The process ends: control can't take this leave back. */
+  /** The process is stopping, so control can't cancel this drain. */
   #isStopping = false;
   #address = '';
   #timers: NodeJS.Timeout[] = [];
@@ -88,7 +88,7 @@
     const incarnation = makeIncarnation(deps);
     this.#incarnation = incarnation;
     this.#gate = new SidecarGate({...settings, incarnation}, random);
-    this.#gate.setNotReady('The sidecar starts.');
+    this.#gate.setNotReady('The sidecar is starting.');
     this.#link = new SidecarControlLink(settings, random);
     this.#peers = new SidecarPeers(backendServer, pool, controlTimeoutMs);
     this.#configuration = new SidecarConfiguration(settings, {
@@ -121,12 +121,12 @@
     this.#server = this.#makeServer();
   }
 
-  /** @returns `host:port` that routers reach it at, once it started */
+  /** @returns `host:port` at which routers reach it, after the start */
   get address(): string {
     return this.#address;
   }
 
-  /** @returns the name of this run of the process */
+  /** @returns the incarnation of this process */
   get incarnation(): string {
     return this.#incarnation;
   }
@@ -172,8 +172,9 @@
     while (!this.#dispatcher.idle && clock.now() < endsAt) {
       await pause(IDLE_CHECK_MS);
     }
-    // Routers that have not heard yet are still refused, which costs them a
-    // hop; a closed port would count against the server and their budget.
+    // Keep refusing requests of routers that have not yet received the change
+    // of state. A refusal costs them one hop; a closed port would count as a
+    // failure of the server and against their retry budget.
     const {drainLingerMs} = this.#settings;
     await pause(Math.min(drainLingerMs, Math.max(0, endsAt - clock.now())));
     await this.#server.finish(Math.max(0, endsAt - clock.now()));
@@ -303,13 +304,16 @@
   }
 
   #notReadyReason(): string | undefined {
-    if (!this.#watch.up) return 'The backend server does not answer.';
+    if (!this.#watch.up) return 'The backend server does not respond.';
     return this.#configuration.mayServe()
       ? undefined
-      : 'No configuration is confirmed yet.';
+      : 'No configuration revision has been confirmed by control yet.';
   }
 
-  /** A change is announced at once: routers wait for nothing else. */
+  /**
+   * Updates the gate's readiness. A change of state is announced at once, as
+   * routers learn of it only from the announcement.
+   */
   #updateReadiness(): void {
     const before = this.#presence.state;
     this.#gate.setNotReady(this.#notReadyReason());
--- a/packages/lovagepond-sidecar/src/sidecar_settings.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_settings.ts
@@ -1,13 +1,13 @@
 /**
- * What a sidecar is told by its settings.
+ * Settings of a sidecar.
  */
 import {type Labels, type POOL_KIND} from '@lovagepond/core';
 import {DEFAULT_TAKER_SETTINGS, type TakerSettings} from './sidecar_take.js';
 import {DEFAULT_GATE_SETTINGS, type GateSettings} from './sidecar_types.js';
 
-/** What a restarted sidecar does while it can't reach control. */
+/** Behaviour of a restarted sidecar that can't reach control. */
 export const PARTITION_POLICY = {
-  /** Serve by a configuration that a router brought. */
+  /** Serve with a configuration received from a router. */
   SERVE: 'serve',
   /** Refuse requests with `notReady` until control confirms a revision. */
   REFUSE: 'refuse',
@@ -20,18 +20,21 @@
 /** One of the values of `POOL_KIND`. */
 export type BackendKind = (typeof POOL_KIND)[keyof typeof POOL_KIND];
 
-/** Settings of one sidecar. All times are milliseconds. */
+/** Settings of one sidecar. All times are in milliseconds. */
 export interface SidecarSettings
   extends Omit<GateSettings, 'incarnation'>, TakerSettings {
   readonly pool: string;
   readonly labels: Labels;
   readonly region: string;
   readonly availabilityZone: string;
-  /** IP number that the gRPC server listens on. */
+  /** IP address that the gRPC server listens on. */
   readonly host: string;
-  /** 0 lets the system choose. */
+  /** 0 selects a free port. */
   readonly port: number;
-  /** `host:port` told to routers; empty means the address listened on. */
+  /**
+   * `host:port` announced to routers; empty to announce the address listened
+   * on.
+   */
   readonly announcedAddress: string;
   /** `host:port` of every control member. */
   readonly controlAddresses: readonly string[];
@@ -39,39 +42,39 @@
   readonly backendUrl: string;
   readonly backendKind: BackendKind;
   readonly announceIntervalMs: number;
-  /** Time for one call to control. */
+  /** Timeout of one call to control. */
   readonly controlTimeoutMs: number;
-  /** Without an update for so long, another control member is tried. */
+  /** Time without an update after which another control member is tried. */
   readonly controlSilentAfterMs: number;
   readonly islandPolicy: PartitionPolicy;
-  /** Frames to a router come at least this often. */
+  /** Longest time without a frame to a router. */
   readonly heartbeatIntervalMs: number;
   readonly tickMs: number;
-  /** How long a run goes on without a router attached to it. */
+  /** How long a run continues without an attached stream. */
   readonly detachGraceMs: number;
-  /** How long a finished answer can still be attached to. */
+  /** How long a finished answer can be resumed. */
   readonly answerGraceMs: number;
-  /** Answer bytes kept for one attempt. */
+  /** Maximum number of answer bytes kept for one attempt. */
   readonly maxAnswerBytes: number;
-  /** Finished answers kept for routers that come back. */
+  /** Maximum number of finished answers kept for routers that reconnect. */
   readonly maxFinishedAnswers: number;
-  /** Largest request body, bytes. */
+  /** Maximum size of a request body, bytes. */
   readonly maxBodyBytes: number;
-  /** Time between two looks at the backend server. */
+  /** Interval between health checks of the backend server. */
   readonly backendProbeMs: number;
-  /** How long a leaving sidecar goes on refusing after its last request. */
+  /** How long a draining sidecar keeps refusing requests after its last run. */
   readonly drainLingerMs: number;
-  /** Longest planned leave. */
+  /** Longest time for draining. */
   readonly drainLimitMs: number;
-  /** Time for the whole of a claim, its repeats included. */
+  /** Time limit of a claim including its retries. */
   readonly claimTimeoutMs: number;
-  /** Bytes a second of KV cache sent during a planned leave; 0 sends none. */
+  /** KV cache bytes sent per second while draining; 0 sends none. */
   readonly moveBytesPerSecond: number;
-  /** Chats whose cache is moved at most. */
+  /** Maximum number of chats whose cache is moved. */
   readonly maxMovedChats: number;
 }
 
-/** Defaults for all that has a sensible one. */
+/** Defaults of all settings that have one. */
 export const DEFAULT_SIDECAR_SETTINGS = {
   ...DEFAULT_GATE_SETTINGS,
   ...DEFAULT_TAKER_SETTINGS,
