--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_admission.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_admission.test.ts
@@ -5,7 +5,7 @@
 
 const FLOOR = 1_000;
 const LOAD_BOUND = 1.5;
-/** Half of the span between the mean and the bound is given out. */
+/** Half of the span between the mean and the bound is admitted. */
 const EFFECTIVE_MULTIPLE = 1.25;
 const SETTINGS = {...DEFAULT_GATE_SETTINGS, floorTokens: FLOOR};
 const SEED = 20_260_412;
@@ -22,11 +22,11 @@
 });
 
 describe('the load bound', () => {
-  // All kiosks wake at once and routers send without looking. Each sidecar
-  // hears the pool's mean up to two seconds late and gets estimates from
-  // routers that are far off. After every single dispatch the true load of
-  // that server must stay within the floor or the multiple of the true mean.
-  it('is never exceeded in a wake with stale means', () => {
+  // Guards against a load above the bound in a surge. Each sidecar gets the
+  // pool's mean up to two seconds late, and routers send estimates that are far
+  // off. After each dispatch, the load of that server must stay within the
+  // floor or the multiple of the true mean.
+  it('is never exceeded in a surge with stale means', () => {
     const property = fc.property(
       fc.integer({min: 2, max: 6}),
       fc.integer({min: 0, max: 2_000}),
@@ -73,10 +73,10 @@
     fc.assert(property, {seed: SEED, numRuns: 200});
   });
 
-  // Control falls silent after a busy hour. The other servers finish and idle
-  // while this one still believes in the old mean; believed for good, it
-  // would run far above them. With age only the floor is left.
-  it('believes a mean less with its age', () => {
+  // Control stops sending means after a busy period. The other servers become
+  // idle, and an old mean at full weight would let this one run far above them.
+  // With age, the limit falls to the floor.
+  it('discounts a mean by its age', () => {
     const admission = makeAdmission();
     const mean = {meanTokens: 10_000, ageMs: 0, readyServers: 6, ownTokens: 0};
     admission.setPoolMean(mean, 0);
@@ -88,10 +88,10 @@
     expect(admission.limitTokens(10_000)).toBe(FLOOR);
   });
 
-  // The tail of a surge: the other servers finish all of their short requests
-  // while the mean that tells of them is on its way. Let in by that mean, work
-  // here would stand at a multiple of an idle pool. Long runs are still there.
-  it('believes less of a mean the shorter the runs are', () => {
+  // At the end of a surge, the other servers finish their short requests before
+  // the mean that includes them arrives. Admission by that mean would exceed an
+  // idle pool's load by a multiple. Long runs are still running at that time.
+  it('discounts a mean more for shorter runs', () => {
     const limits = [500, 60_000].map(runMs => {
       const admission = makeAdmission();
       const mean = {meanTokens: 6_000, ageMs: 1_000, readyServers: 6};
@@ -104,10 +104,9 @@
     expect(limits[1]).toBeGreaterThan(0.95);
   });
 
-  // A new control leader counts the pool's servers one by one. A sidecar that
-  // hears "one server" must not take the pool for its own; nor may one that
-  // has heard nothing yet.
-  it('stays when the pool seems to have shrunk to one server', () => {
+  // A new control leader counts the pool's servers one by one. A count of one
+  // server must not lift the bound, and neither must a missing count.
+  it('holds when the reported pool shrinks to one server', () => {
     const admission = makeAdmission();
     expect(admission.limitTokens(0)).toBe(FLOOR);
     const mean = {meanTokens: 100, ageMs: 0, readyServers: 6, ownTokens: 0};
@@ -122,10 +121,10 @@
     expect(admission.limitTokens(20_000)).toBe(SETTINGS.capacityTokens);
   });
 
-  // A sidecar restarts while its engine still runs what its predecessor
-  // dispatched. The engine's report, two seconds old, must count beside what
-  // was dispatched since, and not twice what both know.
-  it('corrects a lagging report by what was dispatched since', () => {
+  // After a restart of the sidecar, the engine still runs work of the former
+  // incarnation. The engine's report is two seconds old: it must be added to
+  // what was dispatched since, without counting work twice that both include.
+  it('corrects a delayed engine report by later dispatches', () => {
     const admission = makeAdmission();
     admission.setEngineReport(800, 2_000, 1_000);
     admission.start(300, 1_000);
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_backend.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_backend.test.ts
@@ -3,10 +3,10 @@
 import {expect, test} from 'vitest';
 import {runAtBackend} from '../../sidecar_backend.js';
 
-test('streams only what the request itself wants streamed', () => {
-  // The caller wants its answer in one piece, but some inner object of its
-  // request holds a field of the same name. Run as a stream, the answer would
-  // reach the caller as the text of events.
+test('streams only when the top-level field requests it', () => {
+  // The caller expects a single response, but a nested object of its request
+  // has a `stream` field. A streamed run would return the raw text of an event
+  // stream.
   const isStreamed = (body: object): boolean => {
     const seen: EngineRequest[] = [];
     const run = (request: EngineRequest): never[] => {
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_backend_watch.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_backend_watch.test.ts
@@ -4,7 +4,7 @@
 import {SidecarBackendWatch} from '../../sidecar_backend_watch.js';
 import {CLOCK, EchoEngine, LOG} from './sidecar_test_utils.js';
 
-/** An engine that can be told not to answer. */
+/** An engine whose load reports can fail. */
 class FlakyEngine extends EchoEngine {
   isResponsive = true;
 
@@ -37,8 +37,8 @@
   return {engine, gate, watch};
 }
 
-// Guards against a crash that looks to routers like any failed run.
-it('tells that the life in which a run began has ended', async () => {
+// Guards against reporting a crash to routers as an ordinary failed run.
+it('reports that the backend instance of a run has ended', async () => {
   const {engine, watch} = makeWatch();
   await watch.probe();
   const {instance} = watch;
@@ -55,11 +55,11 @@
   expect(await watch.hasEnded(instance + 1)).toBe(true);
 });
 
-// The engine restarts between two looks. Its cache is empty now: a chat that
-// still counts as warm would be held for a context that is gone. An engine
-// that doesn't answer twice is down; one request that can't be sent and one
-// failed look are enough as well.
-it('notices that its engine restarted, or is down', async () => {
+// The engine restarts between two probes, which empties its cache. If its chats
+// stayed marked as warm, requests would be held for a lost context. Two
+// failures mark the engine as down: failed probes or requests that can't be
+// sent.
+it('detects that its engine restarted or is down', async () => {
   const {engine, gate, watch} = makeWatch();
   expect(watch.up).toBe(false);
   await watch.probe();
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_cache_mover.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_cache_mover.test.ts
@@ -7,7 +7,7 @@
 import {SidecarPeers} from '../../sidecar_peers.js';
 import {CLOCK, EchoEngine, LOG, makeOffer} from './sidecar_test_utils.js';
 
-/** Peers whose calls are kept in a list. */
+/** Peers that record the moves of caches. */
 class RecordingPeers extends SidecarPeers {
   readonly moved: string[] = [];
 
@@ -20,10 +20,10 @@
   }
 }
 
-// The server leaves while a chat is still answered. Chats whose answers are
-// done move at once; the one that ends during the leave has its context to
-// move then, or it would be rebuilt on its return.
-it('moves also what is still answered when the leave starts', async () => {
+// A chat's answer ends only during the drain. Its cache must be moved then, as
+// the caches of finished chats are at the start; otherwise its context would be
+// rebuilt on its return.
+it('also moves chats whose answers end during the drain', async () => {
   const gate = new SidecarGate(
     {
       ...DEFAULT_GATE_SETTINGS,
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_claims.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_claims.test.ts
@@ -16,7 +16,7 @@
 const SEED = 88_021;
 const KEY = 'redeem-1';
 
-/** The ledger as control keeps it: one key, bound to one attempt. */
+/** Control's ledger for one key, bound to one attempt. */
 class FakeLedger {
   #entry: {attempt: string; incarnation: string; state: string} | undefined;
   readonly #released = new Set<string>();
@@ -50,14 +50,17 @@
   }
 }
 
-/** A message on its way; delivered, dropped or kept for later by the test. */
+/** A message in transit, which the test delivers, drops or defers. */
 interface Message {
   readonly deliver: () => void;
   /** The transport may deliver it again. */
   readonly repeatable: boolean;
 }
 
-/** Callers, one sidecar at a time, the ledger and a service that counts. */
+/**
+ * Callers, one sidecar at a time, the ledger, and a service that counts its
+ * runs.
+ */
 class Harness {
   readonly ledger = new FakeLedger();
   readonly messages: Message[] = [];
@@ -74,7 +77,7 @@
     this.restart();
   }
 
-  /** The sidecar dies with all it knew; what is on its way stays there. */
+  /** Restarts the sidecar without its state; messages in transit remain. */
   restart(): void {
     this.#incarnation += 1;
     this.ledger.register(this.#name);
@@ -97,7 +100,7 @@
     return `inc-${this.#incarnation}`;
   }
 
-  /** A router tries once more, under a new attempt. */
+  /** Retries the call under a new attempt. */
   offer(): void {
     this.attempts += 1;
     const attemptId = this.attemptId;
@@ -123,7 +126,7 @@
     this.#perform(this.#gate.tick(this.now));
   }
 
-  /** The sidecar's own messages reach only the incarnation that sent them. */
+  /** Posts a message that only the incarnation that sent it can receive. */
   #post(run: () => void): void {
     const sender = this.#incarnation;
     this.messages.push({
@@ -149,7 +152,7 @@
 
   #dispatch(attemptId: string): void {
     this.dispatchedAttempts.add(attemptId);
-    // The service may get the call after its sidecar died.
+    // The service may receive the call after its sidecar has crashed.
     this.messages.push({repeatable: false, deliver: () => (this.runs += 1)});
     this.#post(() => {
       const finished = this.#claims.finished(attemptId, 'ran', this.now);
@@ -228,7 +231,8 @@
     twice: () => {
       const message = harness.messages.shift();
       message?.deliver();
-      // A call to the service has no second copy: it is sent over one stream.
+      // A call to the service has no second copy, as it is sent over one
+      // stream.
       if (message?.repeatable) harness.messages.push(message);
     },
     drop: () => void harness.messages.shift(),
@@ -247,11 +251,11 @@
   for (const move of moves) handlers[move]();
 }
 
-describe('a call that may not be repeated', () => {
-  // The caller redeems a voucher. The sidecar dies between every two steps of
-  // claim, grant, dispatch, answer and record, and a router tries again. The
-  // service must never see two runs, and none after "not run".
-  it('runs at most once whichever step the sidecar dies after', () => {
+describe('a non-repeatable call', () => {
+  // The sidecar crashes between any two steps of claim, grant, dispatch, answer
+  // and record, and a router retries the call. The service must never run it
+  // twice, nor after "not run" was reported.
+  it('runs at most once whichever step the sidecar crashes after', () => {
     for (let steps = 0; steps < 12; steps += 1) {
       const harness = new Harness();
       const before = Array.from({length: steps}, (): Move => 'deliver');
@@ -262,9 +266,9 @@
     }
   });
 
-  // Now claims, answers and records are lost, doubled and late as well, and
-  // routers revoke; the order comes from a seed.
-  it('runs at most once with messages lost, late and doubled', () => {
+  // Claims, answers and records are also lost, duplicated and delayed, and
+  // routers revoke attempts, in a seeded random order.
+  it('runs at most once with lost, late and duplicated messages', () => {
     const move = fc.constantFrom<Move>(
       'deliver',
       'deliver',
@@ -292,8 +296,8 @@
     fc.assert(property, {seed: SEED, numRuns: 1_000});
   });
 
-  // The ledger granted the claim, but its answers are lost. The call is
-  // refused as not run in time, the ledger hears it, and a repeat may run.
+  // The ledger granted the claim, but its answers are lost. The call must be
+  // refused as not run in time and recorded as such, so that a repeat can run.
   it('is refused as not run when the claim is not confirmed', () => {
     const harness = new Harness();
     harness.offer();
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_dispatcher.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_dispatcher.test.ts
@@ -21,7 +21,7 @@
   maxAnswerBytes: 100,
 };
 
-/** A router's stream that can be told to take no more. */
+/** A router's stream that can report congestion. */
 class FakeStream implements FrameStream {
   readonly frames: FrameBody[] = [];
   isWritable = true;
@@ -37,7 +37,7 @@
   }
 }
 
-/** An engine whose events the test gives, one run after the other. */
+/** An engine that emits scripted events, one script per run. */
 class ScriptedEngine extends EchoEngine {
   readonly scripts: EngineEvent[][] = [];
   readonly resumes: number[] = [];
@@ -57,7 +57,7 @@
   }
 }
 
-/** Whether a run that breaks off finds its engine ended. */
+/** Whether the backend instance of an interrupted run has ended. */
 const hasCrashed = {value: false};
 
 function makeFixture(engine: EchoEngine): {
@@ -117,29 +117,32 @@
   for (let turn = 0; turn < 50; turn += 1) await Promise.resolve();
 }
 
-describe('an attempt that breaks off', () => {
+describe('an interrupted attempt', () => {
   it.each([
     [true, 'inc-1.0'],
     [false, ''],
-  ])('names the life that ended (%s)', async (hasEnded, crashedLife) => {
-    hasCrashed.value = hasEnded;
-    const engine = new ScriptedEngine();
-    const failure = makeFailure('backendFailed');
-    engine.scripts.push([{kind: 'failed', failure}]);
-    const {dispatcher} = makeFixture(engine);
-    const stream = new FakeStream();
-    dispatcher.offer(makeRequest('a'), stream);
-    await settle();
-    hasCrashed.value = false;
-    expect(stream.frames.at(-1)?.failed).toMatchObject({crashedLife});
-  });
+  ])(
+    'names the backend instance that crashed (%s)',
+    async (hasEnded, crashedLife) => {
+      hasCrashed.value = hasEnded;
+      const engine = new ScriptedEngine();
+      const failure = makeFailure('backendFailed');
+      engine.scripts.push([{kind: 'failed', failure}]);
+      const {dispatcher} = makeFixture(engine);
+      const stream = new FakeStream();
+      dispatcher.offer(makeRequest('a'), stream);
+      await settle();
+      hasCrashed.value = false;
+      expect(stream.frames.at(-1)?.failed).toMatchObject({crashedLife});
+    },
+  );
 });
 
 describe('an attempt whose stream is lost', () => {
-  // The stream breaks in the middle of the answer and the sidecar notices
-  // before the router is back. The run must go on for a while, and the router
-  // gets the rest over its next stream; nobody coming, the run is cancelled.
-  it('runs on until the router is back, and not for ever', async () => {
+  // The router's stream breaks in the middle of an answer. The run must
+  // continue for a grace period, in which the router can resume on a new
+  // stream. If none comes, the run is cancelled.
+  it('keeps running for the grace period and no longer', async () => {
     let finishRun = (): void => {};
     const engine = new EchoEngine();
     engine.gate = new Promise(resolve => (finishRun = resolve));
@@ -163,8 +166,8 @@
     expect(dispatcher.idle).toBe(true);
   });
 
-  // The answer is whole, but the frame that says so was lost with the stream.
-  it('gives the end of a finished answer again', async () => {
+  // The answer is complete, but its end frame was lost with the stream.
+  it('resends the end of a finished answer', async () => {
     const {dispatcher} = makeFixture(new EchoEngine());
     const first = new FakeStream();
     dispatcher.offer(makeRequest('a'), first);
@@ -177,10 +180,10 @@
   });
 });
 
-describe('a planned leave', () => {
-  // The engine has finished, but the router still reads the answer. The leave
-  // must not count as over, or the process would stop and cut it.
-  it('is not over while an answer is still sent', async () => {
+describe('draining', () => {
+  // The engine has finished, but the router is still reading. If the drain
+  // counted as complete, the process would stop and truncate the answer.
+  it('is not complete while an answer is still being sent', async () => {
     const {dispatcher, gate} = makeFixture(new EchoEngine());
     const stream = new FakeStream();
     stream.isWritable = false;
@@ -195,10 +198,10 @@
   });
 });
 
-describe('whole answers', () => {
-  // The engine's stream breaks after five bytes. It still holds the generation
-  // and goes on from there; the caller reads one answer without a seam.
-  it('goes on where the engine agrees', async () => {
+describe('complete answers', () => {
+  // The engine's stream breaks after five bytes, but the engine still holds the
+  // generation. It resumes there, and the caller gets one contiguous answer.
+  it('resumes a generation that the engine still holds', async () => {
     const engine = new ScriptedEngine();
     const failure = makeFailure('backendFailed');
     engine.scripts.push([data(0, '01234'), {kind: 'failed', failure}]);
@@ -212,8 +215,8 @@
     expect(stream.frames.at(-1)?.end?.totalBytes).toBe(10);
   });
 
-  // Bytes of another generation arrive: at a wrong place, or fewer than the
-  // end claims. The caller must never be told that this is a whole answer.
+  // Bytes arrive at a wrong offset, or fewer than the end frame states. Such an
+  // answer must not be reported as complete.
   it.each([
     ['a gap', [data(0, '01'), data(4, '45'), end(6)]],
     ['a doubled piece', [data(0, '01'), data(0, '01'), end(4)]],
@@ -231,8 +234,8 @@
     expect(gate.idle).toBe(true);
   });
 
-  // The router reads nothing. The engine must not be read ahead of it without
-  // a limit, or a few slow readers would fill the memory of the sidecar.
+  // The router reads nothing. Reading the engine without a limit would let a
+  // few slow readers exhaust the memory of the sidecar.
   it('reads the engine no faster than the router reads', async () => {
     const engine = new ScriptedEngine();
     const kilobyte = 'x'.repeat(1_024);
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_gate.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_gate.test.ts
@@ -40,9 +40,9 @@
     expect(kinds(gate.finish('a', {kind: 'done'}, 50))).toEqual(['dispatch b']);
   });
 
-  // The router revokes in the same instant as the engine gets room. Whichever
-  // passes the attempt table first wins; the caller must never read "not run"
-  // of a request that was dispatched, nor see a revoked one dispatched.
+  // A revoke arrives at the moment the engine gets capacity. Exactly one of
+  // revoke and dispatch must succeed: a dispatched request must not be reported
+  // as not run, nor a revoked one be dispatched.
   it('lets exactly one of revoke and dispatch win', () => {
     const gate = makeGate();
     gate.offer(makeOffer('a'), 0);
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_gate_failures.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_gate_failures.test.ts
@@ -32,7 +32,7 @@
   return actions.filter(action => action.kind === 'refuse');
 }
 
-/** A server that finishes its oldest run every so often, in virtual time. */
+/** A server in virtual time that finishes its oldest run on request. */
 class VirtualServer {
   readonly #gate: SidecarGate;
   readonly #runs: string[] = [];
@@ -60,11 +60,11 @@
 }
 
 describe('a surge of one workspace', () => {
-  // One workspace sends two thousand requests in a second; nine others send
-  // one each now and then. The quiet ones must be served as if the surge were
-  // not there, up to a round, and the surge must be told early and at
-  // spread-out times when to come back.
-  it('leaves nine quiet workspaces as they were', () => {
+  // One workspace sends two thousand requests in a second, and nine others send
+  // one each from time to time. The quiet workspaces must wait at most one
+  // round, and the surge must be refused early with retry times spread over the
+  // server's rate.
+  it('does not delay nine quiet workspaces', () => {
     const gate = makeGate();
     const server = new VirtualServer(gate);
     const quiet: string[] = [];
@@ -86,12 +86,14 @@
     }
     const waits = quiet.map(attemptId => server.heldMs.get(attemptId));
     expect(waits).not.toContain(undefined);
-    // One round: six of the surge fit into a quantum and its rest, and one of
-    // each quiet workspace; before it ends the run under way. 40 ms each.
+    // One round: six requests of the surge fit into a quantum and its
+    // remainder, plus one of each quiet workspace, after the run in progress.
+    // Each takes 40 ms.
     expect(Math.max(...waits.map(Number))).toBeLessThanOrEqual(16 * 40);
     const times = server.refused.map(({failure}) => failure.retryAfterMs);
     expect(times.length).toBeGreaterThan(1_000);
-    // Called back at the server's rate: as many in ten seconds as it can take.
+    // Retries are spread at the server's rate: as many within ten seconds as it
+    // can serve.
     const soon = times.filter(time => time < 10_000).length;
     expect(soon).toBeLessThan((10_000 / 40) * 1.5);
   });
@@ -108,10 +110,10 @@
 });
 
 describe('early refusal', () => {
-  // The queue is long and the deadline short. The caller learns at once, not
-  // at its deadline, and with a time to come back; one that was held and can
-  // no longer be served is answered as soon as that is known.
-  it('answers what can not be served in time at once', () => {
+  // The queue is long and the deadline short. A request that can't be served in
+  // time must be refused at once with a retry time, and a held one as soon as
+  // that is certain, instead of at its deadline.
+  it('refuses at once what can not be served in time', () => {
     const gate = makeGate({maxHoldMs: 60_000});
     gate.offer(makeOffer('running', {tokens: 1_000}), 0);
     gate.offer(makeOffer('held', {tokens: 900, deadlineAt: 400}), 0);
@@ -133,11 +135,12 @@
   });
 });
 
-describe('a planned leave', () => {
-  // The server leaves with one request running, one that can be served within
-  // the limit and many that can't. What runs is not touched, what fits is
-  // served, the rest and all new ones are told at once that they did not run.
-  it('refuses what does not fit and cuts nothing', () => {
+describe('draining', () => {
+  // The server drains with one request running, one that fits within the limit,
+  // and many that don't. The running one must not be interrupted and the
+  // fitting one must be served; the others and all new ones are refused at
+  // once.
+  it('refuses what does not fit and interrupts nothing', () => {
     const gate = makeGate({maxHoldMs: 60_000});
     gate.offer(makeOffer('running', {tokens: 1_000}), 0);
     gate.offer(makeOffer('fits', {tokens: 500}), 0);
@@ -161,9 +164,9 @@
 });
 
 describe('a backend server that is down', () => {
-  // The engine dies while requests wait for it. Their routers are told at
-  // once that they did not run, and can go elsewhere.
-  it('lets go of all that waits', () => {
+  // The engine crashes while requests are held for it. They must be refused as
+  // not run at once, so that their routers can try another server.
+  it('refuses all held requests', () => {
     const gate = makeGate();
     gate.offer(makeOffer('running', {tokens: 1_000}), 0);
     gate.offer(makeOffer('a'), 0);
@@ -178,11 +181,11 @@
 });
 
 describe('hold and take', () => {
-  // A taker asks, the victim hands a request over, and the answer is lost on
-  // its way. The router, which alone owns the request, goes to the taker; the
-  // taker asks again and gets another request. Each is dispatched exactly once,
-  // none at the victim, and a request that was handed over stays where it is.
-  it('hands over exactly once though the answer to Take is lost', () => {
+  // The victim hands a request over, but its answer to Take is lost. The
+  // router, which owns the request, sends it to the taker; the taker asks again
+  // and gets another one. Each must be dispatched exactly once and not at the
+  // victim, and must not be handed over a second time.
+  it('hands over exactly once although the answer to Take is lost', () => {
     const victim = makeGate();
     const taker = new SidecarGate(
       {...SETTINGS, backendServer: 'engine-2'},
@@ -214,8 +217,9 @@
     expect(taker.handOver('engine-3', 1_000, 5).attemptIds).toEqual([]);
   });
 
-  // Two requests wait; the longer-waiting one has its whole context here. To
-  // hand it over would rebuild more than the wait it saves.
+  // Two requests are held, and the one that waits longer has its context cached
+  // here. Handing that one over would cost more for the rebuild than the saved
+  // wait.
   it('hands over the request with the least warm context', () => {
     const gate = makeGate();
     gate.cache.apply(1, 'bakery', 'warm', 400_000);
@@ -226,8 +230,8 @@
     expect(gate.handOver('engine-2', 500, 3).attemptIds).toEqual([]);
   });
 
-  // Room is kept for the request on its way, and only for a while.
-  it('keeps room for what was taken', () => {
+  // Capacity is reserved for the request in transit, for a limited time.
+  it('reserves capacity for a taken request', () => {
     const gate = makeGate();
     gate.reserve('engine-2', 700, 250);
     expect(kinds(gate.offer(makeOffer('other', {tokens: 600}), 0))).toEqual([
@@ -241,10 +245,10 @@
 });
 
 describe('pointers', () => {
-  // A chat was served elsewhere, so its return is sent there. That server has
-  // gone meanwhile and the request comes back. Sent along the pointer again,
-  // it would bounce until its deadline.
-  it('sends a chat to where it is warm, but a request only once', () => {
+  // A pointer redirects a returning chat to the server that served it last.
+  // That server no longer serves the chat, and the request returns. With a
+  // second redirect it would bounce until its deadline.
+  it('redirects a chat to its warm server, but a request only once', () => {
     const gate = makeGate();
     gate.pointers.put('bakery', 'chat-1', 'engine-9', 0);
     const first = makeOffer('x.1', {requestId: 'x'});
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_gate_properties.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_gate_properties.test.ts
@@ -11,7 +11,7 @@
 const SEED = 730_114;
 const FLOOR = 1_000;
 
-/** What a router, an engine and the ledger may do to one attempt. */
+/** Events of a router, an engine and the ledger for one attempt. */
 const STEPS = [
   'offer',
   'revoke',
@@ -35,7 +35,7 @@
 
 type Step = typeof step extends fc.Arbitrary<infer Value> ? Value : never;
 
-/** Follows what the gate says of each attempt and fails on a contradiction. */
+/** Tracks the gate's actions for each attempt and fails on a contradiction. */
 class ActionTrace {
   readonly dispatched = new Map<string, number>();
   readonly running = new Map<string, number>();
@@ -121,11 +121,11 @@
 }
 
 describe('the gate under any order of events', () => {
-  // Routers offer, offer again, revoke and go away; claims are granted late;
-  // runs end in every way; takers come; the server leaves. Whatever the order,
-  // an attempt that anybody was told is "not run" is never dispatched, none
-  // is dispatched twice, and no work stays counted when all of it has ended.
-  it('keeps "not run" true and dispatches nothing twice', () => {
+  // Routers offer, repeat, revoke and disconnect; claims are granted late; runs
+  // end in every way; takers ask for work; the server drains. In any order, an
+  // attempt reported as "not run" is never dispatched, none is dispatched
+  // twice, and no tokens remain counted once all work has ended.
+  it('dispatches nothing twice and nothing reported as "not run"', () => {
     const property = fc.property(
       fc.array(step, {minLength: 20, maxLength: 120}),
       steps => {
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_role.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_role.test.ts
@@ -61,10 +61,10 @@
       .toBe(true);
   });
 
-  // The router's connection goes silent in the middle of an answer. It sends
-  // the same attempt over a fresh one, from the bytes that it has. The caller
-  // must get the rest of the same answer, and the engine must run only once.
-  it('goes on with a running answer over another stream', async () => {
+  // The router's connection stops responding in the middle of an answer, and it
+  // resends the attempt over a new one with its current offset. The caller must
+  // get the rest of the same answer, and the engine must run only once.
+  it('resumes a running answer over another stream', async () => {
     let finishRun = (): void => {};
     engine.gate = new Promise(resolve => (finishRun = resolve));
     const request = {attemptId: 'b.1', requestId: 'b', body: BODY};
@@ -83,10 +83,10 @@
     expect(engine.cancelled).toEqual([]);
   });
 
-  // The planned leave starts while an answer is under way. The caller must
-  // read it to its end; another attempt is refused as not run at once, and
-  // the leave is over when nothing runs any more.
-  it('cuts nothing when it drains', async () => {
+  // The drain starts during an answer, which must be sent to its end. Another
+  // attempt is refused as not run at once, and the drain completes when nothing
+  // runs any more.
+  it('interrupts nothing when it drains', async () => {
     let finishRun = (): void => {};
     engine.gate = new Promise(resolve => (finishRun = resolve));
     const running = router.attempt({attemptId: 'c.1', body: BODY});
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_state.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_state.test.ts
@@ -7,10 +7,11 @@
 import {REVISION_CHECK, SidecarRevisions} from '../../sidecar_revisions.js';
 
 describe('the cache index', () => {
-  // The engine's events come late and some are lost. A chat that was stored
-  // before the gap may have been evicted in it: called warm it would be held
-  // for a context that is gone, called cold it would be sent away from it.
-  it('is unsure of everything older than a gap', () => {
+  // The engine's events arrive late, and some are lost. A chat stored before
+  // the gap may have been evicted during it. Marked as warm, it would be held
+  // for a lost context; marked as cold, it would be sent away from a cached
+  // one.
+  it('reports everything older than a gap as unknown', () => {
     const index = new SidecarCacheIndex(8);
     index.apply(1, 'w', 'old', 100);
     expect(index.read('w', 'old')).toEqual({warmth: 'warm', tokens: 100});
@@ -25,7 +26,8 @@
     expect(index.read('w', 'old').warmth).toBe('unknown');
     index.noteGap(7);
     expect(index.read('w', 'new').warmth).toBe('unknown');
-    // The engine restarted and counts anew: its events are not old ones.
+    // After an engine restart the sequence starts again, so its events are not
+    // duplicates.
     index.noteGap(0);
     index.apply(1, 'w', 'new', 60);
     expect(index.read('w', 'new')).toEqual({warmth: 'warm', tokens: 60});
@@ -33,7 +35,7 @@
     expect(index.read('w', 'new')).toEqual({warmth: 'unknown', tokens: 0});
   });
 
-  it('expects what was served here, and is sure of it by an event', () => {
+  it('marks a served chat as warm only after an event', () => {
     const index = new SidecarCacheIndex(2);
     index.noteServed('w', 'a', 70);
     expect(index.read('w', 'a')).toEqual({warmth: 'unknown', tokens: 70});
@@ -42,7 +44,7 @@
     expect(index.read('w', 'a')).toEqual({warmth: 'warm', tokens: 90});
   });
 
-  it('is bounded, and unsure of what it dropped', () => {
+  it('is bounded and reports evicted chats as unknown', () => {
     const index = new SidecarCacheIndex(2);
     for (const [sequence, chat] of ['a', 'b', 'c'].entries()) {
       index.apply(sequence + 1, 'w', chat, 10);
@@ -53,9 +55,9 @@
 });
 
 describe('fencing of orders', () => {
-  // A leader was deposed and its order is delivered late, right after the
-  // sidecar restarted and forgot the newer order it had passed. Nothing may
-  // pass before a majority told the floor; the old order never does.
+  // An order of a deposed leader arrives late, right after the sidecar
+  // restarted and lost its record of a newer order. No order may pass before
+  // the floor of a majority is known, and the old one never.
   it('passes nothing after a restart before the floor is known', () => {
     const fencing = new SidecarFencing();
     const stale = {orderId: 'old', fencingToken: 7};
@@ -76,8 +78,9 @@
 
 describe('revisions', () => {
   // A restarted sidecar gets an old configuration from a router. It must not
-  // serve by it before a majority confirmed a revision, and never go back.
-  it('only rise, and serve only when a majority confirmed them', () => {
+  // serve with it before a majority has confirmed a revision, and revisions
+  // must never decrease.
+  it('only rise, and serve only once a majority confirmed them', () => {
     const revisions = new SidecarRevisions({serveUnconfirmed: false});
     revisions.install({...EMPTY_CONFIGURATION, revision: 5});
     expect(revisions.mayServe()).toBe(false);
@@ -95,9 +98,9 @@
 });
 
 describe('attempts', () => {
-  // So many attempts end that their records are dropped for space. A revoke
-  // of one that ran must not be answered "revoked" because it was forgotten.
-  it('claim no knowledge of what was dropped for space', () => {
+  // So many attempts end that records are evicted. A revoke of an attempt that
+  // ran must not be answered "revoked" because its record is gone.
+  it('answer revokes of evicted records as unknown', () => {
     const attempts = new SidecarAttempts({
       refusalRetentionMs: 1_000,
       attemptRetentionMs: 1_000,
@@ -115,11 +118,11 @@
   });
 });
 
-describe('attempts that were taken back before they came', () => {
-  // Routers take back attempts that a silent connection still holds, while so
-  // many others are refused that records are dropped. Each that was answered
-  // "revoked" must be refused when it arrives after all.
-  it('are never forgotten for space', () => {
+describe('attempts that were revoked before their arrival', () => {
+  // Routers revoke attempts that are still in transit on an unresponsive
+  // connection, while many other refusals cause evictions. Each attempt that
+  // was answered "revoked" must be refused when it arrives.
+  it('are never evicted to save space', () => {
     const attempts = new SidecarAttempts({
       refusalRetentionMs: 1_000,
       attemptRetentionMs: 1_000,
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_test_utils.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_test_utils.ts
@@ -1,6 +1,6 @@
 /**
- * Small stand-ins at the sidecar's borders: an engine whose runs the test
- * drives, a control with one answer to each call, and a router's view.
+ * Fakes of the sidecar's neighbours: an engine whose runs the test controls, a
+ * control process with one fixed answer per call, and a router's client.
  */
 import {
   Client,
@@ -61,12 +61,12 @@
   };
 }
 
-/** An engine that answers each request with its own body, in two pieces. */
+/** An engine that echoes each request's body in two pieces. */
 export class EchoEngine implements ModelEngine {
   readonly runs: string[] = [];
   readonly cancelled: string[] = [];
   incarnation = 'engine-a';
-  /** Waits for each run after its first piece; unset to go straight on. */
+  /** Blocks each run after its first piece; unset for no delay. */
   gate: Promise<void> | undefined;
 
   async *run(
@@ -134,7 +134,10 @@
   }
 }
 
-/** A control of one member: confirms revision 1 and accepts announcements. */
+/**
+ * A control process of one member: confirms revision 1 and accepts
+ * announcements.
+ */
 export class FakeControl {
   readonly #server = new Server();
   readonly announced: lovagepond.v1.AnnounceRequest.$Properties[] = [];
@@ -194,17 +197,17 @@
   }
 }
 
-/** Frames of one attempt as a router reads them. */
+/** Frames of one attempt as received by a router. */
 export interface OpenAttempt {
   readonly frames: Frame[];
-  /** Resolves when a frame of this kind came. */
+  /** Resolves when a frame of this kind has arrived. */
   until(kind: NonNullable<Frame['kind']>): Promise<Frame>;
-  /** Resolves when the stream is over. */
+  /** Resolves when the stream has ended. */
   readonly over: Promise<void>;
   cancel(): void;
 }
 
-/** The answer's bytes in a list of frames, each at its offset. */
+/** Joins the answer's bytes of a list of frames. */
 export function joinChunks(frames: readonly Frame[]): string {
   const chunks = frames.flatMap(frame => (frame.chunk ? [frame.chunk] : []));
   return Buffer.concat(chunks.map(({data}) => data ?? Buffer.of())).toString();
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_warm_candidates.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_warm_candidates.test.ts
@@ -31,11 +31,11 @@
   };
 }
 
-describe('a young first choice', () => {
-  // The caller's chat began on "old" before "young" joined and became its
-  // first choice. Asked first, "young" must send the request to where the
-  // context is; asked again, or when it is warm itself, it must serve it.
-  it('sends a chat that it never saw to its former home', () => {
+describe('a first choice that joined recently', () => {
+  // The chat began on "old" before "young" joined and became its first choice.
+  // "young" must redirect the request to the server with the context, and serve
+  // the chat once it is warm itself.
+  it('redirects an unknown chat to its former first choice', () => {
     const young = makeGate('young');
     const [sent] = young.offer(makeOffer('young', 1, ['old']), 0);
     expect(sent).toMatchObject({
@@ -52,9 +52,10 @@
     expect(warm).toMatchObject({kind: 'accept'});
   });
 
-  // The former home has lost the context too. Rebuilt there, chats would pile
-  // up on the oldest servers: it goes back, and is served at the first choice.
-  it('gets a chat back that is cold at its former home as well', () => {
+  // The former first choice has lost the context too. It must redirect the chat
+  // to its first choice: rebuilding it would concentrate chats on the oldest
+  // servers.
+  it('gets back a chat that is cold at its former first choice', () => {
     const [back] = makeGate('old').offer(makeOffer('old', 2, ['old']), 0);
     expect(back).toMatchObject({kind: 'refuse', pointer: 'young'});
     const [served] = makeGate('young').offer(makeOffer('young', 3, []), 1);
