--- a/packages/lovagepond-scenarios/src/world/gated_server.ts
+++ b/packages/lovagepond-scenarios/src/world/gated_server.ts
@@ -160,7 +160,7 @@
         this.refusals.push(refusal);
         this.onRefuse(refusal);
       },
-      rejectCopy: () => undefined,
+      rejectDuplicate: () => undefined,
       claim: ({attemptId}) => {
         this.claims.push(attemptId);
         this.onClaim(this.#offerOf(attemptId));
--- a/packages/lovagepond-sidecar/src/sidecar_dispatcher.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_dispatcher.ts
@@ -131,7 +131,8 @@
       session.send(makeAccepted(expectedWaitMs));
     },
     refuse: (action, session, now) => this.#refuse(action, session, now),
-    rejectCopy: ({failure}, session, now) => this.#fail(session, failure, now),
+    rejectDuplicate: ({failure}, session, now) =>
+      this.#fail(session, failure, now),
     claim: (_action, session) => this.#calls.start(session.request),
     dispatch: (_action, session) => void this.#run(session),
     cancel: ({attemptId}) => this.#aborts.get(attemptId)?.abort(),
--- a/packages/lovagepond-sidecar/src/sidecar_gate.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_gate.ts
@@ -16,7 +16,7 @@
   readGateLoad,
 } from './sidecar_gate_components.js';
 import {
-  answerCopy,
+  answerDuplicate,
   findRefusal,
   isFirstChoice,
   makeRefusal,
@@ -105,11 +105,11 @@
    */
   offer(offer: Offer, now: number): GateAction[] {
     const {attemptId} = offer;
-    const copy = answerCopy(
+    const duplicate = answerDuplicate(
       attemptId,
       this.#components.attempts.stateOf(attemptId),
     );
-    if (copy) return [copy];
+    if (duplicate) return [duplicate];
     this.#components.admission.setRouterEstimate(offer.poolMeanTokens, now);
     const refusal = findRefusal(
       offer,
--- a/packages/lovagepond-sidecar/src/sidecar_gate_refusals.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_gate_refusals.ts
@@ -75,7 +75,7 @@
  * @param state state of the attempt; undefined when it is new
  * @returns the answer; undefined for a new attempt
  */
-export function answerCopy(
+export function answerDuplicate(
   attemptId: string,
   state: AttemptState | undefined,
 ): GateAction | undefined {
@@ -83,7 +83,7 @@
   if (state === ATTEMPT_STATE.NOT_RUN) return makeRefusal(attemptId, 'revoked');
   const message = 'Duplicate attempt: only the first delivery is answered.';
   const failure = makeFailure('inProgress', {message});
-  return {kind: 'rejectCopy', attemptId, failure};
+  return {kind: 'rejectDuplicate', attemptId, failure};
 }
 
 function checkIncarnation(
--- a/packages/lovagepond-sidecar/src/sidecar_types.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_types.ts
@@ -85,8 +85,8 @@
  * A duplicate of a known attempt arrived. The attempt may have run, but the
  * duplicate did not.
  */
-export interface RejectCopyAction {
-  readonly kind: 'rejectCopy';
+export interface RejectDuplicateAction {
+  readonly kind: 'rejectDuplicate';
   readonly attemptId: string;
   readonly failure: Failure;
 }
@@ -128,7 +128,7 @@
 export type GateAction =
   | AcceptAction
   | RefuseAction
-  | RejectCopyAction
+  | RejectDuplicateAction
   | ClaimAction
   | DispatchAction
   | CancelAction
