--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_backend_watch.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_backend_watch.test.ts
@@ -4,12 +4,12 @@
 import {SidecarBackendWatch} from '../../sidecar_backend_watch.js';
 import {CLOCK, EchoEngine, LOG} from './sidecar_test_utils.js';
 
-/** An engine that can be told not to answer. */
+/** An engine whose load reports can fail. */
 class FlakyEngine extends EchoEngine {
-  answers = true;
+  isResponsive = true;
 
   override loadReport(): ReturnType<EchoEngine['loadReport']> {
-    if (this.answers) return super.loadReport();
+    if (this.isResponsive) return super.loadReport();
     return Promise.resolve({ok: false, failure: makeFailure('unreachable')});
   }
 }
@@ -37,46 +37,46 @@
   return {engine, gate, watch};
 }
 
-// Guards against a crash that looks to routers like any failed run.
-it('tells that the life in which a run began has ended', async () => {
+// Guards against reporting a crash to routers as an ordinary failed run.
+it('reports that the backend instance of a run has ended', async () => {
   const {engine, watch} = makeWatch();
-  await watch.look();
-  const {life} = watch;
-  expect(await watch.hasEnded(life)).toBe(false);
-  engine.answers = false;
-  expect(await watch.hasEnded(life)).toBe(true);
-  await watch.look();
-  expect(watch.life).toBe(life + 1);
-  engine.answers = true;
+  await watch.probe();
+  const {instance} = watch;
+  expect(await watch.hasEnded(instance)).toBe(false);
+  engine.isResponsive = false;
+  expect(await watch.hasEnded(instance)).toBe(true);
+  await watch.probe();
+  expect(watch.instance).toBe(instance + 1);
+  engine.isResponsive = true;
   engine.incarnation = 'engine-b';
-  await watch.look();
-  expect(watch.life).toBe(life + 1);
+  await watch.probe();
+  expect(watch.instance).toBe(instance + 1);
   engine.incarnation = 'engine-c';
-  expect(await watch.hasEnded(life + 1)).toBe(true);
+  expect(await watch.hasEnded(instance + 1)).toBe(true);
 });
 
-// The engine restarts between two looks. Its cache is empty now: a chat that
-// still counts as warm would be held for a context that is gone. An engine
-// that doesn't answer twice is down; one request that can't be sent and one
-// failed look are enough as well.
-it('notices that its engine restarted, or is down', async () => {
+// The engine restarts between two probes, which empties its cache. If its chats
+// stayed marked as warm, requests would be held for a lost context. Two
+// failures mark the engine as down: failed probes or requests that can't be
+// sent.
+it('detects that its engine restarted or is down', async () => {
   const {engine, gate, watch} = makeWatch();
   expect(watch.up).toBe(false);
-  await watch.look();
+  await watch.probe();
   expect(watch.up).toBe(true);
   expect(gate.admission.capacityTokens).toBe(100_000);
   gate.cache.apply(1, 'w', 'chat', 500);
-  await watch.look();
+  await watch.probe();
   expect(gate.cache.read('w', 'chat').warmth).toBe('warm');
   engine.incarnation = 'engine-b';
-  await watch.look();
+  await watch.probe();
   expect(gate.cache.read('w', 'chat')).toEqual({warmth: 'unknown', tokens: 0});
-  engine.answers = false;
-  await watch.look();
+  engine.isResponsive = false;
+  await watch.probe();
   expect(watch.up).toBe(true);
   watch.noteUnreachable();
   expect(watch.up).toBe(false);
-  engine.answers = true;
-  await watch.look();
+  engine.isResponsive = true;
+  await watch.probe();
   expect(watch.up).toBe(true);
 });
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_claims.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_claims.test.ts
@@ -16,7 +16,7 @@
 const SEED = 88_021;
 const KEY = 'redeem-1';
 
-/** The ledger as control keeps it: one key, bound to one attempt. */
+/** Control's ledger for one key, bound to one attempt. */
 class FakeLedger {
   #entry: {attempt: string; incarnation: string; state: string} | undefined;
   readonly #released = new Set<string>();
@@ -50,18 +50,21 @@
   }
 }
 
-/** A message on its way; delivered, dropped or kept for later by the test. */
+/** A message in transit, which the test delivers, drops or defers. */
 interface Message {
   readonly deliver: () => void;
   /** The transport may deliver it again. */
   readonly repeatable: boolean;
 }
 
-/** Callers, one sidecar at a time, the ledger and a service that counts. */
-class World {
+/**
+ * Callers, one sidecar at a time, the ledger, and a service that counts its
+ * runs.
+ */
+class Harness {
   readonly ledger = new FakeLedger();
   readonly messages: Message[] = [];
-  readonly told = new Map<string, string>();
+  readonly reported = new Map<string, string>();
   runs = 0;
   readonly dispatchedAttempts = new Set<string>();
   attempts = 0;
@@ -74,7 +77,7 @@
     this.restart();
   }
 
-  /** The sidecar dies with all it knew; what is on its way stays there. */
+  /** Restarts the sidecar without its state; messages in transit remain. */
   restart(): void {
     this.#incarnation += 1;
     this.ledger.register(this.#name);
@@ -97,7 +100,7 @@
     return `inc-${this.#incarnation}`;
   }
 
-  /** A router tries once more, under a new attempt. */
+  /** Retries the call under a new attempt. */
   offer(): void {
     this.attempts += 1;
     const attemptId = this.attemptId;
@@ -113,7 +116,7 @@
   revoke(): void {
     const {attemptId} = this;
     const {outcome, actions} = this.#gate.revoke(attemptId, this.now);
-    if (outcome === 'revoked') this.told.set(attemptId, 'notRun');
+    if (outcome === 'revoked') this.reported.set(attemptId, 'notRun');
     this.#perform(actions);
   }
 
@@ -123,7 +126,7 @@
     this.#perform(this.#gate.tick(this.now));
   }
 
-  /** The sidecar's own messages reach only the incarnation that sent them. */
+  /** Posts a message that only the incarnation that sent it can receive. */
   #post(run: () => void): void {
     const sender = this.#incarnation;
     this.messages.push({
@@ -142,14 +145,14 @@
       if (kind === 'releaseClaim') {
         this.#performClaims(this.#claims.release(attemptId, this.now));
       }
-      if (kind === 'refuse') this.told.set(attemptId, 'notRun');
+      if (kind === 'refuse') this.reported.set(attemptId, 'notRun');
       if (kind === 'dispatch') this.#dispatch(attemptId);
     }
   }
 
   #dispatch(attemptId: string): void {
     this.dispatchedAttempts.add(attemptId);
-    // The service may get the call after its sidecar died.
+    // The service may receive the call after its sidecar has crashed.
     this.messages.push({repeatable: false, deliver: () => (this.runs += 1)});
     this.#post(() => {
       const finished = this.#claims.finished(attemptId, 'ran', this.now);
@@ -190,7 +193,7 @@
       }
       if (action.kind === 'denied') {
         if (action.failure.kind === 'ledgerUnavailable') {
-          this.told.set(attemptId, 'notRun');
+          this.reported.set(attemptId, 'notRun');
         }
         perform(this.#gate.claimDenied(attemptId, this.now));
       }
@@ -222,49 +225,50 @@
   | 'revoke'
   | 'retry';
 
-function play(world: World, moves: readonly Move[]): void {
+function runMoves(harness: Harness, moves: readonly Move[]): void {
   const handlers: Record<Move, () => void> = {
-    deliver: () => world.messages.shift()?.deliver(),
+    deliver: () => harness.messages.shift()?.deliver(),
     twice: () => {
-      const message = world.messages.shift();
+      const message = harness.messages.shift();
       message?.deliver();
-      // A call to the service has no second copy: it is sent over one stream.
-      if (message?.repeatable) world.messages.push(message);
+      // A call to the service has no second copy, as it is sent over one
+      // stream.
+      if (message?.repeatable) harness.messages.push(message);
     },
-    drop: () => void world.messages.shift(),
+    drop: () => void harness.messages.shift(),
     later: () => {
-      const message = world.messages.shift();
-      if (message) world.messages.push(message);
+      const message = harness.messages.shift();
+      if (message) harness.messages.push(message);
     },
     crash: () => {
-      world.restart();
-      world.offer();
+      harness.restart();
+      harness.offer();
     },
-    tick: () => world.tick(),
-    revoke: () => world.revoke(),
-    retry: () => world.offer(),
+    tick: () => harness.tick(),
+    revoke: () => harness.revoke(),
+    retry: () => harness.offer(),
   };
   for (const move of moves) handlers[move]();
 }
 
-describe('a call that may not be repeated', () => {
-  // The caller redeems a voucher. The sidecar dies between every two steps of
-  // claim, grant, dispatch, answer and record, and a router tries again. The
-  // service must never see two runs, and none after "not run".
-  it('runs at most once whichever step the sidecar dies after', () => {
+describe('a non-repeatable call', () => {
+  // The sidecar crashes between any two steps of claim, grant, dispatch, answer
+  // and record, and a router retries the call. The service must never run it
+  // twice, nor after "not run" was reported.
+  it('runs at most once whichever step the sidecar crashes after', () => {
     for (let steps = 0; steps < 12; steps += 1) {
-      const world = new World();
+      const harness = new Harness();
       const before = Array.from({length: steps}, (): Move => 'deliver');
       const after = Array.from({length: 30}, (): Move => 'deliver');
-      play(world, ['retry', ...before, 'crash', ...after]);
-      expect(world.runs).toBeLessThanOrEqual(1);
-      expect(world.dispatchedAttempts.size).toBeLessThanOrEqual(1);
+      runMoves(harness, ['retry', ...before, 'crash', ...after]);
+      expect(harness.runs).toBeLessThanOrEqual(1);
+      expect(harness.dispatchedAttempts.size).toBeLessThanOrEqual(1);
     }
   });
 
-  // Now claims, answers and records are lost, doubled and late as well, and
-  // routers revoke; the order comes from a seed.
-  it('runs at most once with messages lost, late and doubled', () => {
+  // Claims, answers and records are also lost, duplicated and delayed, and
+  // routers revoke attempts, in a seeded random order.
+  it('runs at most once with lost, late and duplicated messages', () => {
     const move = fc.constantFrom<Move>(
       'deliver',
       'deliver',
@@ -279,36 +283,36 @@
     );
     const moves = fc.array(move, {minLength: 10, maxLength: 80});
     const property = fc.property(moves, list => {
-      const world = new World();
-      play(world, list);
+      const harness = new Harness();
+      runMoves(harness, list);
       for (let round = 0; round < 60; round += 1) {
-        play(world, ['deliver', 'deliver', 'tick']);
+        runMoves(harness, ['deliver', 'deliver', 'tick']);
       }
-      expect(world.runs).toBeLessThanOrEqual(1);
-      for (const attemptId of world.dispatchedAttempts) {
-        expect(world.told.get(attemptId)).not.toBe('notRun');
+      expect(harness.runs).toBeLessThanOrEqual(1);
+      for (const attemptId of harness.dispatchedAttempts) {
+        expect(harness.reported.get(attemptId)).not.toBe('notRun');
       }
     });
     fc.assert(property, {seed: SEED, numRuns: 1_000});
   });
 
-  // The ledger granted the claim, but its answers are lost. The call is
-  // refused as not run in time, the ledger hears it, and a repeat may run.
+  // The ledger granted the claim, but its answers are lost. The call must be
+  // refused as not run in time and recorded as such, so that a repeat can run.
   it('is refused as not run when the claim is not confirmed', () => {
-    const world = new World();
-    world.offer();
-    world.messages.shift()?.deliver();
-    world.messages.length = 0;
+    const harness = new Harness();
+    harness.offer();
+    harness.messages.shift()?.deliver();
+    harness.messages.length = 0;
     for (let round = 0; round < 8; round += 1) {
-      world.tick();
-      if (world.told.has(`${KEY}.1`)) break;
-      world.messages.length = 0;
+      harness.tick();
+      if (harness.reported.has(`${KEY}.1`)) break;
+      harness.messages.length = 0;
     }
-    expect(world.told.get(`${KEY}.1`)).toBe('notRun');
-    while (world.messages.length > 0) world.messages.shift()?.deliver();
-    world.offer();
-    while (world.messages.length > 0) world.messages.shift()?.deliver();
-    expect(world.runs).toBe(1);
-    expect([...world.dispatchedAttempts]).toEqual([`${KEY}.2`]);
+    expect(harness.reported.get(`${KEY}.1`)).toBe('notRun');
+    while (harness.messages.length > 0) harness.messages.shift()?.deliver();
+    harness.offer();
+    while (harness.messages.length > 0) harness.messages.shift()?.deliver();
+    expect(harness.runs).toBe(1);
+    expect([...harness.dispatchedAttempts]).toEqual([`${KEY}.2`]);
   });
 });
--- a/packages/lovagepond-sidecar/src/sidecar_announcer.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_announcer.ts
@@ -1,6 +1,6 @@
 /**
- * Announces the backend server to control, again and again, and hears the
- * pool's mean, the wanted state and orders in return.
+ * Announces the backend server to control periodically. Each response carries
+ * the pool's mean load, the wanted state and orders.
  */
 import {type lovagepond} from '@lovagepond/protocol';
 import {type SidecarControlLink} from './sidecar_control_link.js';
@@ -8,8 +8,8 @@
 type AnnounceRequest = lovagepond.v1.AnnounceRequest.$Properties;
 type AnnounceResponse = lovagepond.v1.AnnounceResponse;
 
-/** What the announcer needs. */
-export interface AnnouncerParts {
+/** Dependencies of the announcer. */
+export interface AnnouncerDependencies {
   readonly link: SidecarControlLink;
   readonly announceIntervalMs: number;
   makeAnnouncement(): AnnounceRequest;
@@ -17,53 +17,53 @@
   onAnswer(answer: AnnounceResponse, sent: AnnounceRequest): void;
 }
 
-/** Keeps one announcement on its way at a time. */
+/** Sends at most one announcement at a time. */
 export class SidecarAnnouncer {
-  readonly #parts: AnnouncerParts;
+  readonly #deps: AnnouncerDependencies;
   #timer: NodeJS.Timeout | undefined;
   #stopped = false;
   #sending = false;
-  #again = false;
+  #sendAgain = false;
 
-  constructor(parts: AnnouncerParts) {
-    this.#parts = parts;
+  constructor(deps: AnnouncerDependencies) {
+    this.#deps = deps;
   }
 
-  /** Announces now and from then on at each interval. */
+  /** Starts announcing at each interval. */
   start(): void {
-    const {announceIntervalMs} = this.#parts;
+    const {announceIntervalMs} = this.#deps;
     this.#timer = setInterval(() => void this.announce(), announceIntervalMs);
     void this.announce();
   }
 
   /**
-   * Announces at once, as when the state changed. One that is on its way may
-   * carry the former state: another follows it.
+   * Announces at once, for example after a change of state. An announcement in
+   * flight may carry the former state, so another one follows it.
    */
   async announce(): Promise<void> {
     if (this.#stopped) return;
-    this.#again = this.#sending;
+    this.#sendAgain = this.#sending;
     if (this.#sending) return;
     this.#sending = true;
     do {
-      this.#again = false;
+      this.#sendAgain = false;
       await this.#sendOnce();
-    } while (this.#again);
+    } while (this.#sendAgain);
     this.#sending = false;
   }
 
-  /** Ends it. */
+  /** Stops announcing. */
   stop(): void {
     this.#stopped = true;
-    this.#again = false;
+    this.#sendAgain = false;
     clearInterval(this.#timer);
   }
 
   async #sendOnce(): Promise<void> {
-    const sent = this.#parts.makeAnnouncement();
-    const answer = await this.#parts.link.announce(sent);
-    // A member that is not the leader knows neither mean nor orders.
+    const sent = this.#deps.makeAnnouncement();
+    const answer = await this.#deps.link.announce(sent);
+    // A member that is not the leader has neither the mean load nor orders.
     if (this.#stopped || !answer?.accepted) return;
-    this.#parts.onAnswer(answer, sent);
+    this.#deps.onAnswer(answer, sent);
   }
 }
--- a/packages/lovagepond-sidecar/src/sidecar_backend_watch.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_backend_watch.ts
@@ -1,17 +1,17 @@
 /**
- * Watches the backend server: whether it answers, whether it restarted, and
- * what it reports of its load and cache.
+ * Health checking of the backend server: whether it responds, whether it
+ * restarted, and its reported load and cache contents.
  */
 import {type CacheEvent} from '@lovagepond/backend';
 import {type Clock, type Logger, type Unregister} from '@lovagepond/core';
 import {type Backend} from './sidecar_backend.js';
 import {type SidecarGate} from './sidecar_gate.js';
 
-/** Looks in a row without an answer, after which it counts as down. */
-const DOWN_AFTER = 2;
+/** Number of consecutive failed probes after which it counts as down. */
+const FAILURES_UNTIL_DOWN = 2;
 
-/** What the watch needs. */
-export interface WatchParts {
+/** Dependencies of the watch. */
+export interface WatchDependencies {
   readonly backend: Backend;
   readonly gate: SidecarGate;
   readonly clock: Clock;
@@ -35,109 +35,116 @@
   gap: ({sequence}, gate) => gate.cache.noteGap(sequence),
 };
 
-/** Keeps the gate's knowledge of its backend server up to date. */
+/** Probes the backend server and updates the gate. */
 export class SidecarBackendWatch {
-  readonly #parts: WatchParts;
-  #failures = DOWN_AFTER;
+  readonly #deps: WatchDependencies;
+  #failures = FAILURES_UNTIL_DOWN;
   #incarnation: string | undefined;
   #models: readonly string[] = [];
   #unregister: Unregister = () => {};
-  #looking: Promise<void> | undefined;
-  /** Lives of the backend server that have ended. */
-  #endedLives = 0;
-  /** None runs now, as far as is known. */
-  #isLifeOver = true;
-
-  constructor(parts: WatchParts) {
-    this.#parts = parts;
+  #probing: Promise<void> | undefined;
+  /** Number of backend instances that have ended. */
+  #endedInstances = 0;
+  /** True while no instance is known to be running. */
+  #isInstanceOver = true;
+
+  constructor(deps: WatchDependencies) {
+    this.#deps = deps;
   }
 
-  /** @returns true while the backend server answers */
+  /** @returns true while the backend server responds */
   get up(): boolean {
-    return this.#failures < DOWN_AFTER;
+    return this.#failures < FAILURES_UNTIL_DOWN;
   }
 
-  /** @returns models it has loaded */
+  /** @returns models that it has loaded */
   get models(): readonly string[] {
     return this.#models;
   }
 
-  /** Starts to listen to cache events. */
+  /** Subscribes to cache events. */
   start(): void {
-    const {backend, gate} = this.#parts;
+    const {backend, gate} = this.#deps;
     if (backend.kind !== 'engine') return;
     this.#unregister = backend.engine.subscribeCache(event => {
       CACHE_HANDLERS[event.kind](event as never, gate);
     });
   }
 
-  /** Ends it. */
+  /** Unsubscribes from cache events. */
   stop(): void {
     this.#unregister();
   }
 
   /**
-   * A request could not be sent. Seen by the next look alone, a dead server
-   * would fail requests for a while, and look idle and take others' meanwhile.
+   * Counts a request that could not be sent as a failed probe. If only probes
+   * counted, a crashed server would fail requests until the next probe, and
+   * meanwhile appear idle and take requests from other servers.
    */
   noteUnreachable(): void {
     this.#failures += 1;
   }
 
-  /** The life that runs now, counted from 0. */
-  get life(): number {
-    return this.#endedLives;
+  /** Number of the current backend instance, counted from 0. */
+  get instance(): number {
+    return this.#endedInstances;
   }
 
   /**
-   * To be asked when a run broke off.
+   * Checks after an interrupted run whether the backend server has crashed.
    *
-   * @param life of the backend server when the run began
-   * @returns true when that life has ended
+   * @param instance number of the backend instance at the start of the run
+   * @returns true when that instance has ended
    */
-  async hasEnded(life: number): Promise<boolean> {
-    // A look that is under way may have been answered before the run broke off.
-    for (let looks = 0; looks < 2 && life === this.#endedLives; looks += 1) {
-      await this.look();
+  async hasEnded(instance: number): Promise<boolean> {
+    // A probe in flight may have been answered before the run was interrupted,
+    // so a second one follows.
+    for (
+      let probes = 0;
+      probes < 2 && instance === this.#endedInstances;
+      probes += 1
+    ) {
+      await this.probe();
     }
-    return life < this.#endedLives;
+    return instance < this.#endedInstances;
   }
 
-  /** Looks once; a look that still goes on is not doubled. */
-  look(): Promise<void> {
-    this.#looking ??= this.#lookOnce().finally(() => {
-      this.#looking = undefined;
+  /** Probes the backend server once; concurrent calls share one probe. */
+  probe(): Promise<void> {
+    this.#probing ??= this.#probeOnce().finally(() => {
+      this.#probing = undefined;
     });
-    return this.#looking;
+    return this.#probing;
   }
 
-  async #lookOnce(): Promise<void> {
+  async #probeOnce(): Promise<void> {
     const wasUp = this.up;
-    const answered = await this.#ask();
-    if (answered) this.#isLifeOver = false;
-    else this.#endLife();
+    const answered = await this.#checkBackend();
+    if (answered) this.#isInstanceOver = false;
+    else this.#endInstance();
     this.#failures = answered ? 0 : this.#failures + 1;
     if (wasUp === this.up) return;
-    this.#parts.log.info('backend server', {up: this.up});
+    this.#deps.log.info('backend server', {up: this.up});
   }
 
-  #endLife(): void {
-    if (!this.#isLifeOver) this.#endedLives += 1;
-    this.#isLifeOver = true;
+  #endInstance(): void {
+    if (!this.#isInstanceOver) this.#endedInstances += 1;
+    this.#isInstanceOver = true;
   }
 
-  async #ask(): Promise<boolean> {
-    const {backend, gate, clock} = this.#parts;
+  async #checkBackend(): Promise<boolean> {
+    const {backend, gate, clock} = this.#deps;
     if (backend.kind === 'service') return backend.service.probe();
     const report = await backend.engine.loadReport(clock.now());
     if (!report.ok) return false;
     const {incarnation, runningTokens, waitingTokens} = report.value;
     const now = clock.now();
     if (this.#incarnation !== undefined && this.#incarnation !== incarnation) {
-      // Its cache is empty now: kept as warm, chats would be held for it.
+      // The cache of the new instance is empty. If its chats stayed marked as
+      // warm, requests would be held for a context that no longer exists.
       gate.backendRestarted(now);
-      this.#endLife();
-      this.#parts.log.warn('backend server restarted', {incarnation});
+      this.#endInstance();
+      this.#deps.log.warn('backend server restarted', {incarnation});
     }
     this.#incarnation = incarnation;
     this.#models = report.value.models;
--- a/packages/lovagepond-sidecar/src/sidecar_cache_mover.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_cache_mover.ts
@@ -1,5 +1,6 @@
 /**
- * Sends the warmest chats' KV cache away during a planned leave.
+ * Context migration: sends the KV cache of recently used chats to other servers
+ * while draining.
  */
 import {type Clock, type Logger} from '@lovagepond/core';
 import {
@@ -22,8 +23,8 @@
 
 const BUSY_CHECK_MS = 100;
 
-/** What the mover needs. */
-export interface MoverParts {
+/** Dependencies of the mover. */
+export interface MoverDependencies {
   readonly gate: SidecarGate;
   readonly backend: Backend;
   readonly peers: SidecarPeers;
@@ -34,50 +35,50 @@
   readonly maxMovedChats: number;
 }
 
-/** Moves caches, one after the other, within the byte rate. */
+/** Moves caches one at a time, within the byte rate. */
 export class SidecarCacheMover {
-  readonly #parts: MoverParts;
+  readonly #deps: MoverDependencies;
   readonly #rate: ByteRate;
   #moved = 0;
   #movedBytes = 0;
   #running = false;
-  /** The chats served here last. */
+  /** The most recently served chats. */
   readonly recent: RecentChats;
 
-  constructor(parts: MoverParts) {
-    this.#parts = parts;
-    this.#rate = new ByteRate(parts.moveBytesPerSecond);
-    this.recent = new RecentChats(parts.maxMovedChats);
+  constructor(deps: MoverDependencies) {
+    this.#deps = deps;
+    this.#rate = new ByteRate(deps.moveBytesPerSecond);
+    this.recent = new RecentChats(deps.maxMovedChats);
   }
 
-  /** @returns chats and bytes moved since the start */
+  /** @returns number of chats and bytes moved since the start */
   get counters(): {readonly moved: number; readonly movedBytes: number} {
     return {moved: this.#moved, movedBytes: this.#movedBytes};
   }
 
   /**
-   * Moves until nothing runs here any more: a chat that is still answered at
-   * the start of the leave has its context to move when it is done.
+   * Moves caches until no request runs here any more. A chat whose answer is
+   * still running at the start of the drain is moved after its answer ends.
    *
-   * @param signal ends it
+   * @param signal stops moving
    */
   async run(signal: AbortSignal): Promise<void> {
-    const {backend, moveBytesPerSecond, gate} = this.#parts;
+    const {backend, moveBytesPerSecond, gate} = this.#deps;
     if (backend.kind !== 'engine' || moveBytesPerSecond <= 0) return;
     if (this.#running) return;
     this.#running = true;
     const done = new Set<number>();
     while (!signal.aborted) {
-      const last = gate.idle;
+      const wasIdle = gate.idle;
       await this.#moveAll(done, signal);
-      if (last) break;
+      if (wasIdle) break;
       await pause(BUSY_CHECK_MS, signal);
     }
     this.#running = false;
-    this.#parts.log.info('caches moved', this.counters);
+    this.#deps.log.info('caches moved', this.counters);
   }
 
-  /** Moves each chat once; a later answer here can't come during a leave. */
+  /** Moves each chat once; a draining server serves no later request of it. */
   async #moveAll(done: Set<number>, signal: AbortSignal): Promise<void> {
     for (const move of this.#plan()) {
       const number = chatNumber(move.workspace, move.chat);
@@ -89,8 +90,9 @@
   }
 
   #plan(): PlannedMove[] {
-    const {gate, peers, hasher} = this.#parts;
-    // The order of the routers over what remains: there the chats will land.
+    const {gate, peers, hasher} = this.#deps;
+    // Routers will place these chats with the same rendezvous order over the
+    // remaining servers.
     const table = new RendezvousTable<Peer>(peers.ready, hasher);
     return planMoves(this.recent.latest(), {
       warmTokens: ({workspace, chat}) =>
@@ -104,13 +106,13 @@
   }
 
   async #waitForRate(signal: AbortSignal): Promise<boolean> {
-    const waitMs = this.#rate.waitMs(this.#parts.clock.now());
+    const waitMs = this.#rate.waitMs(this.#deps.clock.now());
     if (waitMs > 0 && !signal.aborted) await pause(waitMs, signal);
     return !signal.aborted;
   }
 
   async #move(move: PlannedMove): Promise<void> {
-    const {backend, peers, clock} = this.#parts;
+    const {backend, peers, clock} = this.#deps;
     if (backend.kind !== 'engine') return;
     const {workspace, chat, address} = move;
     const exported = await backend.engine.exportCache({workspace, chat});
--- a/packages/lovagepond-sidecar/src/sidecar_configuration.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_configuration.ts
@@ -1,6 +1,6 @@
 /**
- * Takes configurations in from control and from routers, and puts the newest
- * in force at the gate.
+ * Receives configurations from control and from routers, and applies the newest
+ * to the gate.
  */
 import {
   decodeConfiguration,
@@ -11,31 +11,31 @@
 import {type SidecarGate} from './sidecar_gate.js';
 import {readGatePolicy} from './sidecar_policy.js';
 import {SidecarRevisions} from './sidecar_revisions.js';
-import {ISLAND_POLICY, type SidecarSettings} from './sidecar_settings.js';
+import {PARTITION_POLICY, type SidecarSettings} from './sidecar_settings.js';
 
 const NO_BYTES = new Uint8Array();
 
-/** What configurations are put in force at. */
-export interface ConfigurationParts {
+/** Dependencies of the configuration. */
+export interface ConfigurationDependencies {
   readonly gate: SidecarGate;
   readonly log: Logger;
-  /** Tells control which revision is in force here. */
+  /** Reports to control which revision is in force here. */
   report(revision: number): void;
 }
 
 /** The configuration in force at one sidecar. */
 export class SidecarConfiguration {
   readonly #pool: string;
-  readonly #parts: ConfigurationParts;
+  readonly #deps: ConfigurationDependencies;
   readonly #revisions: SidecarRevisions;
-  /** The configuration as it travels, made once per revision. */
+  /** The encoded configuration, created once per revision. */
   #encoded: Uint8Array = NO_BYTES;
 
-  constructor(settings: SidecarSettings, parts: ConfigurationParts) {
+  constructor(settings: SidecarSettings, deps: ConfigurationDependencies) {
     this.#pool = settings.pool;
-    this.#parts = parts;
+    this.#deps = deps;
     this.#revisions = new SidecarRevisions({
-      serveUnconfirmed: settings.islandPolicy === ISLAND_POLICY.SERVE,
+      serveUnconfirmed: settings.islandPolicy === PARTITION_POLICY.SERVE,
     });
   }
 
@@ -44,36 +44,36 @@
     return this.#revisions.revision;
   }
 
-  /** @returns true when work may be taken by it */
+  /** @returns true when requests may be accepted under it */
   mayServe(): boolean {
     return this.#revisions.mayServe();
   }
 
-  /** @param update what control pushed */
+  /** @param update a configuration update from control */
   receive(update: lovagepond.v1.ConfigurationUpdate.$Properties): void {
     const {configuration, majorityConfirmed, revision} = update;
     if (configuration && configuration.length > 0) this.install(configuration);
     if (majorityConfirmed) this.#revisions.confirm(revision ?? 0);
   }
 
-  /** @param bytes a configuration from control or from a router */
+  /** @param bytes an encoded configuration from control or a router */
   install(bytes: Uint8Array): void {
     const configuration = decodeConfiguration(bytes);
     if (!configuration) {
-      this.#parts.log.error('a configuration could not be read');
+      this.#deps.log.error('received configuration could not be decoded');
       return;
     }
     if (!this.#revisions.install(configuration)) return;
     const {revision, content} = configuration;
     this.#encoded = encodeConfiguration(configuration);
-    this.#parts.gate.configure(readGatePolicy(content, this.#pool), revision);
-    this.#parts.log.info('configuration installed', {revision});
-    this.#parts.report(revision);
+    this.#deps.gate.configure(readGatePolicy(content, this.#pool), revision);
+    this.#deps.log.info('configuration installed', {revision});
+    this.#deps.report(revision);
   }
 
   /**
    * @param revision a router's revision
-   * @returns our configuration when it is newer, else no bytes
+   * @returns the configuration in force if newer, else no bytes
    */
   newerThan(revision: number): Uint8Array {
     return this.revision > revision ? this.#encoded : NO_BYTES;
--- a/packages/lovagepond-sidecar/src/sidecar_control_feed.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_control_feed.ts
@@ -1,6 +1,6 @@
 /**
- * What control pushes to a sidecar: configuration, its own pool's membership
- * and load digest.
+ * Subscription to control: configuration, and membership and load digest of the
+ * sidecar's own pool.
  */
 import {type Client, type ClientReadableStream, Metadata} from '@grpc/grpc-js';
 import {
@@ -10,7 +10,7 @@
   type Random,
 } from '@lovagepond/core';
 import {CONTROL_SERVICE, lovagepond} from '@lovagepond/protocol';
-import {connect} from './sidecar_calls.js';
+import {connect} from './sidecar_client_pool.js';
 import {type SidecarSettings} from './sidecar_settings.js';
 
 const {v1} = lovagepond;
@@ -19,36 +19,36 @@
 
 const RETRY_MS = 200;
 
-/** What the feed needs besides its settings. */
-export interface FeedParts {
+/** Dependencies of the feed. */
+export interface FeedDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly random: Random;
   /** @returns the revision in force here */
-  heldRevision(): number;
+  revision(): number;
   onUpdate(update: ControlUpdate, now: number): void;
 }
 
-/** Keeps one subscription open, at any member that answers. */
+/** Keeps one subscription open, to any control member that responds. */
 export class SidecarControlFeed {
   readonly #settings: SidecarSettings;
-  readonly #parts: FeedParts;
+  readonly #deps: FeedDependencies;
   #client: Client | undefined;
   #call: ClientReadableStream<ControlUpdate> | undefined;
   readonly #addresses: ControlAddresses;
-  #heardAt = 0;
+  #lastUpdateAt = 0;
   #receivedBytes = 0;
   #retryTimer: NodeJS.Timeout | undefined;
   #stopped = false;
 
-  constructor(settings: SidecarSettings, parts: FeedParts) {
+  constructor(settings: SidecarSettings, deps: FeedDependencies) {
     this.#settings = settings;
-    this.#parts = parts;
+    this.#deps = deps;
     const {controlAddresses} = settings;
-    this.#addresses = new ControlAddresses(controlAddresses, parts.random);
+    this.#addresses = new ControlAddresses(controlAddresses, deps.random);
   }
 
-  /** @returns bytes received since the start */
+  /** @returns number of bytes received since the start */
   get receivedBytes(): number {
     return this.#receivedBytes;
   }
@@ -58,7 +58,7 @@
     const {backendServer, pool, region} = this.#settings;
     const address = this.#addresses.current;
     if (this.#stopped || address === '') return;
-    this.#heardAt = this.#parts.clock.now();
+    this.#lastUpdateAt = this.#deps.clock.now();
     this.#client = connect(address);
     const method = CONTROL_SERVICE.subscribe;
     const call = this.#client.makeServerStreamRequest(
@@ -71,7 +71,7 @@
       new v1.SubscribeRequest({
         node: backendServer,
         role: 'sidecar',
-        revision: this.#parts.heldRevision(),
+        revision: this.#deps.revision(),
         region,
         pool,
       }),
@@ -82,10 +82,14 @@
     this.#listen(call, address);
   }
 
-  /** @param now present time; call it a few times a second */
+  /**
+   * Restarts a subscription without updates; called a few times a second.
+   *
+   * @param now current time
+   */
   tick(now: number): void {
     if (!this.#call) return;
-    const silentMs = now - this.#heardAt;
+    const silentMs = now - this.#lastUpdateAt;
     if (silentMs <= this.#settings.controlSilentAfterMs) return;
     this.#restart('silent');
   }
@@ -100,27 +104,30 @@
   #listen(call: ClientReadableStream<ControlUpdate>, address: string): void {
     call.on('data', (update: ControlUpdate) => {
       if (this.#call !== call) return;
-      this.#heardAt = this.#parts.clock.now();
+      this.#lastUpdateAt = this.#deps.clock.now();
       this.#addresses.noteHeard();
       const {addresses} = update.controlMembers ?? {};
       if (addresses) this.#addresses.learn(addresses);
-      this.#parts.onUpdate(update, this.#heardAt);
+      this.#deps.onUpdate(update, this.#lastUpdateAt);
     });
     const onLost = (err?: Error): void => {
       if (this.#call !== call) return;
-      this.#parts.log.info('subscription lost', {address, err: err?.message});
+      this.#deps.log.info('subscription lost', {address, err: err?.message});
       this.#restart(err?.message ?? 'ended');
     };
     call.on('error', onLost);
     call.on('end', onLost);
   }
 
-  /** The pause differs between sidecars, or all would come back at once. */
+  /**
+   * Subscribes to another member after a random delay, so that the sidecars do
+   * not all reconnect at the same time.
+   */
   #restart(reason: string): void {
-    this.#parts.log.debug('subscribing at another member', {reason});
+    this.#deps.log.debug('subscribing to another control member', {reason});
     this.#close();
     this.#addresses.moveOn();
-    const pauseMs = RETRY_MS * (0.5 + this.#parts.random.next());
+    const pauseMs = RETRY_MS * (0.5 + this.#deps.random.next());
     this.#retryTimer = setTimeout(() => {
       this.start();
     }, pauseMs);
@@ -129,7 +136,7 @@
   #close(): void {
     const call = this.#call;
     this.#call = undefined;
-    // A cancelled call reports an error; nobody waits for it.
+    // A cancelled call reports an error, which is ignored here.
     call?.on('error', () => {});
     call?.cancel();
     this.#client?.close();
--- a/packages/lovagepond-sidecar/src/sidecar_control_link.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_control_link.ts
@@ -1,11 +1,12 @@
 /**
- * The sidecar's calls to control: each goes to the member that answered last,
- * and moves on to the leader it names or to the next member.
+ * Unary calls of the sidecar to control. Each goes to the member that answered
+ * last, and switches to the leader that an answer names, or to another member
+ * if no answer comes.
  */
 import {type MethodDefinition} from '@grpc/grpc-js';
 import {ControlAddresses, type Random} from '@lovagepond/core';
 import {CONTROL_SERVICE, lovagepond} from '@lovagepond/protocol';
-import {SidecarCalls} from './sidecar_calls.js';
+import {ClientPool} from './sidecar_client_pool.js';
 import {type ClaimAnswer} from './sidecar_claims.js';
 import {type SidecarSettings} from './sidecar_settings.js';
 
@@ -13,7 +14,7 @@
 
 type AnnounceResponse = lovagepond.v1.AnnounceResponse;
 
-/** Answers that may name the leader to ask instead. */
+/** An answer that may name the current leader. */
 interface LeaderHint {
   readonly leader?: string | null;
 }
@@ -21,62 +22,62 @@
 /** Unary calls to control. */
 export class SidecarControlLink {
   readonly #addresses: ControlAddresses;
-  readonly #calls: SidecarCalls;
+  readonly #clients: ClientPool;
   #leader = '';
 
   /**
    * @param settings the sidecar's settings
-   * @param random draws the member to ask next
+   * @param random selects the member to call next
    */
   constructor(settings: SidecarSettings, random: Random) {
     this.#addresses = new ControlAddresses(settings.controlAddresses, random);
-    this.#calls = new SidecarCalls(settings.controlTimeoutMs);
+    this.#clients = new ClientPool(settings.controlTimeoutMs);
   }
 
-  /** @returns `host:port` of the member asked next */
+  /** @returns `host:port` of the member that is called next */
   get address(): string {
     return this.#leader || this.#addresses.current;
   }
 
-  /** @param addresses `host:port` of all members of control */
-  learnMembers(addresses: readonly string[]): void {
+  /** @param addresses `host:port` of all control members */
+  updateMembers(addresses: readonly string[]): void {
     this.#addresses.learn(addresses);
   }
 
   /**
-   * @param request what is announced
-   * @returns the answer, or undefined when none came
+   * @param request the announcement
+   * @returns the answer; undefined when none came
    */
   async announce(
     request: lovagepond.v1.AnnounceRequest.$Properties,
   ): Promise<AnnounceResponse | undefined> {
     const message = new v1.AnnounceRequest(request);
-    const answer = await this.#ask(CONTROL_SERVICE.announce, message);
+    const answer = await this.#call(CONTROL_SERVICE.announce, message);
     return answer && new v1.AnnounceResponse(answer);
   }
 
   /**
-   * @param request who claims what
-   * @returns the ledger's answer, or undefined when it is to be asked again
+   * @param request the claim
+   * @returns the ledger's answer; undefined when the claim must be sent again
    */
   async claim(
     request: lovagepond.v1.ClaimRequest.$Properties,
   ): Promise<ClaimAnswer | undefined> {
     const message = new v1.ClaimRequest(request);
-    const answer = await this.#ask(CONTROL_SERVICE.claim, message);
+    const answer = await this.#call(CONTROL_SERVICE.claim, message);
     if (!answer || answer.outcome === 'notLeader') return undefined;
     return new v1.ClaimResponse(answer);
   }
 
   /**
-   * @param request what became of a claimed call
-   * @returns true when the outcome stands in the ledger
+   * @param request the outcome of a claimed call
+   * @returns true when the ledger has recorded the outcome
    */
   async record(
     request: lovagepond.v1.RecordRequest.$Properties,
   ): Promise<boolean> {
     const message = new v1.RecordRequest(request);
-    const answer = await this.#ask(CONTROL_SERVICE.record, message);
+    const answer = await this.#call(CONTROL_SERVICE.record, message);
     return answer?.recorded ?? false;
   }
 
@@ -85,37 +86,37 @@
     outcome: lovagepond.v1.OrderOutcome.$Properties,
   ): Promise<void> {
     const message = new v1.OrderOutcome(outcome);
-    await this.#ask(CONTROL_SERVICE.reportOrder, message);
+    await this.#call(CONTROL_SERVICE.reportOrder, message);
   }
 
-  /** @param report which revision this node holds */
+  /** @param report the revision in force at this node */
   async reportConvergence(
     report: lovagepond.v1.ConvergenceReport.$Properties,
   ): Promise<void> {
     const message = new v1.ConvergenceReport(report);
-    await this.#ask(CONTROL_SERVICE.reportConvergence, message);
+    await this.#call(CONTROL_SERVICE.reportConvergence, message);
   }
 
   /** Closes all connections. */
   close(): void {
-    this.#calls.close();
+    this.#clients.close();
   }
 
-  async #ask<Req, Res extends object>(
+  async #call<Req, Res extends object>(
     method: MethodDefinition<Req, Res>,
     request: Req,
   ): Promise<Res | undefined> {
     const address = this.address;
     if (!address) return undefined;
-    const answer = await this.#calls.call(address, method, request);
-    this.#follow(address, answer as LeaderHint | undefined);
+    const answer = await this.#clients.call(address, method, request);
+    this.#updateTarget(address, answer as LeaderHint | undefined);
     return answer;
   }
 
-  #follow(asked: string, answer: LeaderHint | undefined): void {
-    if (asked !== this.address) return;
+  #updateTarget(calledAddress: string, answer: LeaderHint | undefined): void {
+    if (calledAddress !== this.address) return;
     if (answer === undefined) {
-      if (asked === this.#addresses.current) this.#addresses.moveOn();
+      if (calledAddress === this.#addresses.current) this.#addresses.moveOn();
       this.#leader = '';
       return;
     }
--- a/packages/lovagepond-sidecar/src/sidecar_dispatcher.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_dispatcher.ts
@@ -1,5 +1,6 @@
 /**
- * Does what the gate decides: answers routers, claims, runs and cancels.
+ * Performs the actions of the gate: answers routers, claims calls, and starts
+ * and cancels runs.
  */
 import {
   answerFor,
@@ -16,7 +17,7 @@
 import {type ClaimAnswer} from './sidecar_claims.js';
 import {makeAccepted, makeRefused} from './sidecar_frames.js';
 import {type SidecarGate} from './sidecar_gate.js';
-import {hasBrokenOff, runAttempt, type RunOutcome} from './sidecar_run.js';
+import {wasInterrupted, runAttempt, type RunOutcome} from './sidecar_run.js';
 import {type FrameStream, SidecarSession} from './sidecar_session.js';
 import {SidecarSessions} from './sidecar_sessions.js';
 import {type SidecarSettings} from './sidecar_settings.js';
@@ -32,29 +33,35 @@
 const RECORD_TIMEOUT_MS = 600_000;
 const LEDGER_RETRY_MS = 100;
 
-/** Time in which a backend server that broke a run off shows that it ended, ms. */
-const END_KNOWN_WITHIN_MS = 300;
+/**
+ * Time limit of the check whether a backend server crashed during a run,
+ * milliseconds.
+ */
+const CRASH_CHECK_TIMEOUT_MS = 300;
 const NO_BYTES = new Uint8Array();
 
-/** What the dispatcher needs besides its settings. */
-export interface DispatcherParts {
+/** Dependencies of the dispatcher. */
+export interface DispatcherDependencies {
   readonly gate: SidecarGate;
   readonly backend: Backend;
   readonly clock: Clock;
   readonly log: Logger;
   readonly ledger: LedgerCalls;
   readonly incarnation: string;
-  /** @returns our configuration when the revision given is older, else none */
+  /**
+   * @returns the configuration in force if newer than the given revision, else
+   *     no bytes
+   */
   newerConfiguration(revision: number): Uint8Array;
-  /** Tells a chat's first choice that the chat was served here. */
+  /** Sends a chat's first choice a pointer to this server. */
   point(request: AttemptRequest): void;
-  /** The backend server could not be reached. */
+  /** Reports that the backend server could not be reached. */
   noteUnreachable(): void;
-  /** Life of the backend server that runs now. */
-  readonly life: () => number;
-  /** @returns true when that life of the backend server has ended */
-  readonly hasEnded: (life: number) => Promise<boolean>;
-  /** A chat's run is over; its context is cached. */
+  /** @returns number of the current instance of the backend server */
+  readonly backendInstance: () => number;
+  /** @returns true when that instance has ended */
+  readonly hasEnded: (instance: number) => Promise<boolean>;
+  /** Reports that a chat was served, so that its context is cached. */
   noteServed(request: AttemptRequest): void;
 }
 
@@ -66,7 +73,7 @@
   ) => void;
 };
 
-/** Counts since the start. */
+/** Counters since the start. */
 export interface DispatcherCounters {
   readonly answered: number;
   readonly failedByKind: Readonly<Record<string, number>>;
@@ -102,14 +109,14 @@
   return {kind: 'notRun', message, ...(notRun && {errorKind: kind})};
 }
 
-function countUp(counts: Map<string, number>, name: string): void {
+function increment(counts: Map<string, number>, name: string): void {
   counts.set(name, (counts.get(name) ?? 0) + 1);
 }
 
-/** The attempts at one sidecar, with their streams and runs. */
+/** Attempts at one sidecar, with their streams and runs. */
 export class SidecarDispatcher {
   readonly #settings: SidecarSettings;
-  readonly #parts: DispatcherParts;
+  readonly #deps: DispatcherDependencies;
   readonly #gate: SidecarGate;
   readonly #calls: ClaimedCalls;
   readonly #sessions: SidecarSessions;
@@ -124,22 +131,23 @@
       session.send(makeAccepted(expectedWaitMs));
     },
     refuse: (action, session, now) => this.#refuse(action, session, now),
-    rejectCopy: ({failure}, session, now) => this.#fail(session, failure, now),
+    rejectDuplicate: ({failure}, session, now) =>
+      this.#fail(session, failure, now),
     claim: (_action, session) => this.#calls.start(session.request),
     dispatch: (_action, session) => void this.#run(session),
     cancel: ({attemptId}) => this.#aborts.get(attemptId)?.abort(),
     releaseClaim: ({attemptId}) => this.#calls.release(attemptId),
-    point: (_action, session) => this.#parts.point(session.request),
+    point: (_action, session) => this.#deps.point(session.request),
   };
 
   /**
    * @param settings the sidecar's settings
-   * @param parts the gate and what it decides about
+   * @param deps the gate, its backend server and callbacks
    */
-  constructor(settings: SidecarSettings, parts: DispatcherParts) {
+  constructor(settings: SidecarSettings, deps: DispatcherDependencies) {
     this.#settings = settings;
-    this.#parts = parts;
-    this.#gate = parts.gate;
+    this.#deps = deps;
+    this.#gate = deps.gate;
     this.#sessions = new SidecarSessions(settings);
     const {backendServer, claimTimeoutMs} = settings;
     this.#calls = new ClaimedCalls(
@@ -148,9 +156,9 @@
         recordTimeoutMs: RECORD_TIMEOUT_MS,
         retryMs: LEDGER_RETRY_MS,
       },
-      {backendServer, incarnation: parts.incarnation},
-      parts.ledger,
-      parts.clock,
+      {backendServer, incarnation: deps.incarnation},
+      deps.ledger,
+      deps.clock,
       {
         onGranted: attemptId => this.#onGranted(attemptId),
         onReplay: (attemptId, answer) => this.#onReplay(attemptId, answer),
@@ -159,7 +167,7 @@
     );
   }
 
-  /** @returns counts since the start */
+  /** @returns counters since the start */
   get counters(): DispatcherCounters {
     return {
       answered: this.#answered,
@@ -170,10 +178,11 @@
   }
 
   /**
-   * A run can be over while its answer still waits for a slow reader: stopped
-   * then, the process would cut a request in flight.
+   * Whether the process may stop. A run can have ended while its answer is
+   * still being sent to a slow reader, which stopping the process would
+   * interrupt.
    *
-   * @returns true when nothing runs, waits, is recorded or is still sent
+   * @returns true when nothing is queued, running, being recorded or being sent
    */
   get idle(): boolean {
     if (!this.#gate.idle || this.#calls.size > 0) return false;
@@ -181,22 +190,24 @@
   }
 
   /**
-   * Takes an attempt in. The same attempt over another stream goes on with
-   * the answer: the router lost its first stream, and nothing runs twice.
+   * Accepts an attempt. If the same attempt arrives over another stream because
+   * the router lost its first one, the answer is resumed on the new stream and
+   * nothing runs twice.
    *
    * @param request the attempt
-   * @param stream where to answer
-   * @returns the attempt's session; undefined when there is none to keep
+   * @param stream stream for the answer
+   * @returns the attempt's session; undefined when the attempt was refused
+   *     without one
    */
   offer(
     request: AttemptRequest,
     stream: FrameStream,
   ): SidecarSession | undefined {
-    const now = this.#parts.clock.now();
+    const now = this.#deps.clock.now();
     const {attemptId, resumeFrom} = request;
-    const unfit = this.#findUnfit(request);
-    if (unfit) {
-      stream.write(makeRefused(makeFailure(unfit), '', NO_BYTES));
+    const invalid = this.#findInvalid(request);
+    if (invalid) {
+      stream.write(makeRefused(makeFailure(invalid), '', NO_BYTES));
       stream.end();
       return undefined;
     }
@@ -216,70 +227,70 @@
 
   /**
    * @param session an attempt
-   * @param stream its stream that is gone
+   * @param stream its stream that was closed
    */
-  streamGone(session: SidecarSession, stream: FrameStream): void {
-    const now = this.#parts.clock.now();
+  streamClosed(session: SidecarSession, stream: FrameStream): void {
+    const now = this.#deps.clock.now();
     session.detach(stream, now);
     if (session.detachedAt === undefined) return;
     if (session.closedAt !== undefined) return;
     const {attemptId} = session.request;
-    // What runs may be asked for again over another stream.
+    // A running attempt may be resumed over another stream.
     if (this.#aborts.has(attemptId)) return;
     this.perform(this.#gate.callerGone(attemptId, now));
   }
 
   /**
-   * @param attemptId an attempt the router takes back
+   * @param attemptId the attempt to revoke
    * @returns the outcome
    */
   revoke(attemptId: string): string {
-    const now = this.#parts.clock.now();
+    const now = this.#deps.clock.now();
     const {outcome, actions} = this.#gate.revoke(attemptId, now);
     this.perform(actions);
     return outcome;
   }
 
-  /** @param actions what the gate decided */
+  /** @param actions actions of the gate */
   perform(actions: readonly GateAction[]): void {
-    const now = this.#parts.clock.now();
+    const now = this.#deps.clock.now();
     for (const action of actions) {
       const session = this.#sessions.find(action.attemptId);
       if (session) this.#handlers[action.kind](action as never, session, now);
     }
   }
 
-  /** @param now present time */
+  /** @param now current time */
   tick(now: number): void {
     this.perform(this.#gate.tick(now));
     this.#calls.tick(now);
     for (const session of this.#sessions.tick(now)) {
       this.perform(this.#gate.callerGone(session.request.attemptId, now));
-      session.release();
+      session.abandon();
     }
   }
 
-  /** Cuts what still runs. */
+  /** Aborts all runs. */
   stop(): void {
     for (const abort of this.#aborts.values()) abort.abort();
   }
 
-  /** Refusals that concern no session: nothing of them is remembered. */
-  #findUnfit({incarnation, body}: AttemptRequest): ErrorKind | undefined {
-    if (incarnation !== this.#parts.incarnation) return 'wrongIncarnation';
+  /** Checks for refusals that need no session and leave no record. */
+  #findInvalid({incarnation, body}: AttemptRequest): ErrorKind | undefined {
+    if (incarnation !== this.#deps.incarnation) return 'wrongIncarnation';
     const tooLarge = body.length > this.#settings.maxBodyBytes;
     return tooLarge ? 'payloadTooLarge' : undefined;
   }
 
   #refuse(action: RefuseAction, session: SidecarSession, now: number): void {
     const {failure, pointer} = action;
-    countUp(this.#refusedByKind, failure.kind);
+    increment(this.#refusedByKind, failure.kind);
     const configuration =
       failure.kind === 'staleRevision'
-        ? this.#parts.newerConfiguration(session.request.revision)
+        ? this.#deps.newerConfiguration(session.request.revision)
         : NO_BYTES;
     session.refuse(makeRefused(failure, pointer, configuration), now);
-    this.#sessions.forget(session.request.attemptId);
+    this.#sessions.remove(session.request.attemptId);
   }
 
   #fail(
@@ -288,39 +299,44 @@
     now: number,
     crashedLife?: string,
   ): void {
-    countUp(this.#failedByKind, failure.kind);
+    increment(this.#failedByKind, failure.kind);
     session.fail(failure, now, crashedLife);
   }
 
   async #run(session: SidecarSession): Promise<void> {
     const {request} = session;
     const {attemptId} = request;
-    const {backend, clock} = this.#parts;
+    const {backend, clock} = this.#deps;
     const abort = new AbortController();
     this.#aborts.set(attemptId, abort);
     const {signal} = abort;
-    const parts = {backend, session, clock, signal};
-    const life = this.#parts.life();
-    const outcome = await runAttempt(parts);
+    const deps = {backend, session, clock, signal};
+    const instance = this.#deps.backendInstance();
+    const outcome = await runAttempt(deps);
     this.#aborts.delete(attemptId);
     const hasCrashed =
-      hasBrokenOff(outcome) && !signal.aborted && (await this.#hasEnded(life));
-    const crashedLife = hasCrashed ? this.#nameOfLife(life) : undefined;
+      wasInterrupted(outcome) &&
+      !signal.aborted &&
+      (await this.#hasEnded(instance));
+    const crashedLife = hasCrashed ? this.#instanceName(instance) : undefined;
     this.#onRunEnd(session, outcome, crashedLife);
   }
 
-  /** The caller of a run that broke off doesn't wait long for what it was. */
-  #hasEnded(life: number): Promise<boolean> {
+  /**
+   * Checks whether the backend instance has ended, for a limited time, so that
+   * the caller of an interrupted run is not kept waiting.
+   */
+  #hasEnded(instance: number): Promise<boolean> {
     const limit = new Promise<boolean>(resolve => {
       setTimeout(() => {
         resolve(false);
-      }, END_KNOWN_WITHIN_MS).unref();
+      }, CRASH_CHECK_TIMEOUT_MS).unref();
     });
-    return Promise.race([this.#parts.hasEnded(life), limit]);
+    return Promise.race([this.#deps.hasEnded(instance), limit]);
   }
 
-  #nameOfLife(life: number): string {
-    return `${this.#parts.incarnation}.${life}`;
+  #instanceName(instance: number): string {
+    return `${this.#deps.incarnation}.${instance}`;
   }
 
   #onRunEnd(
@@ -328,25 +344,28 @@
     outcome: RunOutcome,
     crashedLife: string | undefined,
   ): void {
-    const now = this.#parts.clock.now();
+    const now = this.#deps.clock.now();
     const {request} = session;
     if (outcome.kind === 'done') {
       this.#answered += 1;
       this.#cachedTokens += outcome.cachedTokens;
       session.finish(now);
-      this.#parts.noteServed(request);
+      this.#deps.noteServed(request);
     }
     if (outcome.kind === 'failed') {
       this.#fail(session, outcome.failure, now, crashedLife);
     }
     const kind = outcome.kind === 'notRun' ? outcome.failure.kind : undefined;
-    if (kind === 'unreachable') this.#parts.noteUnreachable();
+    if (kind === 'unreachable') this.#deps.noteUnreachable();
     if (request.nonRepeatable) this.#record(session, outcome);
     const end = toRunEnd(outcome);
     this.perform(this.#gate.finish(request.attemptId, end, now));
   }
 
-  /** An answer too large to keep can't be told again: its outcome is unknown. */
+  /**
+   * Records the outcome of a non-repeatable call. An answer too large to keep
+   * can't be replayed, so its outcome is recorded as unknown.
+   */
   #record(session: SidecarSession, outcome: RunOutcome): void {
     const {attemptId} = session.request;
     const answer = session.wholeAnswer();
@@ -357,25 +376,25 @@
   }
 
   #onGranted(attemptId: string): void {
-    const now = this.#parts.clock.now();
+    const now = this.#deps.clock.now();
     const actions = this.#gate.claimGranted(attemptId, now);
     if (actions.length === 0) this.#calls.release(attemptId);
     this.perform(actions);
   }
 
   #onReplay(attemptId: string, answer: ClaimAnswer): void {
-    const now = this.#parts.clock.now();
+    const now = this.#deps.clock.now();
     this.perform(this.#gate.claimDenied(attemptId, now));
     const session = this.#sessions.find(attemptId);
     if (!session) return;
     const {status, contentType} = answer;
-    session.begin({status, contentType});
+    session.setHead({status, contentType});
     session.append({offset: 0, bytes: answer.answer});
     session.finish(now);
   }
 
   #onDenied(attemptId: string, failure: Failure): void {
-    const now = this.#parts.clock.now();
+    const now = this.#deps.clock.now();
     this.perform(this.#gate.claimDenied(attemptId, now));
     const session = this.#sessions.find(attemptId);
     if (!session) return;
--- a/packages/lovagepond-sidecar/src/sidecar_fencing.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_fencing.ts
@@ -1,25 +1,28 @@
 /**
- * Checks orders on behalf of backend servers that don't: an order passes once,
- * and never below one that has passed.
+ * Checks fencing tokens of orders on behalf of backend servers that do not:
+ * each order passes once, and only if its token is higher than those of all
+ * orders that have passed.
  */
 
-/** An order as control sends it. */
+/** An order from control. */
 export interface FencedOrder {
   readonly orderId: string;
-  /** Rises with each order, also over changes of the leader. */
+  /** Increases with each order, also across changes of the leader. */
   readonly fencingToken: number;
 }
 
-/** What to do with an order. */
+/** How to handle an order. */
 export const ORDER_VERDICT = {
   PASS: 'pass',
-  /** A newer one has passed: tell control, and do nothing. */
+  /** An order with a higher token has passed: reject this one and report it. */
   FENCED: 'fenced',
-  /** It is running: its outcome follows. */
+  /** The order is running; its outcome will be reported. */
   RUNNING: 'running',
-  /** It has ended: its outcome is known. */
+  /** The order has ended and its outcome is known. */
   ENDED: 'ended',
-  /** The floor is not known yet: wait for it, and tell nothing. */
+  /**
+   * The floor is unknown or another order is running: defer without a report.
+   */
   WAIT: 'wait',
 } as const;
 
@@ -27,53 +30,55 @@
 export type OrderVerdict = (typeof ORDER_VERDICT)[keyof typeof ORDER_VERDICT];
 
 /** How an order ended. */
-export interface OrderEnd {
+export interface OrderResult {
   readonly outcome: 'done' | 'failed' | 'fenced';
   readonly message: string;
 }
 
-const KEPT_ENDS = 256;
+const MAX_KEPT_RESULTS = 256;
 
-/** Passes orders by rising token. Without I/O. */
+/** Passes orders in increasing order of their tokens. Performs no I/O. */
 export class SidecarFencing {
   #floor = 0;
   #floorKnown = false;
   #running: string | undefined;
-  readonly #ends = new Map<string, OrderEnd>();
+  readonly #results = new Map<string, OrderResult>();
 
-  /** @returns no order at or below this token passes */
+  /** @returns the floor: no order with this token or a lower one passes */
   get floor(): number {
     return this.#floor;
   }
 
-  /** @returns true once control has told the floor */
+  /** @returns true once control has reported the floor */
   get ready(): boolean {
     return this.#floorKnown;
   }
 
   /**
-   * A restarted sidecar doesn't remember what its predecessor passed. Without
-   * the floor from a majority, an order of a deposed leader, delivered late,
-   * would undo a newer one at a backend server that checks nothing itself.
+   * Raises the floor. A restarted sidecar has no record of the orders that its
+   * former incarnation passed. Without the floor of a majority, a delayed order
+   * of a deposed leader could undo a newer one at a backend server that does
+   * not check tokens.
    *
-   * @param floor the highest token known to a majority for this server
+   * @param floor the highest token that a majority has recorded for this server
    */
-  learnFloor(floor: number): void {
+  raiseFloor(floor: number): void {
     this.#floorKnown = true;
     this.#floor = Math.max(this.#floor, floor);
   }
 
   /**
    * @param order an order from control
-   * @returns what to do; after `pass` the order counts as running
+   * @returns how to handle it; after `pass` the order counts as running
    */
   check(order: FencedOrder): OrderVerdict {
     const {orderId, fencingToken} = order;
-    if (this.#ends.has(orderId)) return ORDER_VERDICT.ENDED;
+    if (this.#results.has(orderId)) return ORDER_VERDICT.ENDED;
     if (this.#running === orderId) return ORDER_VERDICT.RUNNING;
     if (!this.#floorKnown) return ORDER_VERDICT.WAIT;
     if (fencingToken <= this.#floor) return ORDER_VERDICT.FENCED;
-    // One at a time: the backend server gets them in the order of their tokens.
+    // One order at a time, so that the backend server receives them in the
+    // order of their tokens.
     if (this.#running !== undefined) return ORDER_VERDICT.WAIT;
     this.#floor = fencingToken;
     this.#running = orderId;
@@ -81,22 +86,22 @@
   }
 
   /**
-   * @param orderId an order that was passed
-   * @param end how it ended
+   * @param orderId an order that has passed
+   * @param result how it ended
    */
-  finish(orderId: string, end: OrderEnd): void {
+  finish(orderId: string, result: OrderResult): void {
     if (this.#running === orderId) this.#running = undefined;
-    this.#ends.set(orderId, end);
-    if (this.#ends.size <= KEPT_ENDS) return;
-    const oldest = this.#ends.keys().next().value;
-    if (oldest !== undefined) this.#ends.delete(oldest);
+    this.#results.set(orderId, result);
+    if (this.#results.size <= MAX_KEPT_RESULTS) return;
+    const oldest = this.#results.keys().next().value;
+    if (oldest !== undefined) this.#results.delete(oldest);
   }
 
   /**
    * @param orderId an order
    * @returns how it ended, or undefined
    */
-  endOf(orderId: string): OrderEnd | undefined {
-    return this.#ends.get(orderId);
+  resultOf(orderId: string): OrderResult | undefined {
+    return this.#results.get(orderId);
   }
 }
--- a/packages/lovagepond-sidecar/src/sidecar_orders.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_orders.ts
@@ -1,35 +1,35 @@
 /**
- * Passes control's orders to the backend server, once each and by rising
- * token, and reports how they ended.
+ * Passes control's orders to the backend server, each once and in increasing
+ * order of their tokens, and reports their outcome.
  */
 import {type EngineOrder, ORDER_ACTION} from '@lovagepond/backend';
 import {type Logger} from '@lovagepond/core';
 import {type lovagepond} from '@lovagepond/protocol';
 import {type Backend} from './sidecar_backend.js';
 import {
-  type OrderEnd,
+  type OrderResult,
   type OrderVerdict,
   SidecarFencing,
 } from './sidecar_fencing.js';
 
 type Order = lovagepond.v1.Order.$Properties;
 
-/** Tells control how an order ended. */
+/** Reports to control how an order ended. */
 export type ReportOrder = (
   outcome: lovagepond.v1.OrderOutcome.$Properties,
 ) => Promise<void>;
 
-/** What orders need. */
-export interface OrdersParts {
+/** Dependencies of the orders. */
+export interface OrdersDependencies {
   readonly backendServer: string;
   readonly backend: Backend;
   readonly log: Logger;
   readonly report: ReportOrder;
 }
 
-const FENCED: OrderEnd = Object.freeze({
+const FENCED: OrderResult = Object.freeze({
   outcome: 'fenced',
-  message: 'A newer order has passed.',
+  message: 'An order with a higher fencing token has already passed.',
 });
 
 function readOrder(order: Order): EngineOrder | undefined {
@@ -45,10 +45,10 @@
   };
 }
 
-/** The orders of one backend server. */
+/** Handles the orders for one backend server. */
 export class SidecarOrders {
-  readonly #parts: OrdersParts;
-  /** The check that holds whether or not the backend server checks too. */
+  readonly #deps: OrdersDependencies;
+  /** Token check, independent of checks at the backend server. */
   readonly fencing = new SidecarFencing();
 
   readonly #handlers: Readonly<
@@ -58,16 +58,17 @@
     fenced: order => this.#report(order, FENCED),
     running: () => Promise.resolve(),
     ended: order =>
-      this.#report(order, this.fencing.endOf(order.orderId ?? '') ?? FENCED),
+      this.#report(order, this.fencing.resultOf(order.orderId ?? '') ?? FENCED),
     wait: () => Promise.resolve(),
   };
 
-  constructor(parts: OrdersParts) {
-    this.#parts = parts;
+  constructor(deps: OrdersDependencies) {
+    this.#deps = deps;
   }
 
   /**
-   * @param orders what control wants done; it repeats what isn't reported
+   * @param orders pending orders; control repeats those without a reported
+   *     outcome
    */
   async receive(orders: readonly Order[]): Promise<void> {
     const sorted = [...orders].sort(
@@ -83,21 +84,21 @@
   }
 
   async #execute(order: Order): Promise<void> {
-    const end = await this.#pass(readOrder(order));
-    this.fencing.finish(order.orderId ?? '', end);
+    const result = await this.#send(readOrder(order));
+    this.fencing.finish(order.orderId ?? '', result);
     const {orderId, fencingToken} = order;
-    this.#parts.log.info('order ended', {
+    this.#deps.log.info('order ended', {
       orderId: orderId ?? '',
       fencingToken: fencingToken ?? 0,
-      outcome: end.outcome,
+      outcome: result.outcome,
     });
-    await this.#report(order, end);
+    await this.#report(order, result);
   }
 
-  async #pass(order: EngineOrder | undefined): Promise<OrderEnd> {
-    const {backend} = this.#parts;
+  async #send(order: EngineOrder | undefined): Promise<OrderResult> {
+    const {backend} = this.#deps;
     if (!order || backend.kind !== 'engine') {
-      const message = 'The backend server takes no such order.';
+      const message = 'The backend server does not support this order.';
       return {outcome: 'failed', message};
     }
     const result = await backend.engine.order(order);
@@ -105,13 +106,13 @@
     return {outcome: 'failed', message: result.failure.message};
   }
 
-  async #report(order: Order, end: OrderEnd): Promise<void> {
-    await this.#parts.report({
+  async #report(order: Order, result: OrderResult): Promise<void> {
+    await this.#deps.report({
       orderId: order.orderId ?? '',
       fencingToken: order.fencingToken ?? 0,
-      backendServer: this.#parts.backendServer,
-      outcome: end.outcome,
-      message: end.message,
+      backendServer: this.#deps.backendServer,
+      outcome: result.outcome,
+      message: result.message,
     });
   }
 }
--- a/packages/lovagepond-sidecar/src/sidecar_presence.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_presence.ts
@@ -1,6 +1,6 @@
 /**
- * What the sidecar tells control of its backend server, and what it does with
- * the answer: the pool's mean, the wanted state and orders.
+ * Announces the backend server's state to control and applies the response: the
+ * pool's mean load, the wanted state and orders.
  */
 import {type Clock, SERVER_STATE, type ServerState} from '@lovagepond/core';
 import {type lovagepond} from '@lovagepond/protocol';
@@ -13,34 +13,34 @@
 type AnnounceRequest = lovagepond.v1.AnnounceRequest.$Properties;
 type AnnounceResponse = lovagepond.v1.AnnounceResponse;
 
-/** What the presence is made from. */
-export interface PresenceParts {
+/** Dependencies of the presence. */
+export interface PresenceDependencies {
   readonly gate: SidecarGate;
   readonly clock: Clock;
   readonly link: SidecarControlLink;
   readonly orders: SidecarOrders;
   readonly incarnation: string;
-  /** @returns `host:port` that routers reach the sidecar at */
+  /** @returns `host:port` at which routers reach the sidecar */
   address(): string;
   /** @returns the revision in force */
   revision(): number;
   /** @returns models that the backend server has loaded */
   models(): readonly string[];
-  /** Operators want the server to leave, or to take work again. */
+  /** Called with the state that operators want: draining or ready. */
   onWantedState(wanted: string): void;
 }
 
-/** The backend server as control and routers see it. */
+/** Presence of the backend server at control and routers. */
 export class SidecarPresence {
   readonly #settings: SidecarSettings;
-  readonly #parts: PresenceParts;
+  readonly #deps: PresenceDependencies;
   readonly #announcer: SidecarAnnouncer;
 
-  constructor(settings: SidecarSettings, parts: PresenceParts) {
+  constructor(settings: SidecarSettings, deps: PresenceDependencies) {
     this.#settings = settings;
-    this.#parts = parts;
+    this.#deps = deps;
     this.#announcer = new SidecarAnnouncer({
-      link: parts.link,
+      link: deps.link,
       announceIntervalMs: settings.announceIntervalMs,
       makeAnnouncement: () => this.#makeAnnouncement(),
       onAnswer: (answer, sent) => this.#onAnswer(answer, sent),
@@ -49,22 +49,22 @@
 
   /** @returns the state that is announced */
   get state(): ServerState {
-    const {gate} = this.#parts;
+    const {gate} = this.#deps;
     if (gate.draining) return SERVER_STATE.DRAINING;
     return gate.ready ? SERVER_STATE.READY : SERVER_STATE.JOINING;
   }
 
-  /** Announces now and from then on. */
+  /** Starts announcing at each interval. */
   start(): void {
     this.#announcer.start();
   }
 
-  /** Announces at once: the state has changed, and routers wait for it. */
+  /** Announces a change of state at once, as routers depend on it. */
   announce(): void {
     void this.#announcer.announce();
   }
 
-  /** Ends it. */
+  /** Stops announcing. */
   stop(): void {
     this.#announcer.stop();
   }
@@ -72,7 +72,7 @@
   #makeAnnouncement(): AnnounceRequest {
     const {backendServer, pool, labels} = this.#settings;
     const {availabilityZone, region} = this.#settings;
-    const {gate, clock, orders, incarnation} = this.#parts;
+    const {gate, clock, orders, incarnation} = this.#deps;
     const {runningTokens, queuedTokens} = gate.load(clock.now());
     return {
       backendServer,
@@ -81,20 +81,20 @@
       labels: {...labels},
       availabilityZone,
       region,
-      address: this.#parts.address(),
+      address: this.#deps.address(),
       state: this.state,
       runningTokens,
       queuedTokens,
       capacityTokens: gate.admission.capacityTokens,
-      revision: this.#parts.revision(),
-      models: [...this.#parts.models()],
+      revision: this.#deps.revision(),
+      models: [...this.#deps.models()],
       role: 'sidecar',
       fencingFloor: orders.fencing.floor,
     };
   }
 
   #onAnswer(answer: AnnounceResponse, sent: AnnounceRequest): void {
-    const {gate, clock, orders} = this.#parts;
+    const {gate, clock, orders} = this.#deps;
     const mean = {
       meanTokens: answer.poolMeanRunningTokens || answer.poolMeanTokens,
       ageMs: answer.poolMeanAgeMs,
@@ -103,9 +103,9 @@
     };
     gate.admission.setPoolMean(mean, clock.now());
     if (answer.fencingFloorKnown) {
-      orders.fencing.learnFloor(answer.fencingFloor);
+      orders.fencing.raiseFloor(answer.fencingFloor);
     }
     void orders.receive(answer.orders);
-    this.#parts.onWantedState(answer.wantedState);
+    this.#deps.onWantedState(answer.wantedState);
   }
 }
--- a/packages/lovagepond-sidecar/src/sidecar_run.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_run.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a dispatched attempt at the backend server and feeds its answer to the
+ * Runs a dispatched attempt at the backend server and passes its answer to the
  * attempt's session.
  */
 import {type EngineEvent} from '@lovagepond/backend';
@@ -13,12 +13,18 @@
 import {makeStarted} from './sidecar_frames.js';
 import {type SidecarSession} from './sidecar_session.js';
 
-/** Unsent bytes of an answer above which the backend server isn't read. */
+/**
+ * Number of unsent answer bytes above which reading from the backend server
+ * pauses.
+ */
 const MAX_UNSENT_BYTES = 64 * 1024;
 const MAX_RESUMES = 2;
 
-/** Failures after which an engine may still hold the generation, or have ended. */
-const BROKEN_OFF: ReadonlySet<ErrorKind> = new Set([
+/**
+ * Failures after which the engine may still hold the generation, or may have
+ * crashed.
+ */
+const INTERRUPTED: ReadonlySet<ErrorKind> = new Set([
   'backendFailed',
   'backendSilent',
   'answerTruncated',
@@ -31,8 +37,8 @@
   /** No byte of the request reached the backend server. */
   | {readonly kind: 'notRun'; readonly failure: Failure};
 
-/** What a run needs. */
-export interface RunParts {
+/** Dependencies of a run. */
+export interface RunDependencies {
   readonly backend: Backend;
   readonly session: SidecarSession;
   readonly clock: Clock;
@@ -59,14 +65,15 @@
   },
   started: ({status, contentType, cachedTokens}, session, state) => {
     state.cachedTokens = cachedTokens;
-    session.begin({status, contentType});
+    session.setHead({status, contentType});
     session.start(makeStarted(cachedTokens > 0, cachedTokens));
     return undefined;
   },
   data: (piece, session) => {
     if (session.append(piece)) return undefined;
-    // Bytes that don't follow belong to another generation or another request:
-    // passed on, the caller would read a spliced answer as a whole one.
+    // Bytes at an unexpected offset belong to another generation or another
+    // request. Forwarding them would give the caller a spliced answer that
+    // looks complete.
     return {kind: 'failed', failure: makeFailure('answerTruncated')};
   },
   end: ({totalBytes}, session, {cachedTokens}) => {
@@ -78,12 +85,12 @@
   },
 };
 
-async function follow(
-  parts: RunParts,
+async function streamAnswer(
+  deps: RunDependencies,
   resumeFrom: number,
   state: RunState,
 ): Promise<RunOutcome> {
-  const {backend, session, clock, signal} = parts;
+  const {backend, session, clock, signal} = deps;
   const {request, deadlineAt: deadline} = session;
   const run = {request, deadline, resumeFrom, signal};
   for await (const event of runAtBackend(backend, run, clock.now())) {
@@ -97,16 +104,17 @@
 }
 
 /**
- * A run that threw would never end for the gate, and its tokens would fill the
- * bound for good; whatever was thrown, the request may have run.
+ * Converts an exception into a failure, as the request may have run. An
+ * uncaught exception would leave the run open in the gate, and its tokens would
+ * count towards the load bound for good.
  */
-async function followOnce(
-  parts: RunParts,
+async function streamOnce(
+  deps: RunDependencies,
   resumeFrom: number,
 ): Promise<RunOutcome> {
   const state: RunState = {dispatched: false, cachedTokens: 0};
   try {
-    return await follow(parts, resumeFrom, state);
+    return await streamAnswer(deps, resumeFrom, state);
   } catch (err) {
     const message = err instanceof Error ? err.message : String(err);
     return {kind: 'failed', failure: makeFailure('internal', {message})};
@@ -115,17 +123,18 @@
 
 /**
  * @param outcome how a run ended
- * @returns true when the backend server didn't end it by an answer
+ * @returns true when the run failed because the backend server crashed, went
+ *     silent or truncated the answer
  */
-export function hasBrokenOff(outcome: RunOutcome): boolean {
-  return outcome.kind === 'failed' && BROKEN_OFF.has(outcome.failure.kind);
+export function wasInterrupted(outcome: RunOutcome): boolean {
+  return outcome.kind === 'failed' && INTERRUPTED.has(outcome.failure.kind);
 }
 
-function mayResume(outcome: RunOutcome, parts: RunParts): boolean {
-  const {session, backend, signal} = parts;
+function canResume(outcome: RunOutcome, deps: RunDependencies): boolean {
+  const {session, backend, signal} = deps;
   return (
     backend.kind === 'engine' &&
-    hasBrokenOff(outcome) &&
+    wasInterrupted(outcome) &&
     session.answerBytes > 0 &&
     !session.request.nonRepeatable &&
     !signal.aborted
@@ -133,20 +142,21 @@
 }
 
 /**
- * Runs an attempt to its end. When the engine's stream breaks after its first
- * byte, the same generation is asked to go on from there; an engine that no
- * longer holds it refuses, and the attempt fails as it would have.
+ * Runs an attempt to its end. If the engine's stream breaks after the first
+ * byte, the same generation is resumed at the current offset. An engine that no
+ * longer holds the generation refuses, and the attempt fails.
  *
- * @param parts the attempt and its backend server
+ * @param deps the session of the attempt, its backend server and an abort
+ *     signal
  * @returns how it ended; never throws
  */
-export async function runAttempt(parts: RunParts): Promise<RunOutcome> {
-  const first = await followOnce(parts, 0);
+export async function runAttempt(deps: RunDependencies): Promise<RunOutcome> {
+  const first = await streamOnce(deps, 0);
   let outcome = first;
   for (let resumes = 0; resumes < MAX_RESUMES; resumes += 1) {
-    if (!mayResume(outcome, parts)) break;
-    outcome = await followOnce(parts, parts.session.answerBytes);
+    if (!canResume(outcome, deps)) break;
+    outcome = await streamOnce(deps, deps.session.answerBytes);
   }
-  // The resume was not run, but the first run was.
+  // A "not run" outcome belongs to the resume only; the first run did run.
   return outcome.kind === 'notRun' ? first : outcome;
 }
--- a/packages/lovagepond-sidecar/src/sidecar_takes.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_take_client.ts
@@ -1,5 +1,5 @@
 /**
- * Asks other sidecars for held requests while this one has room.
+ * Takes held requests from other sidecars while this one has free capacity.
  */
 import {type Clock, type Random} from '@lovagepond/core';
 import {type SidecarGate} from './sidecar_gate.js';
@@ -10,40 +10,44 @@
   type TakerSettings,
 } from './sidecar_take.js';
 
-/** What taking needs. */
-export interface TakesParts {
+/** Dependencies of {@link SidecarTakeClient}. */
+export interface TakeClientDependencies {
   readonly gate: SidecarGate;
   readonly peers: SidecarPeers;
   readonly clock: Clock;
   readonly random: Random;
-  /** A server below this load holds nothing back. */
+  /** A server below this load has no held requests. */
   readonly floorTokens: number;
 }
 
-/** Takes one request at a time. */
-export class SidecarTakes {
+/** Takes one request at a time from other sidecars. */
+export class SidecarTakeClient {
   readonly #settings: TakerSettings;
-  readonly #parts: TakesParts;
+  readonly #deps: TakeClientDependencies;
   readonly #taker: SidecarTaker;
-  #asking = false;
+  #isRequestPending = false;
   #taken = 0;
 
-  constructor(settings: TakerSettings, parts: TakesParts) {
+  constructor(settings: TakerSettings, deps: TakeClientDependencies) {
     this.#settings = settings;
-    this.#parts = parts;
-    this.#taker = new SidecarTaker(settings, parts.random);
+    this.#deps = deps;
+    this.#taker = new SidecarTaker(settings, deps.random);
   }
 
-  /** @returns requests taken since the start */
+  /** @returns number of requests taken since the start */
   get taken(): number {
     return this.#taken;
   }
 
-  /** @param now present time; call it at each tick */
+  /**
+   * Asks one sidecar for a request if one is due; called at each tick.
+   *
+   * @param now current time
+   */
   tick(now: number): void {
-    if (this.#asking) return;
-    const {gate, peers, floorTokens} = this.#parts;
-    const roomTokens = gate.takeRoom(now);
+    if (this.#isRequestPending) return;
+    const {gate, peers, floorTokens} = this.#deps;
+    const roomTokens = gate.roomForTake(now);
     if (roomTokens <= 0) return;
     const loaded = peers.loads.filter(({tokens}) => tokens > floorTokens);
     const {runningTokens} = gate.load(now);
@@ -52,15 +56,15 @@
   }
 
   async #take(victim: PeerLoad, roomTokens: number): Promise<void> {
-    this.#asking = true;
-    const answer = await this.#parts.peers.take(victim, roomTokens);
-    this.#asking = false;
-    const now = this.#parts.clock.now();
+    this.#isRequestPending = true;
+    const answer = await this.#deps.peers.take(victim, roomTokens);
+    this.#isRequestPending = false;
+    const now = this.#deps.clock.now();
     const count = answer?.attemptIds?.length ?? 0;
     this.#taken += count;
     this.#taker.noteAnswer(count, now);
     if (count === 0) return;
     const until = now + this.#settings.reservationMs;
-    this.#parts.gate.reserve(victim.backendServer, answer?.tokens ?? 0, until);
+    this.#deps.gate.reserve(victim.backendServer, answer?.tokens ?? 0, until);
   }
 }
