--- a/packages/lovagepond-cli/src/role_control.ts
+++ b/packages/lovagepond-cli/src/role_control.ts
@@ -5,7 +5,7 @@
 import {
   CONTROL_DEFAULTS,
   CONTROL_TIMINGS,
-  type ControlParts,
+  type ControlDependencies,
   ControlRole,
 } from '@lovagepond/control';
 import {AdministrationServer} from '@lovagepond/operator/server';
@@ -54,7 +54,7 @@
 export function createControlMember(
   values: ControlValues,
   {clock, log, random}: RoleParts,
-  more: Pick<ControlParts, 'readHeldContexts'> = {},
+  more: Pick<ControlDependencies, 'readHeldContexts'> = {},
 ): MadeControlMember {
   const settings = {...CONTROL_DEFAULTS, ...toControlSettings(values)};
   const control = new ControlRole(settings, {
--- a/packages/lovagepond-control/src/__tests__/model/control_cluster.ts
+++ b/packages/lovagepond-control/src/__tests__/model/control_cluster.ts
@@ -31,7 +31,7 @@
 type Listener = Parameters<ConsensusTransport['onMessage']>[0];
 
 /** A network whose members can be cut off without a sign. */
-class SilentNetwork {
+class TestNetwork {
   readonly cutOff = new Set<string>();
   readonly #listeners = new Map<string, Listener>();
 
@@ -65,7 +65,7 @@
 
 /** Three members. */
 export class ControlCluster {
-  readonly network = new SilentNetwork();
+  readonly network = new TestNetwork();
   readonly #addresses = ['a:1', 'b:1', 'c:1'];
   readonly #storages = this.#addresses.map(a => new MemoryStorage(`m-${a}`));
   members: MemberProcess[] = [];
--- a/packages/lovagepond-control/src/__tests__/unit/context_inventory.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/context_inventory.test.ts
@@ -1,13 +1,13 @@
 import {expect, test} from 'vitest';
 import {takeInventory} from '../../context_inventory.js';
-import {ReadingBoard} from '../../reading_board.js';
+import {ReadingReportLog} from '../../reading_report_log.js';
 
 const SERVERS = ['x', 'y', 'z'].map(name => ({name, address: `${name}:1`}));
 
 // All processes were stopped and know nothing of what engines hold. One engine
 // is down and one answers last: what the others say goes out as it comes.
 test('tells what each engine holds, whatever the others do', async () => {
-  const board = new ReadingBoard();
+  const board = new ReadingReportLog();
   const warnings: unknown[] = [];
   const log = {
     debug: () => undefined,
@@ -19,7 +19,7 @@
   const inventory = takeInventory(SERVERS, {
     log,
     onReport: report => {
-      board.post(report);
+      board.add(report);
     },
     readHeldContexts: address => {
       if (address === 'x:1') return Promise.resolve(['a', 'b']);
--- a/packages/lovagepond-control/src/__tests__/unit/control_cluster.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/control_cluster.test.ts
@@ -5,7 +5,7 @@
 } from '../../control_administration.js';
 import {ORDER_COMMAND} from '../../control_commands.js';
 import {type IssueResult} from '../../order_state.js';
-import {type Proposed} from '../../proposer.js';
+import {type ProposalResult} from '../../proposer.js';
 import {ControlCluster, settle} from '../model/control_cluster.js';
 
 let cluster: ControlCluster;
@@ -143,7 +143,7 @@
   const issue = (
     member: typeof old,
     orderId: string,
-  ): Promise<Proposed<IssueResult> | undefined> =>
+  ): Promise<ProposalResult<IssueResult> | undefined> =>
     settle(member.proposer.propose(ORDER_COMMAND, {...order, orderId}));
   const first = await issue(old, 'o1');
   cluster.network.cutOff.add(old.address);
--- a/packages/lovagepond-control/src/__tests__/unit/control_role.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/control_role.test.ts
@@ -125,16 +125,16 @@
     });
   });
   cleanups.push(() => stream.cancel());
-  const heard: Update[] = [];
+  const received: Update[] = [];
   let check = (): void => {};
   stream.on('data', (update: Update) => {
-    heard.push(update);
+    received.push(update);
     check();
   });
   const until = (matches: (update: Update) => boolean): Promise<Update> =>
     new Promise(resolve => {
       check = () => {
-        const found = heard.find(matches);
+        const found = received.find(matches);
         if (found) resolve(found);
       };
       check();
--- a/packages/lovagepond-control/src/__tests__/unit/member_transport.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/member_transport.test.ts
@@ -71,7 +71,7 @@
   const lateAddress = `127.0.0.1:${latePort}`;
   early.transport.send(lateAddress, preVote(early.address, 1));
   await vi.waitFor(() => {
-    expect(early.transport.underWay).toBe(0);
+    expect(early.transport.inFlight).toBe(0);
   });
   const late = await startMember(latePort);
   const asked = nextMessage(early);
@@ -94,7 +94,7 @@
         asking.address,
         preVote(answering.address, attempt),
       );
-      underWay.push(answering.transport.underWay);
+      underWay.push(answering.transport.inFlight);
     }
   });
   const answers: TransportMessage[] = [];
--- a/packages/lovagepond-control/src/__tests__/unit/reading_board.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/reading_report_log.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, it} from 'vitest';
-import {ReadingBoard} from '../../reading_board.js';
+import {ReadingReportLog} from '../../reading_report_log.js';
 
 const reading = (
   prefix: string,
@@ -14,17 +14,17 @@
   // starts later has to hear which prompts are warm all the same: it would have
   // them read anew elsewhere.
   it('remembers readings behind any number of reports without one', () => {
-    const board = new ReadingBoard();
+    const board = new ReadingReportLog();
     expect(board.isEmpty).toBe(true);
     for (let at = 0; at < 3_000; at += 1) {
       const running = [{backendServer: 's', requests: at, ended: 0, failed: 0}];
-      board.post({node: 'g', readings: [], running});
+      board.add({node: 'g', readings: [], running});
     }
     expect(board.isEmpty).toBe(true);
-    board.post({node: 'g', readings: [reading('/a')], running: []});
+    board.add({node: 'g', readings: [reading('/a')], running: []});
     for (let at = 0; at < 3_000; at += 1) {
       const running = [{backendServer: 's', requests: at, ended: 0, failed: 0}];
-      board.post({node: 'g', readings: [], running});
+      board.add({node: 'g', readings: [], running});
     }
     expect(board.isEmpty).toBe(false);
     expect(board.history()).toEqual([
@@ -33,9 +33,9 @@
   });
 
   it('gives a subscriber what came after its last report', () => {
-    const board = new ReadingBoard();
+    const board = new ReadingReportLog();
     for (let at = 0; at < 2_500; at += 1) {
-      board.post({node: `${at}`, readings: [], running: []});
+      board.add({node: `${at}`, readings: [], running: []});
     }
     const nodes = board.since(2_497).map(({node}) => node);
     expect(nodes).toEqual(['2497', '2498', '2499']);
@@ -43,9 +43,9 @@
   });
 
   it('forgets the oldest readings', () => {
-    const board = new ReadingBoard();
+    const board = new ReadingReportLog();
     for (let at = 0; at < 10_000; at += 1) {
-      board.post({node: 'g', readings: [reading(`/${at}`)], running: []});
+      board.add({node: 'g', readings: [reading(`/${at}`)], running: []});
     }
     const [all] = board.history();
     expect(all?.readings).toHaveLength(2_048);
--- a/packages/lovagepond-control/src/__tests__/unit/running_totals.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/running_request_totals.test.ts
@@ -1,13 +1,16 @@
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
-import {type ReadingReport, type RunningRequests} from '../../reading_board.js';
-import {RunningFeed} from '../../running_feed.js';
-import {RunningTotals} from '../../running_totals.js';
+import {
+  type ReadingReport,
+  type RunningRequests,
+} from '../../reading_report_log.js';
+import {RunningRequestFeed} from '../../running_request_feed.js';
+import {RunningRequestTotals} from '../../running_request_totals.js';
 import {UpdateEncoder} from '../../update_encoder.js';
 
 const SERVERS = Array.from({length: 80}, (_, at) => `i-${at}fa2c1b07`);
 
-function tell(
+function reportOf(
   node: string,
   backendServer: string,
   requests: number,
@@ -20,16 +23,16 @@
 /** A router as it keeps what it is told. */
 class Router {
   readonly known = new Map<string, RunningRequests>();
-  readonly #feed: RunningFeed;
+  readonly #feed: RunningRequestFeed;
 
   constructor(name: string) {
-    this.#feed = new RunningFeed(name);
+    this.#feed = new RunningRequestFeed(name);
   }
 
-  take(totals: RunningTotals, now: number): readonly RunningRequests[] {
-    const told = this.#feed.next(totals, now);
-    for (const one of told) this.known.set(one.backendServer, one);
-    return told;
+  take(totals: RunningRequestTotals, now: number): readonly RunningRequests[] {
+    const sent = this.#feed.next(totals, now);
+    for (const one of sent) this.known.set(one.backendServer, one);
+    return sent;
   }
 }
 
@@ -42,13 +45,13 @@
     });
     fc.assert(
       fc.property(fc.array(report, {maxLength: 40}), reports => {
-        const totals = new RunningTotals();
+        const totals = new RunningRequestTotals();
         const routers = [0, 1, 2, 3, 4].map(at => new Router(`r${at}`));
         const counts = new Map<string, number>();
         let now = 0;
         for (const {router, server, requests} of reports) {
           now += 10;
-          totals.note(tell(`r${router}`, `s${server}`, requests), now);
+          totals.record(reportOf(`r${router}`, `s${server}`, requests), now);
           counts.set(`${router} ${server}`, requests);
           for (const one of routers) one.take(totals, now);
         }
@@ -70,31 +73,31 @@
   // A gateway is killed with requests under way and can't take back what it told.
   // The others would avoid the servers that it had sent to.
   it('forgets a router that ended', () => {
-    const totals = new RunningTotals();
+    const totals = new RunningRequestTotals();
     const router = new Router('b');
-    totals.note(tell('a', 's', 7), 0);
+    totals.record(reportOf('a', 's', 7), 0);
     router.take(totals, 0);
     expect(router.known.get('s')?.requests).toBe(7);
-    totals.forgetSilent(3_100);
+    totals.expireReports(3_100);
     router.take(totals, 3_100);
     expect(router.known.get('s')?.requests).toBe(0);
-    expect(totals.countOthers('b')).toBe(0);
+    expect(totals.countOtherRouters('b')).toBe(0);
   });
 
   // Routers forget a number after some seconds without a word.
   it('is told again while it holds', () => {
-    const totals = new RunningTotals();
+    const totals = new RunningRequestTotals();
     const router = new Router('b');
-    totals.note(tell('a', 's', 7), 0);
+    totals.record(reportOf('a', 's', 7), 0);
     expect(router.take(totals, 0)).toHaveLength(1);
     expect(router.take(totals, 500)).toHaveLength(0);
     expect(router.take(totals, 1_100)).toHaveLength(1);
   });
 
   it('has each failure once, and none from before it came', () => {
-    const totals = new RunningTotals();
+    const totals = new RunningRequestTotals();
     const failed = (now: number): void => {
-      totals.note(tell('a', 's', 0, {ended: 2, failed: 1}), now);
+      totals.record(reportOf('a', 's', 0, {ended: 2, failed: 1}), now);
     };
     failed(0);
     const router = new Router('b');
@@ -105,7 +108,7 @@
     const told = router.take(totals, 200);
     expect(told).toMatchObject([{ended: 4, failed: 2}]);
     expect(router.take(totals, 400)).toHaveLength(0);
-    totals.note(tell('b', 's', 0, {ended: 1, failed: 1}), 500);
+    totals.record(reportOf('b', 's', 0, {ended: 1, failed: 1}), 500);
     expect(router.take(totals, 600)).toHaveLength(0);
   });
 
@@ -113,15 +116,15 @@
   // time. What one of them receives must not grow with the gateways.
   it('does not grow with the routers', () => {
     const bytesOfASecond = (routers: number): number => {
-      const totals = new RunningTotals();
-      const feed = new RunningFeed('r0');
+      const totals = new RunningRequestTotals();
+      const feed = new RunningRequestFeed('r0');
       const encoder = new UpdateEncoder();
       let bytes = 0;
       for (let now = 0; now < 1_000; now += 50) {
         for (let router = 0; router < routers; router += 1) {
           SERVERS.forEach((server, at) => {
             const requests = (now / 50 + router + at) % 4;
-            totals.note(tell(`r${router}`, server, requests), now);
+            totals.record(reportOf(`r${router}`, server, requests), now);
           });
         }
         const running = feed.next(totals, now);
--- a/packages/lovagepond-control/src/__tests__/unit/subscription_hub.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/subscription_hub.test.ts
@@ -5,8 +5,8 @@
 import {OrderDelivery} from '../../order_delivery.js';
 import {type FeedUpdate, type FeedView} from '../../subscription_feed.js';
 import {LOG_VERSION} from '../../control_commands.js';
-import {ReadingBoard} from '../../reading_board.js';
-import {RunningTotals} from '../../running_totals.js';
+import {ReadingReportLog} from '../../reading_report_log.js';
+import {RunningRequestTotals} from '../../running_request_totals.js';
 import {SubscriptionHub, type UpdateSink} from '../../subscription_hub.js';
 
 const SETTINGS = {
@@ -56,8 +56,8 @@
     configuration,
     contentOf: () => undefined,
     membershipVersion: 0,
-    readings: new ReadingBoard(),
-    running: new RunningTotals(),
+    readings: new ReadingReportLog(),
+    running: new RunningRequestTotals(),
     crashesVersion: 0,
     suspects: () => [],
     controlMembers: [],
@@ -68,7 +68,7 @@
 
 function startHub(): SubscriptionHub {
   const hub = new SubscriptionHub(SETTINGS, 0);
-  hub.noteContact(0, 0);
+  hub.recordContact(0, 0);
   return hub;
 }
 
@@ -79,14 +79,14 @@
   const sink = new Sink();
   const {feed} = hub.add(ROUTER, sink);
   feed.confirm(0);
-  hub.pump(viewOf(1), 0);
+  hub.flush(viewOf(1), 0);
   sink.take();
   sink.writable = false;
   for (let revision = 2; revision < 500; revision += 1) {
-    hub.pump(viewOf(revision), revision);
+    hub.flush(viewOf(revision), revision);
   }
   sink.writable = true;
-  hub.pump(viewOf(500), 500);
+  hub.flush(viewOf(500), 500);
   expect(sink.take()).toMatchObject([
     {kind: 'configuration', configuration: {revision: 500}, confirmed: true},
   ]);
@@ -99,19 +99,19 @@
   const hub = startHub();
   const sink = new Sink();
   const {feed} = hub.add(ROUTER, sink);
-  hub.pump(viewOf(6), 0);
+  hub.flush(viewOf(6), 0);
   feed.confirm(7);
-  hub.pump(viewOf(6), 100);
+  hub.flush(viewOf(6), 100);
   expect(sink.take()).toMatchObject([
     {kind: 'configuration', confirmed: false},
   ]);
-  hub.pump(viewOf(7), 200);
+  hub.flush(viewOf(7), 200);
   expect(sink.take()).toMatchObject([
     {configuration: {revision: 7}, withContent: true, confirmed: true},
   ]);
   const held = new Sink();
   hub.add({...ROUTER, revision: 7}, held).feed.confirm(7);
-  hub.pump(viewOf(7), 300);
+  hub.flush(viewOf(7), 300);
   expect(held.take()).toMatchObject([
     {kind: 'configuration', withContent: false, confirmed: true},
   ]);
@@ -150,11 +150,11 @@
   const hub = startHub();
   const sink = new Sink();
   hub.add(ROUTER, sink);
-  hub.noteContact(0, 2_999);
+  hub.recordContact(0, 2_999);
   expect([sink.ended, hub.isFresh(2_999)]).toEqual([false, true]);
-  hub.noteContact(0, 3_000);
+  hub.recordContact(0, 3_000);
   expect([sink.ended, hub.isFresh(3_000), hub.size]).toEqual([true, false, 0]);
-  hub.noteContact(4_000, 4_000);
+  hub.recordContact(4_000, 4_000);
   expect(hub.isFresh(4_000)).toBe(true);
 });
 
@@ -166,9 +166,9 @@
   const [follower, router] = [new Sink(), new Sink()];
   hub.add({...ROUTER, role: 'control'}, follower);
   hub.add(ROUTER, router);
-  hub.pump({...viewOf(0, 3), leads: false}, 2_000);
+  hub.flush({...viewOf(0, 3), leads: false}, 2_000);
   expect([follower.sent.length, router.sent.length]).toEqual([0, 1]);
-  hub.pump(viewOf(0, 3), 2_100);
+  hub.flush(viewOf(0, 3), 2_100);
   expect(follower.take()).toMatchObject([{kind: 'load'}]);
 });
 
@@ -176,10 +176,10 @@
   const hub = startHub();
   const sink = new Sink();
   hub.add(ROUTER, sink).feed.confirm(0);
-  for (let now = 0; now < 5_000; now += 100) hub.pump(viewOf(0), now);
+  for (let now = 0; now < 5_000; now += 100) hub.flush(viewOf(0), now);
   const kinds = sink.take().map(update => update.kind);
   expect(kinds).toEqual(['configuration', ...Array(4).fill('heartbeat')]);
-  for (let now = 5_000; now < 8_000; now += 100) hub.pump(viewOf(0, 3), now);
+  for (let now = 5_000; now < 8_000; now += 100) hub.flush(viewOf(0, 3), now);
   expect(sink.take().map(update => update.kind)).toEqual([
     ...['load', 'load', 'load'],
   ]);
@@ -223,15 +223,15 @@
   const hub = startHub();
   const sink = new Sink();
   hub.add(ROUTER, sink);
-  hub.pump({...viewOf(1), controlMembers: ['a', 'b']}, 0);
+  hub.flush({...viewOf(1), controlMembers: ['a', 'b']}, 0);
   expect(sink.take()).toContainEqual({
     kind: 'controlMembers',
     addresses: ['a', 'b'],
     goOn: false,
   });
-  hub.pump({...viewOf(1), controlMembers: ['a', 'b']}, 1);
+  hub.flush({...viewOf(1), controlMembers: ['a', 'b']}, 1);
   expect(sink.take()).toEqual([]);
-  hub.pump({...viewOf(1), controlMembers: ['b', 'c']}, 2);
+  hub.flush({...viewOf(1), controlMembers: ['b', 'c']}, 2);
   expect(sink.take()).toEqual([
     {kind: 'controlMembers', addresses: ['b', 'c'], goOn: false},
   ]);
@@ -250,7 +250,7 @@
   const baseOf = (revision: number, takesDeltas: boolean): unknown => {
     const sink = new Sink();
     hub.add({...ROUTER, revision, takesDeltas}, sink);
-    hub.pump(view, 0);
+    hub.flush(view, 0);
     const [update] = sink.take();
     return update?.kind === 'configuration' && update.base?.revision;
   };
@@ -267,10 +267,10 @@
   const hub = new SubscriptionHub(SETTINGS, 0);
   const sink = new Sink();
   hub.add(ROUTER, sink);
-  hub.sendOn([]);
+  hub.redirectSubscribers([]);
   expect(sink.take()).toEqual([]);
-  hub.sendOn(['leader']);
-  hub.sendOn(['leader']);
+  hub.redirectSubscribers(['leader']);
+  hub.redirectSubscribers(['leader']);
   expect(sink.take()).toEqual([
     {kind: 'controlMembers', addresses: ['leader'], goOn: true},
   ]);
@@ -292,14 +292,14 @@
   });
   const sink = new Sink();
   hub.add(ROUTER, sink);
-  hub.pump(view(1), 0);
+  hub.flush(view(1), 0);
   const kinds = sink.take().map(({kind}) => kind);
   expect(kinds[0]).toBe('quarantine');
   expect(kinds).toContain('membership');
-  hub.pump(view(1), 1);
+  hub.flush(view(1), 1);
   expect(sink.take()).toEqual([]);
   suspects = [];
-  hub.pump(view(2), 2);
+  hub.flush(view(2), 2);
   expect(sink.take()).toEqual([{kind: 'quarantine', suspects: []}]);
 });
 
--- a/packages/lovagepond-control/src/configuration_changer.ts
+++ b/packages/lovagepond-control/src/configuration_changer.ts
@@ -12,7 +12,7 @@
 import {
   type ChangeAnswer,
   type ChangeRequest,
-  type WantedChange,
+  type RequestedChange,
 } from './control_administration.js';
 import {CHANGE_COMMAND, type ChangePayload} from './control_commands.js';
 import {
@@ -26,7 +26,7 @@
 
 /** A change as operators may ask for it, restores included. */
 export type AnyChange =
-  WantedChange | {readonly kind: 'restore'; readonly revision: number};
+  RequestedChange | {readonly kind: 'restore'; readonly revision: number};
 
 /** A request for any change. */
 export type AnyChangeRequest = Omit<ChangeRequest, 'change'> & {
--- a/packages/lovagepond-control/src/configuration_documents.ts
+++ b/packages/lovagepond-control/src/configuration_documents.ts
@@ -6,7 +6,7 @@
  * wins; the replicated state decides, so the order of arrival doesn't matter.
  */
 import {checkConfiguration, type ConfigurationFault} from '@lovagepond/core';
-import {type NotDone} from './control_administration.js';
+import {type RetryableFailure} from './control_administration.js';
 import {INSTALL_COMMAND, type InstallPayload} from './control_commands.js';
 import {type ConfigurationDocument} from './configuration_state.js';
 import {type ControlStateMachine} from './control_state_machine.js';
@@ -17,7 +17,7 @@
   /** Committed; `version` is the one in force, which may be a higher one. */
   | {readonly kind: 'accepted'; readonly version: number}
   | {readonly kind: 'invalid'; readonly faults: readonly ConfigurationFault[]}
-  | NotDone;
+  | RetryableFailure;
 
 /** Answer to a read. */
 export type DocumentAnswer =
@@ -25,7 +25,7 @@
       readonly kind: 'found';
       readonly document: ConfigurationDocument | undefined;
     }
-  | Extract<NotDone, {kind: 'notLeader'}>;
+  | Extract<RetryableFailure, {kind: 'notLeader'}>;
 
 /** A numbered configuration, translated but not checked yet. */
 export interface OfferedDocument extends ConfigurationDocument {
--- a/packages/lovagepond-control/src/context_inventory.ts
+++ b/packages/lovagepond-control/src/context_inventory.ts
@@ -6,7 +6,7 @@
  * and callers' first tokens would wait for that.
  */
 import {type Logger} from '@lovagepond/core';
-import {type ReadingReport} from './reading_board.js';
+import {type ReadingReport} from './reading_report_log.js';
 
 /**
  * Reads from a backend server which parts of prompts it holds.
--- a/packages/lovagepond-control/src/control_administration.ts
+++ b/packages/lovagepond-control/src/control_administration.ts
@@ -14,7 +14,7 @@
 } from '@lovagepond/core';
 
 /** The change an operator wants. */
-export type WantedChange =
+export type RequestedChange =
   | {readonly kind: 'replace'; readonly content: unknown}
   | {
       readonly kind: 'put';
@@ -35,7 +35,7 @@
   readonly baseRevision: number;
   /** Checks everything and changes nothing. */
   readonly dryRun: boolean;
-  readonly change: WantedChange;
+  readonly change: RequestedChange;
 }
 
 /** One named object that differs between two configurations. */
@@ -50,7 +50,7 @@
 }
 
 /** Answers that any operation at the leader can get. */
-export type NotDone =
+export type RetryableFailure =
   /** Another member leads; empty when none is known. */
   | {readonly kind: 'notLeader'; readonly leader: string}
   /** It may or may not have been committed: send the same id again. */
@@ -74,7 +74,7 @@
       readonly kind: 'invalid';
       readonly faults: readonly ConfigurationFault[];
     }
-  | NotDone;
+  | RetryableFailure;
 
 /** One accepted revision. */
 export interface HistoryEntry {
@@ -149,13 +149,13 @@
 export type OperationAnswer =
   | {readonly kind: 'accepted'}
   | {readonly kind: 'invalid'; readonly faults: readonly ConfigurationFault[]}
-  | NotDone;
+  | RetryableFailure;
 
 /** Answer to an order. */
 export type OrderAnswer =
   | {readonly kind: 'accepted'; readonly fencingToken: number}
   | {readonly kind: 'invalid'; readonly faults: readonly ConfigurationFault[]}
-  | NotDone;
+  | RetryableFailure;
 
 /** Which revision a node holds. */
 export interface ConvergenceView {
--- a/packages/lovagepond-control/src/control_channel_constants.ts
+++ b/packages/lovagepond-control/src/control_channel_constants.ts
@@ -18,19 +18,19 @@
  * It costs processor time at each call, as do retries of calls that are repeated
  * with newer content anyway.
  */
-const LEAN: ChannelOptions = {'grpc.enable_channelz': 0};
+const LOW_OVERHEAD: ChannelOptions = {'grpc.enable_channelz': 0};
 
 /** Options of control's gRPC server. */
 export const SERVER_OPTIONS: ChannelOptions = {
   ...KEEPALIVE,
-  ...LEAN,
+  ...LOW_OVERHEAD,
   'grpc.max_receive_message_length': 16 * 1024 * 1024,
 };
 
 /** Options of a client of another control member. */
 export const CLIENT_OPTIONS: ChannelOptions = {
   ...KEEPALIVE,
-  ...LEAN,
+  ...LOW_OVERHEAD,
   'grpc.enable_http_proxy': 0,
   'grpc.use_local_subchannel_pool': 1,
   'grpc.initial_reconnect_backoff_ms': 100,
--- a/packages/lovagepond-control/src/control_leadership.ts
+++ b/packages/lovagepond-control/src/control_leadership.ts
@@ -12,7 +12,10 @@
 import {type MembershipRegistry} from './membership_registry.js';
 import {type OrderDelivery} from './order_delivery.js';
 import {type Proposer} from './proposer.js';
-import {type ReadingBoard, type ReadingReport} from './reading_board.js';
+import {
+  type ReadingReportLog,
+  type ReadingReport,
+} from './reading_report_log.js';
 
 /**
  * Time that gateways have to subscribe and to be confirmed before engines are asked
@@ -21,7 +24,7 @@
 const INVENTORY_DELAY_MS = 150;
 
 /** What leading is done with. */
-export interface LeadershipParts {
+export interface LeadershipDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly settings: ControlSettings;
@@ -31,7 +34,7 @@
   readonly registry: MembershipRegistry;
   readonly directServers: DirectServers;
   readonly delivery: OrderDelivery;
-  readonly readings: ReadingBoard;
+  readonly readings: ReadingReportLog;
   readonly readHeldContexts?: HeldContextsReader;
   /** Called once the registry has been taken over. */
   readonly onTakenOver: () => void;
@@ -40,13 +43,13 @@
 
 /** One member's leading, term by term. */
 export class ControlLeadership {
-  readonly #parts: LeadershipParts;
+  readonly #deps: LeadershipDependencies;
   #term: number | undefined;
   #takingOver = false;
 
-  /** @param parts what leading is done with */
-  constructor(parts: LeadershipParts) {
-    this.#parts = parts;
+  /** @param deps what leading is done with */
+  constructor(deps: LeadershipDependencies) {
+    this.#deps = deps;
   }
 
   /** The term in which the registry was taken over; undefined before that. */
@@ -76,44 +79,44 @@
    * @param now monotonic milliseconds
    */
   async tick(now: number): Promise<void> {
-    const {registry, directServers, delivery, machine} = this.#parts;
+    const {registry, directServers, delivery, machine} = this.#deps;
     const dropping = directServers.tick(registry.tick(now), now);
     delivery.refresh(machine.orders.waiting(), server => registry.has(server));
     await dropping;
   }
 
   async #takeOverOnce(term: number): Promise<void> {
-    const {proposer, node, directServers, registry, clock} = this.#parts;
+    const {proposer, node, directServers, registry, clock} = this.#deps;
     if (!(await proposer.confirm())) return;
     if (!(await this.#setLimits())) return;
     const {role, term: current} = node.status();
     if (role !== MEMBER_ROLE.LEADER || current !== term) return;
     registry.takeOver(term, clock.now(), directServers.known());
     this.#term = term;
-    this.#parts.log.info('control leads', {term});
-    this.#parts.onTakenOver();
-    if (this.#parts.readings.isEmpty) this.#askForContextsLater(term);
+    this.#deps.log.info('control leads', {term});
+    this.#deps.onTakenOver();
+    if (this.#deps.readings.isEmpty) this.#scheduleInventory(term);
   }
 
   /** What engines hold saves reading; gateways must first be able to serve. */
-  #askForContextsLater(term: number): void {
+  #scheduleInventory(term: number): void {
     setTimeout(() => {
-      if (this.#term === term) this.#askForContexts();
+      if (this.#term === term) this.#takeInventory();
     }, INVENTORY_DELAY_MS).unref();
   }
 
   /** The leader's settings are in force at all members. */
   async #setLimits(): Promise<boolean> {
-    const {machine, proposer, settings} = this.#parts;
-    const wanted = pickLimits(settings);
-    if (JSON.stringify(wanted) === JSON.stringify(machine.limits)) return true;
-    const answer = await proposer.propose(LIMITS_COMMAND, wanted);
+    const {machine, proposer, settings} = this.#deps;
+    const limits = pickLimits(settings);
+    if (JSON.stringify(limits) === JSON.stringify(machine.limits)) return true;
+    const answer = await proposer.propose(LIMITS_COMMAND, limits);
     return answer.kind === 'committed';
   }
 
   /** Routers learn what engines hold from nobody else after a full stop. */
-  #askForContexts(): void {
-    const {readHeldContexts, machine, log, onReport} = this.#parts;
+  #takeInventory(): void {
+    const {readHeldContexts, machine, log, onReport} = this.#deps;
     if (!readHeldContexts) return;
     const {content} = machine.configuration.current.read();
     const engines = content.pools.filter(({kind}) => kind === 'engine');
--- a/packages/lovagepond-control/src/control_member_state.ts
+++ b/packages/lovagepond-control/src/control_member_state.ts
@@ -21,25 +21,25 @@
 import {CrashReports} from './crash_reports.js';
 import {ConvergenceTable} from './convergence_table.js';
 import {DirectServers} from './direct_servers.js';
-import {LeaderQuestions} from './leader_questions.js';
-import {LeaderRelay} from './leader_relay.js';
+import {RevisionConfirmer} from './revision_confirmer.js';
+import {LeaderClient} from './leader_client.js';
 import {LedgerHandler} from './ledger_handler.js';
-import {listMemberAddresses, listMembersWithLog} from './member_addresses.js';
+import {listMemberAddresses, listRedirectTargets} from './member_addresses.js';
 import {MemberAdministration} from './member_administration.js';
 import {MembershipLog} from './membership_log.js';
 import {type LoadReport, MembershipRegistry} from './membership_registry.js';
 import {OrderDelivery} from './order_delivery.js';
 import {Proposer} from './proposer.js';
 import {type HeldContextsReader} from './context_inventory.js';
-import {ReadingBoard, type ReadingReport} from './reading_board.js';
-import {RunningTotals} from './running_totals.js';
+import {ReadingReportLog, type ReadingReport} from './reading_report_log.js';
+import {RunningRequestTotals} from './running_request_totals.js';
 import {readReadings} from './wire_utils.js';
 import {
   CONTROL_ROLE,
   type FeedView,
   type Subscriber,
 } from './subscription_feed.js';
-import {SubscriptionPump} from './subscription_pump.js';
+import {UpdateScheduler} from './update_scheduler.js';
 import {SubscriptionHub, type UpdateSink} from './subscription_hub.js';
 
 const {v1} = lovagepond;
@@ -47,16 +47,16 @@
 const DUMP_VERSION = 1;
 
 /** Longest wait for the leader's answer to a follower. */
-const RELAY_CALL_TIMEOUT_MS = 1_000;
+const LEADER_CALL_TIMEOUT_MS = 1_000;
 
 /**
  * Longest time that a change in the numbers of requests waits for others, so
  * that they go to each subscriber in one message, milliseconds.
  */
-const RUNNING_DELAY_MS = 20;
+const RUNNING_REQUESTS_DELAY_MS = 20;
 
 /** What the state is built from. */
-export interface MemberStateParts {
+export interface MemberStateDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly machine: ControlStateMachine;
@@ -72,34 +72,34 @@
   readonly directServers: DirectServers;
   readonly crashReports: CrashReports;
   readonly #settings: ControlSettings;
-  readonly #parts: MemberStateParts;
+  readonly #deps: MemberStateDependencies;
   readonly #proposer: Proposer;
   readonly #membership = new MembershipLog();
   readonly #registry: MembershipRegistry;
-  readonly #readings = new ReadingBoard();
-  readonly #running = new RunningTotals();
+  readonly #readings = new ReadingReportLog();
+  readonly #runningRequests = new RunningRequestTotals();
   readonly #convergence = new ConvergenceTable();
-  readonly #delivery: OrderDelivery;
-  readonly #announces: AnnounceHandler;
+  readonly #orderDelivery: OrderDelivery;
+  readonly #announceHandler: AnnounceHandler;
   readonly #hub: SubscriptionHub;
-  readonly #relay: LeaderRelay;
-  readonly #rounds: ConfirmationRounds;
-  readonly #questions: LeaderQuestions;
+  readonly #leaderClient: LeaderClient;
+  readonly #confirmations: ConfirmationRounds;
+  readonly #revisionConfirmer: RevisionConfirmer;
   readonly #unregister: Unregister;
-  readonly #schedule = new SubscriptionPump(() => {
-    this.#pump(this.#now());
+  readonly #updateScheduler = new UpdateScheduler(() => {
+    this.#flush(this.#now());
   });
   readonly #leadership: ControlLeadership;
 
-  constructor(settings: ControlSettings, parts: MemberStateParts) {
+  constructor(settings: ControlSettings, deps: MemberStateDependencies) {
     this.#settings = settings;
-    this.#parts = parts;
-    const {clock, log, machine, node} = parts;
+    this.#deps = deps;
+    const {clock, log, machine, node} = deps;
     this.#proposer = new Proposer({log: node, machine, clock});
     this.ledger = new LedgerHandler(this.#proposer);
     this.#registry = new MembershipRegistry(settings, this.#membership);
-    this.#delivery = new OrderDelivery(settings.concurrentLoads);
-    this.#announces = this.#makeAnnounceHandler();
+    this.#orderDelivery = new OrderDelivery(settings.concurrentLoads);
+    this.#announceHandler = this.#makeAnnounceHandler();
     this.documents = new ConfigurationDocuments(machine, this.#proposer);
     this.directServers = new DirectServers({
       clock,
@@ -108,7 +108,7 @@
       proposer: this.#proposer,
       hasTakenOver: () => this.#leadership.term !== undefined,
       publish: () => {
-        this.#schedule.soon();
+        this.#updateScheduler.runSoon();
       },
     });
     this.crashReports = new CrashReports({
@@ -116,25 +116,25 @@
       log,
       machine,
       proposer: this.#proposer,
-      passOn: report => this.#relay.reportCrashes(report),
+      passOn: report => this.#leaderClient.reportCrashes(report),
       oldestLogVersion: () => this.#hub.oldestLogVersion,
       publish: () => {
-        this.#schedule.soon();
+        this.#updateScheduler.runSoon();
       },
     });
     this.#leadership = this.#makeLeadership();
     this.#hub = new SubscriptionHub(settings, clock.now());
-    this.#relay = this.#makeRelay(log);
-    this.#questions = new LeaderQuestions({
+    this.#leaderClient = this.#makeLeaderClient(log);
+    this.#revisionConfirmer = new RevisionConfirmer({
       nodeName: settings.nodeName,
       leaderAddress: () => this.#proposer.leaderAddress(),
-      report: report => this.#relay.report(report),
+      report: report => this.#leaderClient.report(report),
     });
-    this.#rounds = new ConfirmationRounds(() => this.#confirmRevision());
+    this.#confirmations = new ConfirmationRounds(() => this.#confirmRevision());
     this.administration = this.#makeAdministration();
     this.#unregister = mergeRegister(
       machine.configuration.current.register(() => {
-        this.#schedule.soon();
+        this.#updateScheduler.runSoon();
       }),
       node.onLeaderChange(() => {
         this.tick(clock.now());
@@ -145,7 +145,7 @@
   announce(
     req: lovagepond.v1.AnnounceRequest.$Properties,
   ): Promise<lovagepond.v1.AnnounceResponse> {
-    return this.#announces.handle(req);
+    return this.#announceHandler.handle(req);
   }
 
   /**
@@ -161,8 +161,8 @@
       this.#convergence.report(node, role, revision, this.#now());
     }
     const confirmed = this.#proposer.leads()
-      ? await this.#confirmHere(!atOnce)
-      : await this.#questions.confirmFor(
+      ? await this.#confirmAsLeader(!atOnce)
+      : await this.#revisionConfirmer.confirmFor(
           {node, role, revision, atOnce},
           this.#now(),
         );
@@ -178,8 +178,8 @@
    * @param report what a router says of prompts that servers read for it
    */
   reportReadings(report: lovagepond.v1.ReadingReport): void {
-    if (this.#proposer.leads()) this.#postReadings(readReadings(report));
-    else this.#relay.passReadings(report);
+    if (this.#proposer.leads()) this.#addReadingReport(readReadings(report));
+    else this.#leaderClient.forwardReadings(report);
   }
 
   /**
@@ -190,27 +190,27 @@
    */
   subscribe(subscriber: Subscriber, sink: UpdateSink): Unregister | undefined {
     const now = this.#now();
-    if (!this.#hub.takesSubscribers(now)) return undefined;
+    if (!this.#hub.acceptsSubscribers(now)) return undefined;
     // A follower mirrors the leader only, never another follower. While the
     // leader takes over, followers wait here: sent away, they and all their
     // subscribers would come back only some 200 milliseconds later.
-    const relayed = subscriber.role === CONTROL_ROLE;
-    const {role} = this.#parts.node.status();
-    if (relayed && role !== MEMBER_ROLE.LEADER) return undefined;
+    const isFollower = subscriber.role === CONTROL_ROLE;
+    const {role} = this.#deps.node.status();
+    if (isFollower && role !== MEMBER_ROLE.LEADER) return undefined;
     const {feed, remove} = this.#hub.add(subscriber, sink);
-    if (!relayed) {
+    if (!isFollower) {
       this.#convergence.report(
         subscriber.node,
         subscriber.role,
         subscriber.revision,
         now,
       );
-      this.#rounds.add(feed);
+      this.#confirmations.add(feed);
     }
-    this.#schedule.soon();
-    this.#runRounds();
+    this.#updateScheduler.runSoon();
+    this.#runConfirmationRound();
     return mergeRegister(remove, () => {
-      this.#rounds.remove(feed);
+      this.#confirmations.remove(feed);
     });
   }
 
@@ -220,26 +220,29 @@
    * @param now monotonic milliseconds
    */
   tick(now: number): void {
-    const {node} = this.#parts;
+    const {node} = this.#deps;
     const {role, term, leader, leaseValid} = node.status();
     if (role === MEMBER_ROLE.LEADER) {
-      this.#relay.follow('', now);
+      this.#leaderClient.follow('', now);
       if (this.#leadership.term !== term) {
-        this.#runApart(this.#leadership.takeOver(term));
+        this.#runInBackground(this.#leadership.takeOver(term));
       }
     } else {
       this.#leadership.end();
-      this.#relay.follow(leader?.address ?? '', now);
+      this.#leaderClient.follow(leader?.address ?? '', now);
     }
     const leads = this.#leadership.term === term && leaseValid;
-    this.#hub.noteContact(leads ? now : this.#relay.heardAt, now);
-    if (leads) this.#runApart(this.#leadership.tick(now));
+    this.#hub.recordContact(
+      leads ? now : this.#leaderClient.lastContactAt,
+      now,
+    );
+    if (leads) this.#runInBackground(this.#leadership.tick(now));
     this.#convergence.sweep(now);
-    this.#questions.sweep(now);
-    this.#running.forgetSilent(now);
-    this.#hub.sendOn(listMembersWithLog(node));
-    this.#runRounds();
-    this.#pump(now);
+    this.#revisionConfirmer.sweep(now);
+    this.#runningRequests.expireReports(now);
+    this.#hub.redirectSubscribers(listRedirectTargets(node));
+    this.#runConfirmationRound();
+    this.#flush(now);
   }
 
   /**
@@ -257,14 +260,14 @@
 
   /** Ends what runs by itself. */
   stop(): void {
-    this.#schedule.stop();
+    this.#updateScheduler.stop();
     this.#unregister();
-    this.#relay.stop();
+    this.#leaderClient.stop();
     this.#hub.endAll();
   }
 
   dump(): StateDump {
-    const {machine, node} = this.#parts;
+    const {machine, node} = this.#deps;
     const {members, ...status} = node.status();
     const now = this.#now();
     return {
@@ -288,20 +291,20 @@
   }
 
   #now(): number {
-    return this.#parts.clock.now();
+    return this.#deps.clock.now();
   }
 
-  #postReadings(report: ReadingReport): void {
-    this.#readings.post(report);
-    this.#running.note(report, this.#now());
-    if (report.readings.length > 0) this.#schedule.soon();
-    else this.#schedule.within(RUNNING_DELAY_MS);
+  #addReadingReport(report: ReadingReport): void {
+    this.#readings.add(report);
+    this.#runningRequests.record(report, this.#now());
+    if (report.readings.length > 0) this.#updateScheduler.runSoon();
+    else this.#updateScheduler.runWithin(RUNNING_REQUESTS_DELAY_MS);
   }
 
-  #pump(now: number): void {
+  #flush(now: number): void {
     let load: LoadReport | undefined;
     const membership = this.#membership;
-    const {configuration, crashes} = this.#parts.machine;
+    const {configuration, crashes} = this.#deps.machine;
     const view: FeedView = {
       leads: this.#leadership.term !== undefined && this.#proposer.leads(),
       configuration: configuration.current.read(),
@@ -310,12 +313,12 @@
       changesSince: (version, pool) => membership.changesSince(version, pool),
       readLoad: () => (load ??= this.#readLoad(now)),
       readings: this.#readings,
-      running: this.#running,
+      running: this.#runningRequests,
       crashesVersion: crashes.version,
       suspects: () => this.crashReports.list(),
-      controlMembers: listMemberAddresses(this.#parts.node),
+      controlMembers: listMemberAddresses(this.#deps.node),
     };
-    this.#hub.pump(view, now);
+    this.#hub.flush(view, now);
   }
 
   /** No load goes out while the list isn't whole: slots may be taken twice. */
@@ -324,84 +327,84 @@
     if (this.#leadership.term !== undefined) {
       return this.#registry.loadReport(now);
     }
-    return this.#relay.load(now);
+    return this.#leaderClient.load(now);
   }
 
   /** Work that a tick starts and the next ticks try again. */
-  #runApart(work: Promise<void>): void {
+  #runInBackground(work: Promise<void>): void {
     work.catch((err: unknown) => {
-      this.#parts.log.warn('control work failed', {message: String(err)});
+      this.#deps.log.warn('control work failed', {message: String(err)});
     });
   }
 
-  #runRounds(): void {
-    const round = this.#rounds.run().then(confirmed => {
-      if (confirmed) this.#schedule.soon();
+  #runConfirmationRound(): void {
+    const round = this.#confirmations.run().then(confirmed => {
+      if (confirmed) this.#updateScheduler.runSoon();
     });
-    this.#runApart(round);
+    this.#runInBackground(round);
   }
 
   async #confirmRevision(): Promise<number | undefined> {
     return this.#proposer.leads()
-      ? this.#confirmHere()
-      : this.#questions.confirm();
+      ? this.#confirmAsLeader()
+      : this.#revisionConfirmer.confirm();
   }
 
-  async #confirmHere(mayWait = false): Promise<number | undefined> {
+  async #confirmAsLeader(mayWait = false): Promise<number | undefined> {
     if (!(await this.#proposer.confirm(mayWait))) return undefined;
-    return this.#parts.machine.configuration.current.read().revision;
+    return this.#deps.machine.configuration.current.read().revision;
   }
 
   #makeLeadership(): ControlLeadership {
     return new ControlLeadership({
-      ...this.#parts,
+      ...this.#deps,
       settings: this.#settings,
       proposer: this.#proposer,
       registry: this.#registry,
       directServers: this.directServers,
-      delivery: this.#delivery,
+      delivery: this.#orderDelivery,
       readings: this.#readings,
       onTakenOver: () => {
         this.tick(this.#now());
       },
       onReport: report => {
-        this.#postReadings(report);
+        this.#addReadingReport(report);
       },
     });
   }
 
   #makeAnnounceHandler(): AnnounceHandler {
     return new AnnounceHandler({
-      clock: this.#parts.clock,
-      machine: this.#parts.machine,
+      clock: this.#deps.clock,
+      machine: this.#deps.machine,
       registry: this.#registry,
       convergence: this.#convergence,
-      delivery: this.#delivery,
+      delivery: this.#orderDelivery,
       proposer: this.#proposer,
       leaseMs: this.#settings.leaseMs,
       hasTakenOver: () => this.#leadership.term !== undefined,
     });
   }
 
-  #makeRelay(log: Logger): LeaderRelay {
+  #makeLeaderClient(log: Logger): LeaderClient {
     const {nodeName, region, leaderContactLimitMs} = this.#settings;
-    return new LeaderRelay(
+    return new LeaderClient(
       {
         nodeName,
         region,
         silentAfterMs: leaderContactLimitMs / 2,
         loadValidMs: leaderContactLimitMs,
-        callTimeoutMs: RELAY_CALL_TIMEOUT_MS,
+        callTimeoutMs: LEADER_CALL_TIMEOUT_MS,
       },
       {
-        clock: this.#parts.clock,
+        clock: this.#deps.clock,
         log,
         membership: this.#membership,
         onMembership: () => {
-          this.#schedule.soon();
+          this.#updateScheduler.runSoon();
         },
         onReadings: report => {
-          this.#postReadings(report);
+          this.#addReadingReport(report);
         },
       },
     );
@@ -409,9 +412,9 @@
 
   #makeAdministration(): ControlAdministration {
     return new MemberAdministration({
-      clock: this.#parts.clock,
-      log: this.#parts.node,
-      machine: this.#parts.machine,
+      clock: this.#deps.clock,
+      log: this.#deps.node,
+      machine: this.#deps.machine,
       proposer: this.#proposer,
       registry: this.#registry,
       membership: this.#membership,
--- a/packages/lovagepond-control/src/control_role.ts
+++ b/packages/lovagepond-control/src/control_role.ts
@@ -38,7 +38,7 @@
 const TICK_MS = 100;
 
 /** What the role is given. */
-export interface ControlParts {
+export interface ControlDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly random: Random;
@@ -65,7 +65,7 @@
   /** Announcements of backend servers that have no sidecar. */
   readonly directServers: DirectServers;
   readonly #settings: ControlSettings;
-  readonly #parts: ControlParts;
+  readonly #deps: ControlDependencies;
   readonly #server: ControlServer;
   readonly #node: ConsensusNode;
   readonly #state: ControlMemberState;
@@ -74,10 +74,10 @@
   #draining = false;
   #port = 0;
 
-  constructor(settings: ControlSettings, parts: ControlParts) {
+  constructor(settings: ControlSettings, deps: ControlDependencies) {
     this.#settings = settings;
-    this.#parts = parts;
-    const {clock, log, random, processStartedAt} = parts;
+    this.#deps = deps;
+    const {clock, log, random, processStartedAt} = deps;
     const machine = new ControlStateMachine(CONTROL_DEFAULTS, () =>
       clock.now(),
     );
@@ -98,11 +98,12 @@
       log,
     );
     const {server} = this.#server;
-    const transport = parts.makeTransport?.(server) ?? this.#connect(server);
-    this.#node = new ConsensusNode(toConsensusSettings(settings, parts), {
+    const transport =
+      deps.makeTransport?.(server) ?? this.#makeMemberTransport(server);
+    this.#node = new ConsensusNode(toConsensusSettings(settings, deps), {
       stateMachine: machine,
-      storage: parts.storage ?? openStorage(settings),
-      ...(!parts.storage && {
+      storage: deps.storage ?? openStorage(settings),
+      ...(!deps.storage && {
         reopenStorage: () => openStorage(settings, true),
       }),
       transport,
@@ -111,7 +112,7 @@
       log,
       ...(processStartedAt !== undefined && {processStartedAt}),
     });
-    const {readHeldContexts} = parts;
+    const {readHeldContexts} = deps;
     this.#state = new ControlMemberState(settings, {
       clock,
       log,
@@ -134,12 +135,12 @@
     this.#port = await this.#server.listen(host, port);
     await this.#node.start();
     this.#timer = setInterval(() => {
-      this.#state.tick(this.#parts.clock.now());
+      this.#state.tick(this.#deps.clock.now());
     }, TICK_MS);
   }
 
   isReady(): boolean {
-    return !this.#draining && this.#state.isFresh(this.#parts.clock.now());
+    return !this.#draining && this.#state.isFresh(this.#deps.clock.now());
   }
 
   /** Subscribers go on to other members; requests under way end by themselves. */
@@ -161,8 +162,8 @@
     return this.#state.dump();
   }
 
-  #connect(server: Server): ConsensusTransport {
-    this.#transport = new MemberTransport(server, this.#parts.clock);
+  #makeMemberTransport(server: Server): ConsensusTransport {
+    this.#transport = new MemberTransport(server, this.#deps.clock);
     return this.#transport;
   }
 }
@@ -170,20 +171,20 @@
 /** An observer's identity ends with its process, as its log does. */
 function openStorage(
   {observer, dataFolder}: ControlSettings,
-  again = false,
+  isReopening = false,
 ): ConsensusStorage {
   if (observer) return new MemoryStorage(randomUUID());
-  return new FileStorage(dataFolder, again);
+  return new FileStorage(dataFolder, isReopening);
 }
 
 function toConsensusSettings(
   settings: ControlSettings,
-  parts: ControlParts,
+  deps: ControlDependencies,
 ): ConsensusSettings {
   return {
     address: settings.address,
     peers: [...settings.members],
-    timings: parts.timings ?? CONTROL_TIMINGS,
+    timings: deps.timings ?? CONTROL_TIMINGS,
     mayForm: settings.mayFormGroup,
     openMembership: settings.openMembership,
     observer: settings.observer,
--- a/packages/lovagepond-control/src/crash_reports.ts
+++ b/packages/lovagepond-control/src/crash_reports.ts
@@ -12,7 +12,7 @@
   LOG_VERSION,
 } from './control_commands.js';
 import {
-  type NotDone,
+  type RetryableFailure,
   type OperationAnswer,
   type SuspectView,
 } from './control_administration.js';
@@ -98,7 +98,7 @@
       LIFT_QUARANTINE_COMMAND,
       {request},
     );
-    if (outcome.kind !== 'committed') return outcome satisfies NotDone;
+    if (outcome.kind !== 'committed') return outcome satisfies RetryableFailure;
     this.#parts.log.info('quarantine lifted', {request});
     this.#parts.publish();
     return {kind: 'accepted'};
--- a/packages/lovagepond-control/src/deciders.ts
+++ b/packages/lovagepond-control/src/deciders.ts
@@ -28,9 +28,9 @@
 } from './ledger_state.js';
 export {DirectServerTable, type JoiningServer} from './direct_server_table.js';
 export {MembershipLog} from './membership_log.js';
-export {type ReadingReport} from './reading_board.js';
-export {RunningFeed} from './running_feed.js';
-export {RunningTotals} from './running_totals.js';
+export {type ReadingReport} from './reading_report_log.js';
+export {RunningRequestFeed} from './running_request_feed.js';
+export {RunningRequestTotals} from './running_request_totals.js';
 export {type Announcement, MembershipRegistry} from './membership_registry.js';
 export {type IssueResult} from './order_state.js';
 export {Proposer} from './proposer.js';
--- a/packages/lovagepond-control/src/direct_servers.ts
+++ b/packages/lovagepond-control/src/direct_servers.ts
@@ -18,7 +18,7 @@
   type Announcement,
   type MembershipRegistry,
 } from './membership_registry.js';
-import {type Proposed, type Proposer} from './proposer.js';
+import {type ProposalResult, type Proposer} from './proposer.js';
 
 /** What a server says of itself. */
 export interface DirectAnnouncement {
@@ -168,11 +168,11 @@
   }
 
   /** Proposes what the table lacks; most announcements only renew. */
-  async #commit(said: DirectAnnouncement): Promise<Proposed<unknown>> {
+  async #commit(said: DirectAnnouncement): Promise<ProposalResult<unknown>> {
     const {machine, proposer} = this.#parts;
     const name = nameOfLife(said);
     const table = machine.directServers;
-    let outcome: Proposed<unknown> = {kind: 'committed', value: {}};
+    let outcome: ProposalResult<unknown> = {kind: 'committed', value: {}};
     if (!table.get(name)) {
       const server = toJoining(said);
       outcome = await proposer.propose(JOIN_SERVER_COMMAND, {server});
--- a/packages/lovagepond-control/src/index.ts
+++ b/packages/lovagepond-control/src/index.ts
@@ -7,7 +7,6 @@
   type ConvergenceView,
   type HistoryEntry,
   type MemberChange,
-  type NotDone,
   type Operation,
   type OperationAnswer,
   ORDER_ACTION,
@@ -17,10 +16,11 @@
   type OrderOutcomeKind,
   type OrderRequest,
   type OrderView,
+  type RequestedChange,
+  type RetryableFailure,
   type ServerView,
   type SuspectView,
   WANTED_STATE,
-  type WantedChange,
   type WantedState,
 } from './control_administration.js';
 export {
@@ -36,7 +36,7 @@
   DirectServers,
   type ServerLife,
 } from './direct_servers.js';
-export {type ControlParts, ControlRole} from './control_role.js';
+export {type ControlDependencies, ControlRole} from './control_role.js';
 export {MemberTransport} from './member_transport.js';
 export {
   CONTROL_DEFAULTS,
@@ -60,8 +60,8 @@
 export {MembershipLog} from './membership_log.js';
 export {type Announcement, MembershipRegistry} from './membership_registry.js';
 export {Proposer} from './proposer.js';
-export {ReadingBoard} from './reading_board.js';
-export {RunningTotals} from './running_totals.js';
+export {ReadingReportLog} from './reading_report_log.js';
+export {RunningRequestTotals} from './running_request_totals.js';
 export {type FeedUpdate, type FeedView} from './subscription_feed.js';
 export {SubscriptionHub, type UpdateSink} from './subscription_hub.js';
 export {UpdateEncoder} from './update_encoder.js';
--- a/packages/lovagepond-control/src/leader_relay.ts
+++ b/packages/lovagepond-control/src/leader_client.ts
@@ -16,7 +16,7 @@
 import {type MembershipLog} from './membership_log.js';
 import {type LoadReport} from './membership_registry.js';
 import {CONTROL_ROLE} from './subscription_feed.js';
-import {type ReadingReport} from './reading_board.js';
+import {type ReadingReport} from './reading_report_log.js';
 import {readLoad, readMembership, readReadings} from './wire_utils.js';
 
 const {v1} = lovagepond;
@@ -25,8 +25,8 @@
 
 const REOPEN_AFTER_MS = 200;
 
-/** Settings of {@link LeaderRelay}. */
-export interface RelaySettings {
+/** Settings of {@link LeaderClient}. */
+export interface LeaderClientSettings {
   readonly nodeName: string;
   readonly region: string;
   /** A stream silent for this long is opened anew. */
@@ -38,7 +38,7 @@
 }
 
 /** What a relay is built from. */
-export interface RelayParts {
+export interface LeaderClientDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly membership: MembershipLog;
@@ -57,26 +57,26 @@
   readonly atOnce: boolean;
 }
 
-interface HeardLoad {
+interface ReceivedLoad {
   readonly load: LoadReport;
   readonly at: number;
 }
 
 /** Follows one leader at a time. */
-export class LeaderRelay {
-  readonly #settings: RelaySettings;
-  readonly #parts: RelayParts;
+export class LeaderClient {
+  readonly #settings: LeaderClientSettings;
+  readonly #deps: LeaderClientDependencies;
   #leader = '';
   #client: Client | undefined;
   #stream: ClientReadableStream<WireUpdate> | undefined;
-  #heardAt = -Infinity;
+  #lastContactAt = -Infinity;
   #openedAt = -Infinity;
   #ended = false;
-  #heardLoad: HeardLoad | undefined;
+  #lastLoad: ReceivedLoad | undefined;
 
-  constructor(settings: RelaySettings, parts: RelayParts) {
+  constructor(settings: LeaderClientSettings, deps: LeaderClientDependencies) {
     this.#settings = settings;
-    this.#parts = parts;
+    this.#deps = deps;
   }
 
   /**
@@ -93,8 +93,8 @@
   }
 
   /** When the leader was last heard, monotonic milliseconds. */
-  get heardAt(): number {
-    return this.#heardAt;
+  get lastContactAt(): number {
+    return this.#lastContactAt;
   }
 
   /**
@@ -102,8 +102,8 @@
    * @returns the leader's last load report with its age by now
    */
   load(now: number): LoadReport | undefined {
-    if (!this.#heardLoad) return undefined;
-    const {load, at} = this.#heardLoad;
+    if (!this.#lastLoad) return undefined;
+    const {load, at} = this.#lastLoad;
     if (now - at > this.#settings.loadValidMs) return undefined;
     return {...load, ageMs: load.ageMs + now - at};
   }
@@ -117,7 +117,7 @@
    */
   async report(report: RevisionReport): Promise<number | undefined> {
     const method = CONTROL_SERVICE.reportConvergence;
-    const res = await this.#ask(method, new v1.ConvergenceReport(report));
+    const res = await this.#call(method, new v1.ConvergenceReport(report));
     return res?.confirmed ? (res.revision ?? 0) : undefined;
   }
 
@@ -127,9 +127,9 @@
    *
    * @param report what a router said
    */
-  passReadings(report: lovagepond.v1.ReadingReport): void {
+  forwardReadings(report: lovagepond.v1.ReadingReport): void {
     const method = CONTROL_SERVICE.reportReadings;
-    const wallTime = this.#parts.clock.wallTime();
+    const wallTime = this.#deps.clock.wallTime();
     this.#client?.makeUnaryRequest(
       method.path,
       method.requestSerialize,
@@ -140,7 +140,7 @@
       err => {
         if (!err) return;
         const {message} = err;
-        this.#parts.log.debug('readings not passed on', {message});
+        this.#deps.log.debug('readings not passed on', {message});
       },
     );
   }
@@ -154,7 +154,7 @@
   async reportCrashes(
     report: lovagepond.v1.CrashReport,
   ): Promise<lovagepond.v1.CrashReportResponse> {
-    const res = await this.#ask(CONTROL_SERVICE.reportCrashes, report);
+    const res = await this.#call(CONTROL_SERVICE.reportCrashes, report);
     return new v1.CrashReportResponse({recorded: res?.recorded ?? false});
   }
 
@@ -165,13 +165,13 @@
   }
 
   /** @returns the leader's answer; undefined when there was none in time */
-  #ask<Req, Res>(
+  #call<Req, Res>(
     method: MethodDefinition<Req, Res>,
     message: Req,
   ): Promise<Res | undefined> {
     const client = this.#client;
     if (!client) return Promise.resolve(undefined);
-    const wallTime = this.#parts.clock.wallTime();
+    const wallTime = this.#deps.clock.wallTime();
     const deadline = wallTime + this.#settings.callTimeoutMs;
     return new Promise(resolve => {
       client.makeUnaryRequest(
@@ -192,7 +192,7 @@
   #needsReopening(now: number): boolean {
     if (this.#leader === '') return false;
     if (this.#ended) return now - this.#openedAt > REOPEN_AFTER_MS;
-    const since = Math.max(this.#heardAt, this.#openedAt);
+    const since = Math.max(this.#lastContactAt, this.#openedAt);
     return now - since > this.#settings.silentAfterMs;
   }
 
@@ -221,26 +221,26 @@
     );
     this.#stream = stream;
     stream.on('data', (update: WireUpdate) => {
-      if (this.#stream === stream) this.#take(update);
+      if (this.#stream === stream) this.#handleUpdate(update);
     });
     stream.on('error', err => {
       if (this.#stream === stream) this.#ended = true;
       const {message} = err;
-      this.#parts.log.debug('leader stream ended', {message});
+      this.#deps.log.debug('leader stream ended', {message});
     });
   }
 
-  #take(update: WireUpdate): void {
-    const now = this.#parts.clock.now();
-    this.#heardAt = now;
+  #handleUpdate(update: WireUpdate): void {
+    const now = this.#deps.clock.now();
+    this.#lastContactAt = now;
     if (update.membership) {
-      this.#parts.membership.mirror(readMembership(update.membership));
-      this.#parts.onMembership();
+      this.#deps.membership.mirror(readMembership(update.membership));
+      this.#deps.onMembership();
     }
     for (const report of update.readings?.reports ?? []) {
-      this.#parts.onReadings(readReadings(report));
+      this.#deps.onReadings(readReadings(report));
     }
-    if (update.load) this.#heardLoad = {load: readLoad(update.load), at: now};
+    if (update.load) this.#lastLoad = {load: readLoad(update.load), at: now};
   }
 
   #close(): void {
@@ -249,6 +249,6 @@
     stream?.cancel();
     this.#client?.close();
     this.#client = undefined;
-    this.#heardAt = -Infinity;
+    this.#lastContactAt = -Infinity;
   }
 }
--- a/packages/lovagepond-control/src/ledger_handler.ts
+++ b/packages/lovagepond-control/src/ledger_handler.ts
@@ -16,7 +16,7 @@
   type RecordPayload,
 } from './control_commands.js';
 import {type ClaimResult, type RecordResult} from './ledger_state.js';
-import {type Proposed, type Proposer} from './proposer.js';
+import {type ProposalResult, type Proposer} from './proposer.js';
 
 const {v1} = lovagepond;
 
@@ -123,7 +123,7 @@
 };
 
 function toClaimResponse(
-  answer: Proposed<ClaimResult>,
+  answer: ProposalResult<ClaimResult>,
 ): lovagepond.v1.ClaimResponse {
   if (answer.kind !== 'committed') {
     // The claim may still be committed. Nobody may dispatch on that: the
@@ -143,7 +143,7 @@
   });
 }
 
-function leaderOf(answer: Proposed<unknown>): string {
+function leaderOf(answer: ProposalResult<unknown>): string {
   return answer.kind === 'notLeader' ? answer.leader : '';
 }
 
--- a/packages/lovagepond-control/src/member_addresses.ts
+++ b/packages/lovagepond-control/src/member_addresses.ts
@@ -17,7 +17,7 @@
  * @param node a member's part in consensus
  * @returns `host:port` of members to ask in its place; none once it has a log
  */
-export function listMembersWithLog(node: ConsensusNode): readonly string[] {
+export function listRedirectTargets(node: ConsensusNode): readonly string[] {
   const {commitIndex, leader, role} = node.status();
   if (commitIndex > 0 || role === MEMBER_ROLE.LEADER) return [];
   return leader ? [leader.address] : node.introducedBy();
--- a/packages/lovagepond-control/src/member_administration.ts
+++ b/packages/lovagepond-control/src/member_administration.ts
@@ -45,11 +45,11 @@
 } from './membership_registry.js';
 import {type OperationResult} from './operation_results.js';
 import {type IssueResult} from './order_state.js';
-import {type Proposed, type Proposer} from './proposer.js';
+import {type ProposalResult, type Proposer} from './proposer.js';
 import {type ReplicatedLog} from './control_log.js';
 
 /** What the administration is built from. */
-export interface AdministrationParts {
+export interface AdministrationDependencies {
   readonly clock: Clock;
   readonly log: ReplicatedLog;
   readonly machine: ControlStateMachine;
@@ -67,30 +67,30 @@
 
 /** Implements {@link ControlAdministration}. */
 export class MemberAdministration implements ControlAdministration {
-  readonly #parts: AdministrationParts;
+  readonly #deps: AdministrationDependencies;
   readonly #changer: ConfigurationChanger;
 
-  constructor(parts: AdministrationParts) {
-    this.#parts = parts;
-    this.#changer = new ConfigurationChanger(parts.machine, parts.proposer);
+  constructor(deps: AdministrationDependencies) {
+    this.#deps = deps;
+    this.#changer = new ConfigurationChanger(deps.machine, deps.proposer);
   }
 
   async confirmNewest(): Promise<boolean> {
-    const confirmed = await this.#parts.confirmRevision();
+    const confirmed = await this.#deps.confirmRevision();
     if (confirmed === undefined) return false;
     return this.getConfiguration().revision >= confirmed;
   }
 
   getConfiguration(): Configuration {
-    return this.#parts.machine.configuration.current.read();
+    return this.#deps.machine.configuration.current.read();
   }
 
   history(): readonly HistoryEntry[] {
-    return this.#parts.machine.configuration.history();
+    return this.#deps.machine.configuration.history();
   }
 
   getRevision(revision: number): Configuration | undefined {
-    const content = this.#parts.machine.configuration.find(revision);
+    const content = this.#deps.machine.configuration.find(revision);
     return content && {revision, content};
   }
 
@@ -111,7 +111,7 @@
   }
 
   listBackendServers(): readonly ServerView[] {
-    const {proposer, registry, clock, machine} = this.#parts;
+    const {proposer, registry, clock, machine} = this.#deps;
     const now = clock.now();
     if (!proposer.leads()) return this.#listMirrored(now);
     return registry.list().map(known => ({
@@ -133,7 +133,7 @@
   ): Promise<OperationAnswer> {
     const {operationId, backendServer: server, wantedState} = req;
     const digest = digestOf([server, wantedState]);
-    const answer = await this.#parts.proposer.propose<
+    const answer = await this.#deps.proposer.propose<
       WantedStatePayload,
       OperationResult
     >(WANTED_STATE_COMMAND, {operationId, digest, server, wantedState});
@@ -141,7 +141,7 @@
   }
 
   async issueOrder(req: OrderRequest): Promise<OrderAnswer> {
-    const {proposer} = this.#parts;
+    const {proposer} = this.#deps;
     const answer = await proposer.propose<OrderRequest, IssueResult>(
       ORDER_COMMAND,
       req,
@@ -150,23 +150,23 @@
   }
 
   listOrders(): readonly OrderView[] {
-    return this.#parts.machine.orders.list();
+    return this.#deps.machine.orders.list();
   }
 
   listQuarantine(): readonly SuspectView[] {
-    return this.#parts.crashReports.list();
+    return this.#deps.crashReports.list();
   }
 
   liftQuarantine(request: string): Promise<OperationAnswer> {
-    return this.#parts.crashReports.lift(request);
+    return this.#deps.crashReports.lift(request);
   }
 
   convergence(): readonly ConvergenceView[] {
-    return this.#parts.convergence.list(this.#parts.clock.now());
+    return this.#deps.convergence.list(this.#deps.clock.now());
   }
 
   listMembers(): readonly ControlMemberView[] {
-    const {members, leader} = this.#parts.log.status();
+    const {members, leader} = this.#deps.log.status();
     return members.map(member => ({
       memberId: member.id,
       address: member.address,
@@ -177,18 +177,18 @@
 
   async changeMembers(change: MemberChange): Promise<OperationAnswer> {
     const run = MEMBER_CHANGES[change.kind];
-    const outcome = await run(this.#parts.log, change as never);
+    const outcome = await run(this.#deps.log, change as never);
     return toMembersAnswer(outcome);
   }
 
   dump(): StateDump {
-    return this.#parts.dump();
+    return this.#deps.dump();
   }
 
   /** A follower knows loads only as far as the leader's digest tells them. */
   #listMirrored(now: number): ServerView[] {
-    const {membership, machine} = this.#parts;
-    const load = this.#parts.load(now);
+    const {membership, machine} = this.#deps;
+    const load = this.#deps.load(now);
     return [...membership.servers()].map(server => ({
       server,
       wantedState: machine.wanted.get(server.name),
@@ -224,7 +224,9 @@
   return {kind: 'notLeader', leader: outcome.leader?.address ?? ''};
 }
 
-function toOperationAnswer(answer: Proposed<OperationResult>): OperationAnswer {
+function toOperationAnswer(
+  answer: ProposalResult<OperationResult>,
+): OperationAnswer {
   if (answer.kind !== 'committed') return answer;
   const result = answer.value;
   if (result.kind === 'accepted') return {kind: 'accepted'};
@@ -235,7 +237,7 @@
   return {kind: 'invalid', faults: [describeRefusal(result)]};
 }
 
-function toOrderAnswer(answer: Proposed<IssueResult>): OrderAnswer {
+function toOrderAnswer(answer: ProposalResult<IssueResult>): OrderAnswer {
   if (answer.kind !== 'committed') return answer;
   const result = answer.value;
   if (result.kind === 'accepted') return result;
--- a/packages/lovagepond-control/src/member_transport.ts
+++ b/packages/lovagepond-control/src/member_transport.ts
@@ -32,7 +32,7 @@
 const DELIVERY_TIMEOUT_MS = 1_000;
 
 /** Messages under way to one member; more are dropped, as consensus resends. */
-const MAX_UNDER_WAY = 256;
+const MAX_IN_FLIGHT = 256;
 
 /**
  * Time that a connection gets while its member is heard, milliseconds: the
@@ -45,7 +45,7 @@
 const MAX_LOST = 3;
 
 /** A message that is being handled, whose sender takes an answer with it. */
-interface Answering {
+interface HandledMessage {
   readonly address: string;
   reply?: WireMessage;
 }
@@ -55,7 +55,7 @@
   client: Client;
   /** When the connection was begun, monotonic milliseconds. */
   readonly openedAt: number;
-  underWay: number;
+  inFlight: number;
   lost: number;
 }
 
@@ -65,7 +65,7 @@
   readonly #options: ChannelOptions;
   readonly #peers = new Map<string, Peer>();
   readonly #listeners = new Set<MessageListener>();
-  #answering: Answering | undefined;
+  #handledMessage: HandledMessage | undefined;
 
   /**
    * @param server the member's gRPC server, not yet listening
@@ -80,16 +80,16 @@
         call: ServerUnaryCall<WireMessage, lovagepond.v1.ConsensusAck>,
         end: sendUnaryData<lovagepond.v1.ConsensusAck>,
       ) => {
-        end(null, this.#answer(call.request));
+        end(null, this.#deliver(call.request));
       },
     });
   }
 
   send(address: string, message: TransportMessage): void {
     const wire = encodeMemberMessage(message);
-    const answering = this.#answering;
-    if (answering?.address === address && !answering.reply) {
-      answering.reply = wire;
+    const handled = this.#handledMessage;
+    if (handled?.address === address && !handled.reply) {
+      handled.reply = wire;
       return;
     }
     this.#call(address, wire);
@@ -97,8 +97,8 @@
 
   #call(address: string, wire: WireMessage): void {
     const peer = this.#peerAt(address);
-    if (peer.underWay >= MAX_UNDER_WAY) return;
-    peer.underWay += 1;
+    if (peer.inFlight >= MAX_IN_FLIGHT) return;
+    peer.inFlight += 1;
     const {client} = peer;
     const method = CONSENSUS_SERVICE.deliver;
     client.makeUnaryRequest(
@@ -109,7 +109,7 @@
       new Metadata(),
       {deadline: this.#clock.wallTime() + DELIVERY_TIMEOUT_MS},
       (err, ack) => {
-        peer.underWay -= 1;
+        peer.inFlight -= 1;
         peer.lost = err ? peer.lost + 1 : 0;
         if (peer.lost >= MAX_LOST) this.#drop(address, client);
         if (ack?.reply) this.#receive(ack.reply);
@@ -125,9 +125,9 @@
   }
 
   /** Messages that are neither delivered nor lost yet. */
-  get underWay(): number {
+  get inFlight(): number {
     const peers = [...this.#peers.values()];
-    return peers.reduce((sum, {underWay}) => sum + underWay, 0);
+    return peers.reduce((sum, {inFlight}) => sum + inFlight, 0);
   }
 
   /** Closes all connections. */
@@ -144,17 +144,17 @@
    * @param wire a message
    * @returns the acknowledgement, with what was sent back meanwhile
    */
-  #answer(wire: WireMessage): lovagepond.v1.ConsensusAck {
+  #deliver(wire: WireMessage): lovagepond.v1.ConsensusAck {
     const message = decodeMemberMessage(wire);
     if (!message) return new v1.ConsensusAck();
-    const answering: Answering = {address: message.fromAddress};
-    this.#answering = wire.takesReply ? answering : undefined;
+    const handled: HandledMessage = {address: message.fromAddress};
+    this.#handledMessage = wire.takesReply ? handled : undefined;
     try {
       this.#handle(message);
     } finally {
-      this.#answering = undefined;
+      this.#handledMessage = undefined;
     }
-    const {reply} = answering;
+    const {reply} = handled;
     return new v1.ConsensusAck(reply && {reply});
   }
 
@@ -164,7 +164,7 @@
   }
 
   #handle(message: TransportMessage): void {
-    this.#meet(message.fromAddress);
+    this.#dropIfStuck(message.fromAddress);
     for (const listener of [...this.#listeners]) listener(message);
   }
 
@@ -174,7 +174,7 @@
     const channel = credentials.createInsecure();
     const client = new Client(address, channel, this.#options);
     const openedAt = this.#clock.now();
-    const peer = {client, openedAt, underWay: 0, lost: 0};
+    const peer = {client, openedAt, inFlight: 0, lost: 0};
     this.#peers.set(address, peer);
     return peer;
   }
@@ -184,7 +184,7 @@
    * wait before it tries again, and answers to it would be lost meanwhile: a
    * group that was stopped as a whole elects its leader later by that time.
    */
-  #meet(address: string): void {
+  #dropIfStuck(address: string): void {
     const peer = this.#peers.get(address);
     if (peer && this.#isStuck(peer)) this.#drop(address, peer.client);
   }
--- a/packages/lovagepond-control/src/proposer.ts
+++ b/packages/lovagepond-control/src/proposer.ts
@@ -4,16 +4,16 @@
 import {MEMBER_ROLE} from '@lovagepond/consensus';
 import {type Clock, type Command} from '@lovagepond/core';
 import {decodeResult, encodeCommand} from './control_commands.js';
-import {type NotDone} from './control_administration.js';
+import {type RetryableFailure} from './control_administration.js';
 import {type ReplicatedLog} from './control_log.js';
 import {type ControlStateMachine} from './control_state_machine.js';
 
 /** A command's result, or why there is none. */
-export type Proposed<Value> =
-  {readonly kind: 'committed'; readonly value: Value} | NotDone;
+export type ProposalResult<Value> =
+  {readonly kind: 'committed'; readonly value: Value} | RetryableFailure;
 
 /** What a proposer is built from. */
-export interface ProposerParts {
+export interface ProposerDependencies {
   readonly log: ReplicatedLog;
   readonly machine: ControlStateMachine;
   readonly clock: Clock;
@@ -21,10 +21,10 @@
 
 /** Proposes commands at this member. */
 export class Proposer {
-  readonly #parts: ProposerParts;
+  readonly #deps: ProposerDependencies;
 
-  constructor(parts: ProposerParts) {
-    this.#parts = parts;
+  constructor(deps: ProposerDependencies) {
+    this.#deps = deps;
   }
 
   /**
@@ -35,8 +35,8 @@
   async propose<Payload, Value>(
     command: Command<Payload>,
     payload: Payload,
-  ): Promise<Proposed<Value>> {
-    const {log, machine, clock} = this.#parts;
+  ): Promise<ProposalResult<Value>> {
+    const {log, machine, clock} = this.#deps;
     const bytes = encodeCommand(command, payload, {
       timeMs: machine.time.stamp(clock.now()),
       wallTimeMs: clock.wallTime(),
@@ -55,17 +55,17 @@
    * @returns true once what this member has applied is linearizable
    */
   async confirm(mayWait = false): Promise<boolean> {
-    return (await this.#parts.log.readBarrier(mayWait)).kind === 'ok';
+    return (await this.#deps.log.readBarrier(mayWait)).kind === 'ok';
   }
 
   /** @returns `host:port` of the leader; empty when none is known */
   leaderAddress(): string {
-    return this.#parts.log.status().leader?.address ?? '';
+    return this.#deps.log.status().leader?.address ?? '';
   }
 
   /** @returns true while this member leads and no other can */
   leads(): boolean {
-    const {role, leaseValid} = this.#parts.log.status();
+    const {role, leaseValid} = this.#deps.log.status();
     return role === MEMBER_ROLE.LEADER && leaseValid;
   }
 }
--- a/packages/lovagepond-control/src/reading_board.ts
+++ b/packages/lovagepond-control/src/reading_report_log.ts
@@ -33,7 +33,7 @@
   readonly running: readonly RunningRequests[];
 }
 
-interface PostedReport {
+interface NumberedReport {
   readonly sequence: number;
   readonly report: ReadingReport;
 }
@@ -57,13 +57,13 @@
 const MAX_READINGS = 2_048;
 
 /** The latest reports, by the order in which they came. */
-export class ReadingBoard {
+export class ReadingReportLog {
   /** Without a gap: each has the number after that of the one before. */
-  #posted: PostedReport[] = [];
+  #reports: NumberedReport[] = [];
   /** One for each server and prefix; the one read last stands last. */
   readonly #readings = new Map<string, PromptReading>();
   #sequence = 0;
-  #answer: LaterReports | undefined;
+  #lastResult: LaterReports | undefined;
 
   /** No reading has been heard of, by this member or the one it followed. */
   get isEmpty(): boolean {
@@ -76,11 +76,11 @@
   }
 
   /** @param report what a router said, or the leader passed on */
-  post(report: ReadingReport): void {
+  add(report: ReadingReport): void {
     this.#sequence += 1;
-    this.#posted.push({sequence: this.#sequence, report});
-    this.#posted = keepNewest(this.#posted, MAX_REPORTS);
-    for (const reading of report.readings) this.#remember(reading);
+    this.#reports.push({sequence: this.#sequence, report});
+    this.#reports = keepNewest(this.#reports, MAX_REPORTS);
+    for (const reading of report.readings) this.#keepReading(reading);
   }
 
   /**
@@ -102,19 +102,19 @@
   }
 
   #later(sequence: number): LaterReports {
-    const known = this.#answer;
+    const known = this.#lastResult;
     if (known?.after === sequence && known.upTo === this.#sequence) {
       return known;
     }
-    const first = this.#posted[0]?.sequence ?? 0;
+    const first = this.#reports[0]?.sequence ?? 0;
     const from = Math.max(0, sequence + 1 - first);
-    const reports = this.#posted.slice(from).map(({report}) => report);
+    const reports = this.#reports.slice(from).map(({report}) => report);
     const readings = reports
       .filter(report => report.readings.length > 0)
       .map(report => ({...report, running: []}));
     const upTo = this.#sequence;
-    this.#answer = {after: sequence, upTo, reports, readings};
-    return this.#answer;
+    this.#lastResult = {after: sequence, upTo, reports, readings};
+    return this.#lastResult;
   }
 
   /** @returns what has been read, for a subscriber that knows nothing yet */
@@ -123,7 +123,7 @@
     return readings.length > 0 ? [{node: '', readings, running: []}] : [];
   }
 
-  #remember(reading: PromptReading): void {
+  #keepReading(reading: PromptReading): void {
     const key = `${reading.backendServer}${reading.prefix}`;
     this.#readings.delete(key);
     this.#readings.set(key, {...reading, tokens: 0});
@@ -135,6 +135,6 @@
 }
 
 /** Cuts the oldest off, once there are twice as many. */
-function keepNewest<Item>(items: Item[], most: number): Item[] {
-  return items.length < 2 * most ? items : items.slice(-most);
+function keepNewest<Item>(items: Item[], limit: number): Item[] {
+  return items.length < 2 * limit ? items : items.slice(-limit);
 }
--- a/packages/lovagepond-control/src/told_revisions.ts
+++ b/packages/lovagepond-control/src/reported_revisions.ts
@@ -3,17 +3,17 @@
  */
 
 /** The leader forgets a node that it hasn't heard of for some minutes. */
-const TELL_AGAIN_MS = 60_000;
+const REPORT_AGAIN_MS = 60_000;
 
-interface Told {
+interface LastReport {
   readonly leader: string;
   readonly revision: number;
   readonly at: number;
 }
 
 /** Spares the leader what it knows. */
-export class ToldRevisions {
-  readonly #told = new Map<string, Told>();
+export class ReportedRevisions {
+  readonly #lastReports = new Map<string, LastReport>();
 
   /**
    * @param leader `host:port` of the leader
@@ -22,12 +22,17 @@
    * @param now monotonic milliseconds
    * @returns true when the leader is to be told
    */
-  isNews(leader: string, node: string, revision: number, now: number): boolean {
-    const told = this.#told.get(node);
+  needsReport(
+    leader: string,
+    node: string,
+    revision: number,
+    now: number,
+  ): boolean {
+    const last = this.#lastReports.get(node);
     const isKnown =
-      told?.leader === leader &&
-      told.revision === revision &&
-      now - told.at < TELL_AGAIN_MS;
+      last?.leader === leader &&
+      last.revision === revision &&
+      now - last.at < REPORT_AGAIN_MS;
     return !isKnown;
   }
 
@@ -37,14 +42,14 @@
    * @param revision the revision that it was told of
    * @param now monotonic milliseconds
    */
-  note(leader: string, node: string, revision: number, now: number): void {
-    this.#told.set(node, {leader, revision, at: now});
+  add(leader: string, node: string, revision: number, now: number): void {
+    this.#lastReports.set(node, {leader, revision, at: now});
   }
 
   /** @param now monotonic milliseconds; forgets nodes that have gone */
   sweep(now: number): void {
-    for (const [node, {at}] of this.#told) {
-      if (now - at > 2 * TELL_AGAIN_MS) this.#told.delete(node);
+    for (const [node, {at}] of this.#lastReports) {
+      if (now - at > 2 * REPORT_AGAIN_MS) this.#lastReports.delete(node);
     }
   }
 }
--- a/packages/lovagepond-control/src/running_totals.ts
+++ b/packages/lovagepond-control/src/running_request_totals.ts
@@ -5,16 +5,19 @@
  * number times the servers, for each of them. A router only needs to know what the
  * others have at a server together: that grows with the servers alone.
  */
-import {type ReadingReport, type RunningRequests} from './reading_board.js';
+import {
+  type ReadingReport,
+  type RunningRequests,
+} from './reading_report_log.js';
 
 /**
  * Time for which a router's number of requests counts without a new word,
  * milliseconds: nearly all requests are over by then.
  */
-const VALID_MS = 3_000;
+const REPORT_VALID_MS = 3_000;
 
 /** A server of which nobody has told for so long is forgotten, milliseconds. */
-const FORGET_SERVER_MS = 60_000;
+const SERVER_RETENTION_MS = 60_000;
 
 /** Outcomes are counted from the start of this process on. */
 interface Count {
@@ -24,22 +27,22 @@
 }
 
 interface RouterCount extends Count {
-  toldAt: number;
+  reportedAt: number;
 }
 
 interface ServerCounts {
   readonly sum: Count;
   readonly routers: Map<string, RouterCount>;
-  toldAt: number;
+  reportedAt: number;
 }
 
 /** What the other routers have at one server. */
 export type OthersCount = Readonly<Count>;
 
 /** Sums by server, as far as this member has heard. */
-export class RunningTotals {
+export class RunningRequestTotals {
   readonly #servers = new Map<string, ServerCounts>();
-  readonly #heardAt = new Map<string, number>();
+  readonly #lastReportAt = new Map<string, number>();
 
   /** Names of the servers at which there is or was something. */
   get servers(): Iterable<string> {
@@ -50,10 +53,10 @@
    * @param report what a router said
    * @param now monotonic milliseconds
    */
-  note({node, running}: ReadingReport, now: number): void {
+  record({node, running}: ReadingReport, now: number): void {
     if (node === '') return;
-    this.#heardAt.set(node, now);
-    for (const one of running) this.#noteOne(node, one, now);
+    this.#lastReportAt.set(node, now);
+    for (const one of running) this.#recordServer(node, one, now);
   }
 
   /**
@@ -61,14 +64,15 @@
    *
    * @param now monotonic milliseconds
    */
-  forgetSilent(now: number): void {
-    for (const [node, heardAt] of this.#heardAt) {
-      if (now - heardAt > VALID_MS) this.#heardAt.delete(node);
+  expireReports(now: number): void {
+    for (const [node, lastReportAt] of this.#lastReportAt) {
+      if (now - lastReportAt > REPORT_VALID_MS) this.#lastReportAt.delete(node);
     }
-    for (const [server, {sum, routers, toldAt}] of this.#servers) {
-      if (now - toldAt > FORGET_SERVER_MS) this.#servers.delete(server);
+    for (const [server, {sum, routers, reportedAt: reportedAt}] of this
+      .#servers) {
+      if (now - reportedAt > SERVER_RETENTION_MS) this.#servers.delete(server);
       for (const count of routers.values()) {
-        if (now - count.toldAt <= VALID_MS) continue;
+        if (now - count.reportedAt <= REPORT_VALID_MS) continue;
         sum.requests -= count.requests;
         count.requests = 0;
       }
@@ -81,8 +85,8 @@
   }
 
   /** @returns routers other than this one that were heard of lately */
-  countOthers(node: string): number {
-    return this.#heardAt.size - (this.#heardAt.has(node) ? 1 : 0);
+  countOtherRouters(node: string): number {
+    return this.#lastReportAt.size - (this.#lastReportAt.has(node) ? 1 : 0);
   }
 
   /**
@@ -92,9 +96,9 @@
    */
   others(node: string, server: string): OthersCount {
     const counts = this.#servers.get(server);
-    if (!counts) return NOTHING;
+    if (!counts) return NO_REQUESTS;
     const {sum} = counts;
-    const own = counts.routers.get(node) ?? NOTHING;
+    const own = counts.routers.get(node) ?? NO_REQUESTS;
     return {
       requests: sum.requests - own.requests,
       ended: sum.ended - own.ended,
@@ -102,11 +106,11 @@
     };
   }
 
-  #noteOne(node: string, told: RunningRequests, now: number): void {
-    const {backendServer, requests, ended, failed} = told;
+  #recordServer(node: string, reported: RunningRequests, now: number): void {
+    const {backendServer, requests, ended, failed} = reported;
     const counts = this.#countsOf(backendServer, now);
-    counts.toldAt = now;
-    const own = counts.routers.get(node) ?? {...NOTHING, toldAt: now};
+    counts.reportedAt = now;
+    const own = counts.routers.get(node) ?? {...NO_REQUESTS, reportedAt: now};
     counts.routers.set(node, own);
     const {sum} = counts;
     sum.requests += requests - own.requests;
@@ -115,16 +119,24 @@
     own.requests = requests;
     own.ended += ended;
     own.failed += failed;
-    own.toldAt = now;
+    own.reportedAt = now;
   }
 
   #countsOf(server: string, now: number): ServerCounts {
     const known = this.#servers.get(server);
     if (known) return known;
-    const made = {sum: {...NOTHING}, routers: new Map(), toldAt: now};
-    this.#servers.set(server, made);
-    return made;
+    const created = {
+      sum: {...NO_REQUESTS},
+      routers: new Map(),
+      reportedAt: now,
+    };
+    this.#servers.set(server, created);
+    return created;
   }
 }
 
-const NOTHING: OthersCount = Object.freeze({requests: 0, ended: 0, failed: 0});
+const NO_REQUESTS: OthersCount = Object.freeze({
+  requests: 0,
+  ended: 0,
+  failed: 0,
+});
--- a/packages/lovagepond-control/src/subscription_feed.ts
+++ b/packages/lovagepond-control/src/subscription_feed.ts
@@ -5,13 +5,16 @@
  * what is outdated: however far behind, it gets one configuration and one
  * membership change, never a replay.
  */
-import {type ReadingBoard, type ReadingReport} from './reading_board.js';
+import {
+  type ReadingReportLog,
+  type ReadingReport,
+} from './reading_report_log.js';
 import {type Configuration, type ConfigurationContent} from '@lovagepond/core';
 import {type SuspectView} from './control_administration.js';
 import {type MembershipChange} from './membership_log.js';
 import {type LoadReport} from './membership_registry.js';
-import {RunningFeed} from './running_feed.js';
-import {type RunningTotals} from './running_totals.js';
+import {RunningRequestFeed} from './running_request_feed.js';
+import {type RunningRequestTotals} from './running_request_totals.js';
 
 /** What a member can tell its subscribers at one moment. */
 export interface FeedView {
@@ -25,8 +28,8 @@
   changesSince(version: number, pool: string): MembershipChange | undefined;
   /** @returns the newest load report; undefined when none is fresh */
   readLoad(): LoadReport | undefined;
-  readonly readings: ReadingBoard;
-  readonly running: RunningTotals;
+  readonly readings: ReadingReportLog;
+  readonly running: RunningRequestTotals;
   /** Rises when {@link FeedView.suspects} may have changed. */
   readonly crashesVersion: number;
   /** @returns requests that servers crashed under */
@@ -90,9 +93,9 @@
 const ROUTER_ROLE = 'router';
 
 /** A follower hears loads so much oftener, as it passes them on. */
-const RELAY_SPEED_UP = 4;
+const FOLLOWER_LOAD_RATE = 4;
 
-function tellReadings(reports: readonly ReadingReport[]): FeedUpdate[] {
+function toReadingsUpdates(reports: readonly ReadingReport[]): FeedUpdate[] {
   return reports.length > 0 ? [{kind: 'readings', reports}] : [];
 }
 
@@ -105,22 +108,23 @@
   /** A majority confirmed this revision after the subscription began. */
   #confirmedRevision: number | undefined;
   #sentConfirmed = false;
-  #sentVersion = 0;
-  #sentCrashes = 0;
-  #sentReadings: number | undefined;
-  readonly #running: RunningFeed;
+  #sentMembershipVersion = 0;
+  #sentCrashesVersion = 0;
+  #sentReadingsSequence: number | undefined;
+  readonly #running: RunningRequestFeed;
   #sentMembers: readonly string[] = [];
-  #digestAt = -Infinity;
-  #sentAt = -Infinity;
+  #lastLoadAt = -Infinity;
+  #lastSentAt = -Infinity;
 
   constructor(subscriber: Subscriber, settings: FeedSettings) {
     this.subscriber = subscriber;
     this.#settings = settings;
-    const relayed = subscriber.role === CONTROL_ROLE;
+    const isFollower = subscriber.role === CONTROL_ROLE;
     const {digestIntervalMs} = settings;
-    this.#digestIntervalMs = digestIntervalMs / (relayed ? RELAY_SPEED_UP : 1);
+    this.#digestIntervalMs =
+      digestIntervalMs / (isFollower ? FOLLOWER_LOAD_RATE : 1);
     this.#heldRevision = subscriber.revision;
-    this.#running = new RunningFeed(subscriber.node);
+    this.#running = new RunningRequestFeed(subscriber.node);
   }
 
   /**
@@ -147,8 +151,8 @@
   next(view: FeedView, now: number): FeedUpdate[] {
     // Without its lease a leader is silent towards followers: they would take
     // its heartbeats for contact and hold on to their subscribers with it.
-    const relayed = this.subscriber.role === CONTROL_ROLE;
-    if (relayed && !view.leads) return [];
+    const isFollower = this.subscriber.role === CONTROL_ROLE;
+    if (isFollower && !view.leads) return [];
     const updates = [
       ...this.#nextQuarantine(view),
       ...this.#nextConfiguration(view),
@@ -159,11 +163,11 @@
       ...this.#nextRunning(view, now),
     ];
     const {heartbeatIntervalMs} = this.#settings;
-    if (updates.length === 0 && now - this.#sentAt >= heartbeatIntervalMs) {
+    if (updates.length === 0 && now - this.#lastSentAt >= heartbeatIntervalMs) {
       const {revision} = view.configuration;
       updates.push({kind: 'heartbeat', revision});
     }
-    if (updates.length > 0) this.#sentAt = now;
+    if (updates.length > 0) this.#lastSentAt = now;
     return updates;
   }
 
@@ -196,8 +200,8 @@
   #nextQuarantine(view: FeedView): FeedUpdate[] {
     if (this.subscriber.role !== ROUTER_ROLE) return [];
     const {crashesVersion} = view;
-    if (crashesVersion === this.#sentCrashes) return [];
-    this.#sentCrashes = crashesVersion;
+    if (crashesVersion === this.#sentCrashesVersion) return [];
+    this.#sentCrashesVersion = crashesVersion;
     return [{kind: 'quarantine', suspects: view.suspects()}];
   }
 
@@ -214,10 +218,10 @@
   }
 
   #nextMembership(view: FeedView): FeedUpdate[] {
-    if (view.membershipVersion <= this.#sentVersion) return [];
+    if (view.membershipVersion <= this.#sentMembershipVersion) return [];
     const {pool} = this.subscriber;
-    const change = view.changesSince(this.#sentVersion, pool);
-    this.#sentVersion = view.membershipVersion;
+    const change = view.changesSince(this.#sentMembershipVersion, pool);
+    this.#sentMembershipVersion = view.membershipVersion;
     if (!change) return [];
     const empty = change.members.length === 0 && change.gone.length === 0;
     return empty && !change.whole ? [] : [{kind: 'membership', change}];
@@ -225,16 +229,16 @@
 
   #nextReadings({readings}: FeedView): FeedUpdate[] {
     const {role} = this.subscriber;
-    const relayed = role === CONTROL_ROLE;
-    if (!relayed && role !== ROUTER_ROLE) return [];
-    const last = this.#sentReadings;
-    this.#sentReadings = readings.sequence;
-    if (last === undefined) return tellReadings(readings.history());
+    const isFollower = role === CONTROL_ROLE;
+    if (!isFollower && role !== ROUTER_ROLE) return [];
+    const last = this.#sentReadingsSequence;
+    this.#sentReadingsSequence = readings.sequence;
+    if (last === undefined) return toReadingsUpdates(readings.history());
     // A follower makes sums of its own, and passes on what its routers need.
-    const reports = relayed
+    const reports = isFollower
       ? readings.since(last)
       : readings.readingsSince(last);
-    return tellReadings(reports);
+    return toReadingsUpdates(reports);
   }
 
   #nextRunning({running: totals}: FeedView, now: number): FeedUpdate[] {
@@ -242,16 +246,16 @@
     if (role !== ROUTER_ROLE) return [];
     const running = this.#running.next(totals, now);
     if (running.length === 0) return [];
-    const routers = totals.countOthers(node);
+    const routers = totals.countOtherRouters(node);
     const reports = [{node: '', readings: [], running}];
     return [{kind: 'readings', reports, routers}];
   }
 
   #nextLoad(view: FeedView, now: number): FeedUpdate[] {
-    if (now - this.#digestAt < this.#digestIntervalMs) return [];
+    if (now - this.#lastLoadAt < this.#digestIntervalMs) return [];
     const load = view.readLoad();
     if (!load || load.loads.length === 0) return [];
-    this.#digestAt = now;
+    this.#lastLoadAt = now;
     return [{kind: 'load', load}];
   }
 }
--- a/packages/lovagepond-control/src/subscription_hub.ts
+++ b/packages/lovagepond-control/src/subscription_hub.ts
@@ -25,7 +25,7 @@
   readonly feed: SubscriptionFeed;
   readonly sink: UpdateSink;
   /** It has been told of members that can serve it. */
-  isSentOn?: boolean;
+  isRedirected?: boolean;
 }
 
 /** Settings of the hub. */
@@ -40,7 +40,7 @@
   readonly #subscriptions = new Set<Subscription>();
   readonly #startedAt: number;
   #contactAt: number;
-  #hasBeenInTouch = false;
+  #hasHadContact = false;
 
   /**
    * @param settings intervals and the contact limit
@@ -82,10 +82,10 @@
    * @param now monotonic milliseconds
    * @returns true while subscribers may come or stay
    */
-  takesSubscribers(now: number): boolean {
+  acceptsSubscribers(now: number): boolean {
     const {leaderContactLimitMs} = this.#settings;
     const isStarting =
-      !this.#hasBeenInTouch && now - this.#startedAt < leaderContactLimitMs;
+      !this.#hasHadContact && now - this.#startedAt < leaderContactLimitMs;
     return isStarting || this.isFresh(now);
   }
 
@@ -119,10 +119,10 @@
    * @param contactAt when it last was, monotonic milliseconds
    * @param now monotonic milliseconds
    */
-  noteContact(contactAt: number, now: number): void {
+  recordContact(contactAt: number, now: number): void {
     this.#contactAt = Math.max(this.#contactAt, contactAt);
-    this.#hasBeenInTouch ||= this.isFresh(now);
-    if (!this.takesSubscribers(now)) this.endAll();
+    this.#hasHadContact ||= this.isFresh(now);
+    if (!this.acceptsSubscribers(now)) this.endAll();
   }
 
   /**
@@ -131,8 +131,8 @@
    * @param view what there is
    * @param now monotonic milliseconds
    */
-  pump(view: FeedView, now: number): void {
-    if (!this.#hasBeenInTouch) return;
+  flush(view: FeedView, now: number): void {
+    if (!this.#hasHadContact) return;
     for (const {feed, sink} of this.#subscriptions) {
       if (!sink.isWritable()) continue;
       for (const update of feed.next(view, now)) sink.send(update);
@@ -147,11 +147,11 @@
    *
    * @param members `host:port` of members that are there
    */
-  sendOn(members: readonly string[]): void {
+  redirectSubscribers(members: readonly string[]): void {
     if (members.length === 0) return;
     for (const subscription of this.#subscriptions) {
-      if (subscription.isSentOn) continue;
-      subscription.isSentOn = true;
+      if (subscription.isRedirected) continue;
+      subscription.isRedirected = true;
       subscription.sink.send({
         kind: 'controlMembers',
         addresses: members,
--- a/packages/lovagepond-control/src/update_encoder.ts
+++ b/packages/lovagepond-control/src/update_encoder.ts
@@ -11,7 +11,7 @@
 import {lovagepond} from '@lovagepond/protocol';
 import {type SuspectView} from './control_administration.js';
 import {type MembershipChange} from './membership_log.js';
-import {type ReadingReport} from './reading_board.js';
+import {type ReadingReport} from './reading_report_log.js';
 import {type FeedUpdate} from './subscription_feed.js';
 
 const {v1} = lovagepond;
--- a/packages/lovagepond-control/src/subscription_pump.ts
+++ b/packages/lovagepond-control/src/update_scheduler.ts
@@ -3,7 +3,7 @@
  */
 
 /** Runs one function, however often it is asked for meanwhile. */
-export class SubscriptionPump {
+export class UpdateScheduler {
   readonly #run: () => void;
   #immediate: NodeJS.Immediate | undefined;
   #timer: NodeJS.Timeout | undefined;
@@ -14,7 +14,7 @@
   }
 
   /** Runs once what is being handled now is done. */
-  soon(): void {
+  runSoon(): void {
     this.#immediate ??= setImmediate(() => {
       this.#immediate = undefined;
       this.#run();
@@ -22,7 +22,7 @@
   }
 
   /** @param delayMs longest wait for others, milliseconds */
-  within(delayMs: number): void {
+  runWithin(delayMs: number): void {
     this.#timer ??= setTimeout(() => {
       this.#timer = undefined;
       this.#run();
--- a/packages/lovagepond-control/src/wire_utils.ts
+++ b/packages/lovagepond-control/src/wire_utils.ts
@@ -3,7 +3,7 @@
  */
 import {type lovagepond, readMember, readServer} from '@lovagepond/protocol';
 import {type MembershipChange} from './membership_log.js';
-import {type ReadingReport} from './reading_board.js';
+import {type ReadingReport} from './reading_report_log.js';
 import {type Announcement, type LoadReport} from './membership_registry.js';
 
 type WireAnnounce = lovagepond.v1.AnnounceRequest.$Properties;
--- a/packages/lovagepond-measure/src/play_fleet.ts
+++ b/packages/lovagepond-measure/src/play_fleet.ts
@@ -14,8 +14,8 @@
   type JoiningServer,
   readReadings,
   type ReadingReport,
-  RunningFeed,
-  RunningTotals,
+  RunningRequestFeed,
+  RunningRequestTotals,
   toWireDigest,
 } from '@lovagepond/control/deciders';
 import {type PromptPart} from '@lovagepond/gateway/deciders';
@@ -72,8 +72,8 @@
   readonly #engines = new Map<string, PlayEngine>();
   readonly #services = new Map<string, PlayService>();
   readonly #gateways: readonly PlayGateway[];
-  readonly #totals = new RunningTotals();
-  readonly #feeds: readonly RunningFeed[];
+  readonly #totals = new RunningRequestTotals();
+  readonly #feeds: readonly RunningRequestFeed[];
   readonly #lengths = new Map<string, number>();
   #version = 0;
   #named = 0;
@@ -108,7 +108,7 @@
         }),
     );
     this.#feeds = this.#gateways.map(
-      (_, at) => new RunningFeed(`gateway-${at}`),
+      (_, at) => new RunningRequestFeed(`gateway-${at}`),
     );
   }
 
@@ -326,7 +326,7 @@
   #passOn(told: ReadingReport): void {
     const {now} = this.#time;
     const {variant} = this.#settings;
-    this.#totals.note(told, now);
+    this.#totals.record(told, now);
     const report = variant.eachRunning ? told : {...told, running: []};
     if (report.readings.length + report.running.length === 0) return;
     for (const {readings} of this.#gateways) {
@@ -337,7 +337,7 @@
   #tellSums(): void {
     const {now} = this.#time;
     if (this.#settings.variant.eachRunning) return;
-    this.#totals.forgetSilent(now);
+    this.#totals.expireReports(now);
     this.#gateways.forEach(({readings}, at) => {
       const running = this.#feeds[at]?.next(this.#totals, now) ?? [];
       if (running.length === 0) return;
--- a/packages/lovagepond-operator/src/__tests__/unit/fake_administration.ts
+++ b/packages/lovagepond-operator/src/__tests__/unit/fake_administration.ts
@@ -16,20 +16,20 @@
   type ConvergenceView,
   type HistoryEntry,
   type MemberChange,
-  type NotDone,
   type OperationAnswer,
   type OrderAnswer,
   type OrderRequest,
   type OrderView,
+  type RequestedChange,
+  type RetryableFailure,
   type ServerView,
   type SuspectView,
-  type WantedChange,
 } from '@lovagepond/control';
 
 type Restore = Parameters<ControlAdministration['restoreRevision']>[0];
 type Wanted = Parameters<ControlAdministration['setWantedState']>[0];
 
-function edit(base: Configuration, change: WantedChange): unknown {
+function edit(base: Configuration, change: RequestedChange): unknown {
   if (change.kind === 'replace') return change.content;
   const name =
     change.kind === 'delete'
@@ -63,7 +63,7 @@
   /** Whether a majority confirms what this member holds. */
   isNewest = true;
   /** Set: every change is refused like this. */
-  refusal: NotDone | undefined;
+  refusal: RetryableFailure | undefined;
   /** Set: the next change is made, and its answer is lost. */
   losesNextAnswer = false;
   readonly #answers = new Map<
--- a/packages/lovagepond-operator/src/operator_configuration_routes.ts
+++ b/packages/lovagepond-operator/src/operator_configuration_routes.ts
@@ -6,7 +6,7 @@
   CONFIGURATION_SECTIONS,
   type ConfigurationSection,
 } from '@lovagepond/core';
-import {type WantedChange} from '@lovagepond/control';
+import {type RequestedChange} from '@lovagepond/control';
 import {
   type AdministrationCall,
   type CallHandler,
@@ -36,7 +36,7 @@
 
 async function makeChange(
   call: AdministrationCall,
-  change: WantedChange,
+  change: RequestedChange,
 ): Promise<AdministrationReply> {
   const {administration, operationId, baseRevision, dryRun} = call;
   if (baseRevision === undefined) {
--- a/packages/lovagepond-scenarios/src/world/subscribers.ts
+++ b/packages/lovagepond-scenarios/src/world/subscribers.ts
@@ -10,8 +10,8 @@
 } from '@lovagepond/core';
 import {
   CONTROL_DEFAULTS,
-  ReadingBoard,
-  RunningTotals,
+  ReadingReportLog,
+  RunningRequestTotals,
 } from '@lovagepond/control';
 import {
   type FeedUpdate,
@@ -225,8 +225,8 @@
         hub.endAll();
         return;
       }
-      if (this.#control.hasMajority) hub.noteContact(now, now);
-      hub.pump(this.#makeView(member), now);
+      if (this.#control.hasMajority) hub.recordContact(now, now);
+      hub.flush(this.#makeView(member), now);
     });
   }
 
@@ -236,8 +236,8 @@
       configuration: member.machine.configuration.current.read(),
       contentOf: () => undefined,
       membershipVersion: 0,
-      running: new RunningTotals(),
-      readings: new ReadingBoard(),
+      running: new RunningRequestTotals(),
+      readings: new ReadingReportLog(),
       crashesVersion: 0,
       suspects: () => [],
       controlMembers: [],
