--- a/packages/lovagepond-control/src/control_administration.ts
+++ b/packages/lovagepond-control/src/control_administration.ts
@@ -1,8 +1,9 @@
 /**
- * What operators can ask of control. The operator package offers it over HTTP.
+ * The administration API of control, which the operator package serves over
+ * HTTP.
  *
- * Accepted means committed: a majority has synced the change, and every member
- * pushes it to its subscribers when it applies it.
+ * An accepted change is committed: a majority of members has synced it to disk.
+ * Each member pushes the change to its subscribers when it applies it.
  */
 import {
   type BackendServer,
@@ -13,7 +14,7 @@
   type StateDump,
 } from '@lovagepond/core';
 
-/** The change an operator wants. */
+/** A change of the configuration that an operator requests. */
 export type RequestedChange =
   | {readonly kind: 'replace'; readonly content: unknown}
   | {
@@ -27,13 +28,13 @@
       readonly name: string;
     };
 
-/** A change with what makes it safe to send twice and to race. */
+/** A change that can be retried, and that fails after a concurrent change. */
 export interface ChangeRequest {
-  /** A resend under the same id gets the first answer. */
+  /** A retry under the same id gets the answer of the first request. */
   readonly operationId: string;
-  /** The revision the operator saw; another one by now is a conflict. */
+  /** The revision the change is based on; if it isn't current, a conflict. */
   readonly baseRevision: number;
-  /** Checks everything and changes nothing. */
+  /** Validates the change without applying it. */
   readonly dryRun: boolean;
   readonly change: RequestedChange;
 }
@@ -43,31 +44,34 @@
   /** For example `pools/drafting`. */
   readonly place: string;
   readonly kind: 'added' | 'removed' | 'changed';
-  /** The object before; absent when added. */
+  /** The former object; absent when added. */
   readonly before?: unknown;
-  /** The object after; absent when removed. */
+  /** The new object; absent when removed. */
   readonly after?: unknown;
 }
 
-/** Answers that any operation at the leader can get. */
+/** A failure of an operation that the client may retry. */
 export type RetryableFailure =
-  /** Another member leads; empty when none is known. */
+  /** This member isn't the leader; `leader` is empty when none is known. */
   | {readonly kind: 'notLeader'; readonly leader: string}
-  /** It may or may not have been committed: send the same id again. */
+  /** The operation may have been committed: retry with the same id. */
   | {readonly kind: 'unknown'};
 
 /** Answer to a change. */
 export type ChangeAnswer =
   | {
       readonly kind: 'accepted';
-      /** The new revision; with a dry run the one it would get. */
+      /** The new revision; for a dry run, the one that it would get. */
       readonly revision: number;
       readonly differences: readonly ConfigurationDifference[];
     }
   | {
       readonly kind: 'conflict';
       readonly currentRevision: number;
-      /** From the base revision to the current one, while history has it. */
+      /**
+       * From the base revision to the current one; empty when the history no
+       * longer has the base revision.
+       */
       readonly differences: readonly ConfigurationDifference[];
     }
   | {
@@ -82,32 +86,32 @@
   readonly operationId: string;
   /** Milliseconds since the Unix epoch, by the leader's clock. */
   readonly acceptedAt: number;
-  /** Places that differ from the revision before. */
+  /** Places that differ from the previous revision. */
   readonly changed: readonly string[];
-  /** The content is still kept, so that the revision can be restored. */
+  /** Whether the content is still kept, so that it can be restored. */
   readonly restorable: boolean;
 }
 
-/** A backend server as control sees it. */
+/** A backend server's state in control. */
 export interface ServerView {
   readonly server: BackendServer;
   readonly wantedState: WantedState;
   readonly runningTokens: number;
   readonly queuedTokens: number;
-  /** Milliseconds since it last renewed. */
+  /** Milliseconds since the server last renewed its lease. */
   readonly ageMs: number;
-  /** It is held in `joining` because it came and went too often. */
+  /** The server is held in `joining` because it joined and left too often. */
   readonly damped: boolean;
   readonly announcedState: ServerState;
 }
 
-/** What control wants of a backend server. */
+/** The state that operators set for a backend server. */
 export const WANTED_STATE = {READY: 'ready', DRAINING: 'draining'} as const;
 
 /** One of the values of {@link WANTED_STATE}. */
 export type WantedState = (typeof WANTED_STATE)[keyof typeof WANTED_STATE];
 
-/** What an order asks of a backend server. */
+/** The action that an order requests from a backend server. */
 export const ORDER_ACTION = {
   LOAD_MODEL: 'loadModel',
   UNLOAD_MODEL: 'unloadModel',
@@ -119,7 +123,7 @@
 
 /** An order to issue. */
 export interface OrderRequest {
-  /** A second order under the same id is the first one. */
+  /** Issuing an order again under the same id has no further effect. */
   readonly orderId: string;
   readonly backendServer: string;
   readonly action: OrderAction;
@@ -130,7 +134,7 @@
 export const ORDER_OUTCOME = {
   DONE: 'done',
   FAILED: 'failed',
-  /** A later order had already been passed to the server. */
+  /** The server had already received a later order. */
   FENCED: 'fenced',
 } as const;
 
@@ -138,14 +142,14 @@
 export type OrderOutcomeKind =
   (typeof ORDER_OUTCOME)[keyof typeof ORDER_OUTCOME];
 
-/** An order and, once reported, its outcome. */
+/** An order with its outcome, once reported. */
 export interface OrderView extends OrderRequest {
   readonly fencingToken: number;
   readonly outcome?: OrderOutcomeKind;
   readonly message: string;
 }
 
-/** Answer to an operation that is not a change of the configuration. */
+/** Answer to an operation other than a configuration change. */
 export type OperationAnswer =
   | {readonly kind: 'accepted'}
   | {readonly kind: 'invalid'; readonly faults: readonly ConfigurationFault[]}
@@ -157,12 +161,12 @@
   | {readonly kind: 'invalid'; readonly faults: readonly ConfigurationFault[]}
   | RetryableFailure;
 
-/** Which revision a node holds. */
+/** The configuration revision that a node holds. */
 export interface ConvergenceView {
   readonly node: string;
   readonly role: string;
   readonly revision: number;
-  /** Milliseconds since the node last said so. */
+  /** Milliseconds since the node's last report. */
   readonly ageMs: number;
 }
 
@@ -170,14 +174,14 @@
 export interface ControlMemberView {
   readonly memberId: string;
   readonly address: string;
-  /** A learner gets the log and has no vote. */
+  /** False for a learner, which receives the log and has no vote. */
   readonly voter: boolean;
   readonly leader: boolean;
-  /** Log index known to be synced there, when this member leads. */
+  /** Highest log index known to be synced there; set at the leader only. */
   readonly matchIndex?: number;
 }
 
-/** A change of the consensus group, one at a time. */
+/** A change of the consensus group; only one can be in progress. */
 export type MemberChange =
   | {
       readonly kind: 'addLearner';
@@ -186,7 +190,7 @@
     }
   | {readonly kind: 'promote'; readonly memberId: string}
   | {readonly kind: 'remove'; readonly memberId: string}
-  /** Adds a learner, promotes it once caught up, then removes the old one. */
+  /** Adds a learner, promotes it when caught up, and removes the former one. */
   | {
       readonly kind: 'replace';
       readonly formerMemberId: string;
@@ -194,36 +198,36 @@
       readonly address: string;
     };
 
-/** Names one operation, so that a resend has no second effect. */
+/** Identifies an operation, so that a retry has no second effect. */
 export interface Operation {
   readonly operationId: string;
 }
 
-/** A request that servers crashed under. */
+/** A request that is suspected of crashing backend servers. */
 export interface SuspectView {
-  /** Its fingerprint, as in logs. */
+  /** The request's fingerprint in hexadecimal, as in logs. */
   readonly request: string;
   readonly crashes: number;
-  /** Milliseconds; 0 when it may run. */
+  /** Remaining time in quarantine, milliseconds; 0 when it may run. */
   readonly quarantinedForMs: number;
 }
 
 /**
- * The administration of one control member. Reads answer from what this
- * member has applied; operations answer `notLeader` on any other member than
+ * The administration of one control member. Reads return the state that this
+ * member has applied; operations answer `notLeader` at any member other than
  * the leader.
  */
 export interface ControlAdministration {
   /**
-   * A member that is cut off or lost its disk must not have what it holds read
-   * as what is in force.
+   * Checks that this member's configuration is current: it may be outdated when
+   * the member is partitioned or has lost its disk.
    *
-   * @returns true once a majority confirmed after the call that this member
+   * @returns true if a majority has confirmed after the call that this member
    *     holds the newest configuration
    */
   confirmNewest(): Promise<boolean>;
 
-  /** @returns the configuration that this member holds */
+  /** @returns the configuration that this member has applied */
   getConfiguration(): Configuration;
 
   /** @returns accepted revisions, newest first */
@@ -231,14 +235,14 @@
 
   /**
    * @param revision a revision of the history
-   * @returns its content, or undefined when it is no longer kept
+   * @returns its configuration; undefined when it is no longer kept
    */
   getRevision(revision: number): Configuration | undefined;
 
-  /** Changes the configuration, or tries the change. */
+  /** Changes the configuration, or validates the change in a dry run. */
   change(req: ChangeRequest): Promise<ChangeAnswer>;
 
-  /** Puts an older content in force again, as a new revision. */
+  /** Restores the content of an older revision as a new revision. */
   restoreRevision(
     req: Operation & {
       readonly baseRevision: number;
@@ -247,10 +251,10 @@
     },
   ): Promise<ChangeAnswer>;
 
-  /** @returns every backend server that is announced */
+  /** @returns all announced backend servers */
   listBackendServers(): readonly ServerView[];
 
-  /** Drains a backend server, or lets it serve again. */
+  /** Drains a backend server, or returns it to service. */
   setWantedState(
     req: Operation & {
       readonly backendServer: string;
@@ -260,23 +264,23 @@
 
   issueOrder(req: OrderRequest): Promise<OrderAnswer>;
 
-  /** @returns orders kept with their outcomes, newest first */
+  /** @returns the retained orders with their outcomes, newest first */
   listOrders(): readonly OrderView[];
 
-  /** @returns requests that servers crashed under, quarantined or not */
+  /** @returns suspected requests, both quarantined and not */
   listQuarantine(): readonly SuspectView[];
 
-  /** Lets a request run again, and forgets its crashes. */
+  /** Ends a request's quarantine and deletes its recorded crashes. */
   liftQuarantine(request: string): Promise<OperationAnswer>;
 
-  /** @returns what each router and sidecar last said it holds */
+  /** @returns the revision that each router and sidecar last reported */
   convergence(): readonly ConvergenceView[];
 
-  /** @returns the consensus group as this member knows it */
+  /** @returns the consensus group in this member's state */
   listMembers(): readonly ControlMemberView[];
 
   changeMembers(change: MemberChange): Promise<OperationAnswer>;
 
-  /** @returns the member's state, bounded and without secrets */
+  /** @returns the member's state, bounded in size and without secrets */
   dump(): StateDump;
 }
--- a/packages/lovagepond-control/src/control_channel_constants.ts
+++ b/packages/lovagepond-control/src/control_channel_constants.ts
@@ -1,11 +1,11 @@
 /**
- * gRPC channel options between lovagepond's processes.
+ * gRPC channel options for connections between lovagepond's processes.
  */
 import {type ChannelOptions} from '@grpc/grpc-js';
 
 /**
- * A connection can go silent for good while new ones work: pings find it, and
- * a fresh connection replaces it.
+ * A connection can stop delivering data without an error while new connections
+ * work. Pings detect this, and a new connection replaces it.
  */
 const KEEPALIVE: ChannelOptions = {
   'grpc.keepalive_time_ms': 10_000,
@@ -14,9 +14,8 @@
 };
 
 /**
- * What a library offers and nobody here reads: its own diagnosis of channels.
- * It costs processor time at each call, as do retries of calls that are repeated
- * with newer content anyway.
+ * Disables gRPC's channel diagnostics (channelz), which cost processor time at
+ * each call and aren't used here.
  */
 const LOW_OVERHEAD: ChannelOptions = {'grpc.enable_channelz': 0};
 
@@ -27,7 +26,11 @@
   'grpc.max_receive_message_length': 16 * 1024 * 1024,
 };
 
-/** Options of a client of another control member. */
+/**
+ * Options of a client of another control member. gRPC's retries are disabled:
+ * they cost processor time at each call, and calls are repeated with newer
+ * content anyway.
+ */
 export const CLIENT_OPTIONS: ChannelOptions = {
   ...KEEPALIVE,
   ...LOW_OVERHEAD,
--- a/packages/lovagepond-control/src/control_leadership.ts
+++ b/packages/lovagepond-control/src/control_leadership.ts
@@ -1,6 +1,6 @@
 /**
- * What one control member does while it leads: takes the registry over from the
- * log, sets the limits, and drops servers that fell silent.
+ * The work of one control member while it leads: it rebuilds the registry from
+ * the replicated log, sets the limits, and removes servers whose leases expire.
  */
 import {type ConsensusNode, MEMBER_ROLE} from '@lovagepond/consensus';
 import {type Clock, type Logger} from '@lovagepond/core';
@@ -18,12 +18,12 @@
 } from './reading_report_log.js';
 
 /**
- * Time that gateways have to subscribe and to be confirmed before engines are asked
- * what they hold, milliseconds.
+ * Delay of the context inventory, milliseconds. It gives gateways time to
+ * subscribe and to be confirmed first.
  */
 const INVENTORY_DELAY_MS = 150;
 
-/** What leading is done with. */
+/** Dependencies of {@link ControlLeadership}. */
 export interface LeadershipDependencies {
   readonly clock: Clock;
   readonly log: Logger;
@@ -36,18 +36,18 @@
   readonly delivery: OrderDelivery;
   readonly readings: ReadingReportLog;
   readonly readHeldContexts?: HeldContextsReader;
-  /** Called once the registry has been taken over. */
+  /** Called when this member has taken over the registry. */
   readonly onTakenOver: () => void;
+  /** Called with each engine's part of the context inventory. */
   readonly onReport: (report: ReadingReport) => void;
 }
 
-/** One member's leading, term by term. */
+/** Runs the leader's work, in each term in which this member leads. */
 export class ControlLeadership {
   readonly #deps: LeadershipDependencies;
   #term: number | undefined;
   #takingOver = false;
 
-  /** @param deps what leading is done with */
   constructor(deps: LeadershipDependencies) {
     this.#deps = deps;
   }
@@ -57,7 +57,12 @@
     return this.#term;
   }
 
-  /** Begins to lead once all that former leaders committed is applied. */
+  /**
+   * Takes over leadership once this member has applied all entries that former
+   * leaders committed.
+   *
+   * @param term the term in which this member was elected
+   */
   async takeOver(term: number): Promise<void> {
     if (this.#takingOver) return;
     this.#takingOver = true;
@@ -68,13 +73,13 @@
     }
   }
 
-  /** Another member leads, or none. */
+  /** Ends the leader's work: another member leads, or none. */
   end(): void {
     this.#term = undefined;
   }
 
   /**
-   * Drops servers that fell silent, and looks after orders.
+   * Removes servers whose leases have expired, and refreshes order delivery.
    *
    * @param now monotonic milliseconds
    */
@@ -98,14 +103,17 @@
     if (this.#deps.readings.isEmpty) this.#scheduleInventory(term);
   }
 
-  /** What engines hold saves reading; gateways must first be able to serve. */
+  /**
+   * Schedules the context inventory, which saves engines from processing
+   * prompts again. The delay lets gateways serve requests first.
+   */
   #scheduleInventory(term: number): void {
     setTimeout(() => {
       if (this.#term === term) this.#takeInventory();
     }, INVENTORY_DELAY_MS).unref();
   }
 
-  /** The leader's settings are in force at all members. */
+  /** Replicates the leader's limits, so that all members use the same. */
   async #setLimits(): Promise<boolean> {
     const {machine, proposer, settings} = this.#deps;
     const limits = pickLimits(settings);
@@ -114,7 +122,10 @@
     return answer.kind === 'committed';
   }
 
-  /** Routers learn what engines hold from nobody else after a full stop. */
+  /**
+   * Asks engines which contexts they hold: after a stop of all processes, no
+   * router or member has this information.
+   */
   #takeInventory(): void {
     const {readHeldContexts, machine, log, onReport} = this.#deps;
     if (!readHeldContexts) return;
@@ -126,7 +137,7 @@
       servers.filter(({pool}) => pools.has(pool)),
       {readHeldContexts, log, onReport},
     ).catch((err: unknown) => {
-      log.warn('contexts not asked for', {message: String(err)});
+      log.warn('context inventory failed', {message: String(err)});
     });
   }
 }
--- a/packages/lovagepond-control/src/control_log.ts
+++ b/packages/lovagepond-control/src/control_log.ts
@@ -1,9 +1,9 @@
 /**
- * The replicated log as control uses it: the consensus package's node.
+ * The part of the consensus node's interface that control uses.
  */
 import {type ConsensusNode} from '@lovagepond/consensus';
 
-/** What control needs of its consensus node. */
+/** The replicated log. */
 export type ReplicatedLog = Pick<
   ConsensusNode,
   | 'addLearner'
--- a/packages/lovagepond-control/src/control_member_state.ts
+++ b/packages/lovagepond-control/src/control_member_state.ts
@@ -1,6 +1,6 @@
 /**
- * What one control member does as leader and as follower: takes over the
- * membership, mirrors it, serves subscriptions and ends them in time.
+ * The soft state of one control member as leader or follower. It builds or
+ * mirrors the membership, serves subscriptions, and ends them when outdated.
  */
 import {type ConsensusNode, MEMBER_ROLE} from '@lovagepond/consensus';
 import {
@@ -46,16 +46,16 @@
 
 const DUMP_VERSION = 1;
 
-/** Longest wait for the leader's answer to a follower. */
+/** Timeout of a follower's calls to the leader. */
 const LEADER_CALL_TIMEOUT_MS = 1_000;
 
 /**
- * Longest time that a change in the numbers of requests waits for others, so
- * that they go to each subscriber in one message, milliseconds.
+ * Longest delay of a change in the numbers of running requests, milliseconds:
+ * changes are batched into one message to each subscriber.
  */
 const RUNNING_REQUESTS_DELAY_MS = 20;
 
-/** What the state is built from. */
+/** Dependencies of {@link ControlMemberState}. */
 export interface MemberStateDependencies {
   readonly clock: Clock;
   readonly log: Logger;
@@ -64,7 +64,7 @@
   readonly readHeldContexts?: HeldContextsReader;
 }
 
-/** One member's soft state and its services. */
+/** The soft state and the services of one member. */
 export class ControlMemberState {
   readonly administration: ControlAdministration;
   readonly ledger: LedgerHandler;
@@ -149,7 +149,7 @@
   }
 
   /**
-   * @param report what a node holds; a follower passes it to the leader
+   * @param report a node's revision, which a follower forwards to the leader
    * @returns the revision in force, confirmed by a majority after the call
    *     began, unless no leader could confirm it
    */
@@ -173,9 +173,10 @@
   }
 
   /**
-   * Only the leader posts reports, so that all members pass on the same.
+   * Adds a report at the leader; a follower forwards it to the leader, so that
+   * all members publish the same reports.
    *
-   * @param report what a router says of prompts that servers read for it
+   * @param report a router's report of prompts that servers process for it
    */
   reportReadings(report: lovagepond.v1.ReadingReport): void {
     if (this.#proposer.leads()) this.#addReadingReport(readReadings(report));
@@ -183,17 +184,16 @@
   }
 
   /**
-   * @param subscriber who subscribes
-   * @param sink where its updates go
-   * @returns a function that ends the subscription; undefined when this member
-   *     is out of touch and serves none
+   * @param subscriber the subscriber
+   * @param sink receives its updates
+   * @returns a function that ends the subscription; undefined while this member
+   *     has no contact with the leader and serves none
    */
   subscribe(subscriber: Subscriber, sink: UpdateSink): Unregister | undefined {
     const now = this.#now();
     if (!this.#hub.acceptsSubscribers(now)) return undefined;
-    // A follower mirrors the leader only, never another follower. While the
-    // leader takes over, followers wait here: sent away, they and all their
-    // subscribers would come back only some 200 milliseconds later.
+    // A follower mirrors only the leader, and waits here while it takes over: if
+    // refused, it would retry some 200 ms later and delay its subscribers.
     const isFollower = subscriber.role === CONTROL_ROLE;
     const {role} = this.#deps.node.status();
     if (isFollower && role !== MEMBER_ROLE.LEADER) return undefined;
@@ -215,7 +215,7 @@
   }
 
   /**
-   * Looks at leadership, leases, orders and subscriptions.
+   * Updates leadership, leases, orders and subscriptions.
    *
    * @param now monotonic milliseconds
    */
@@ -253,12 +253,12 @@
     return this.#hub.isFresh(now);
   }
 
-  /** Ends all subscriptions, so that subscribers go on to other members. */
+  /** Ends all subscriptions, so that subscribers move to other members. */
   endSubscriptions(): void {
     this.#hub.endAll();
   }
 
-  /** Ends what runs by itself. */
+  /** Stops timers, listeners and streams. */
   stop(): void {
     this.#updateScheduler.stop();
     this.#unregister();
@@ -321,7 +321,7 @@
     this.#hub.flush(view, now);
   }
 
-  /** No load goes out while the list isn't whole: slots may be taken twice. */
+  /** No load while the list is incomplete: slots may be assigned twice. */
   #readLoad(now: number): LoadReport | undefined {
     if (!this.#membership.complete) return undefined;
     if (this.#leadership.term !== undefined) {
@@ -330,10 +330,10 @@
     return this.#leaderClient.load(now);
   }
 
-  /** Work that a tick starts and the next ticks try again. */
+  /** Runs work without waiting for it; later ticks retry what failed. */
   #runInBackground(work: Promise<void>): void {
     work.catch((err: unknown) => {
-      this.#deps.log.warn('control work failed', {message: String(err)});
+      this.#deps.log.warn('background work failed', {message: String(err)});
     });
   }
 
--- a/packages/lovagepond-control/src/control_role.ts
+++ b/packages/lovagepond-control/src/control_role.ts
@@ -1,6 +1,6 @@
 /**
- * The control role: one member with its gRPC server, its timers and its part
- * in consensus.
+ * The control role: one member with its gRPC server, its timer and its
+ * consensus node.
  */
 import {randomUUID} from 'node:crypto';
 import {type Server} from '@grpc/grpc-js';
@@ -34,15 +34,15 @@
 import {MemberTransport} from './member_transport.js';
 import {ControlStateMachine} from './control_state_machine.js';
 
-/** How often leadership, leases and subscriptions are looked at. */
+/** Interval at which leadership, leases and subscriptions are checked. */
 const TICK_MS = 100;
 
-/** What the role is given. */
+/** Dependencies of {@link ControlRole}. */
 export interface ControlDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly random: Random;
-  /** By default files under the settings' data folder. */
+  /** Storage of the log; by default files in the settings' data folder. */
   readonly storage?: ConsensusStorage;
   /**
    * Makes the transport between members; by default over gRPC.
@@ -53,14 +53,14 @@
   readonly timings?: ConsensusTimings;
   /** See `ConsensusParts.processStartedAt`. */
   readonly processStartedAt?: number;
-  /** Asks engines what they hold; by default they aren't asked. */
+  /** Reads the contexts that an engine holds; by default they aren't read. */
   readonly readHeldContexts?: HeldContextsReader;
 }
 
 /** One control member. */
 export class ControlRole implements Role {
   readonly administration: ControlAdministration;
-  /** Whole configurations that the operators' own system numbers. */
+  /** Whole configurations with version numbers of the operators' own system. */
   readonly documents: ConfigurationDocuments;
   /** Announcements of backend servers that have no sidecar. */
   readonly directServers: DirectServers;
@@ -125,7 +125,7 @@
     this.directServers = this.#state.directServers;
   }
 
-  /** Port of the gRPC server, once started. */
+  /** Port of the gRPC server; 0 before the start. */
   get port(): number {
     return this.#port;
   }
@@ -143,7 +143,10 @@
     return !this.#draining && this.#state.isFresh(this.#deps.clock.now());
   }
 
-  /** Subscribers go on to other members; requests under way end by themselves. */
+  /**
+   * Ends all subscriptions, so that subscribers move to other members. Requests
+   * in flight complete on their own.
+   */
   drain(_limitMs: number): Promise<void> {
     this.#draining = true;
     this.#state.endSubscriptions();
@@ -168,7 +171,10 @@
   }
 }
 
-/** An observer's identity ends with its process, as its log does. */
+/**
+ * An observer keeps its log in memory, so that each process gets a new member
+ * id.
+ */
 function openStorage(
   {observer, dataFolder}: ControlSettings,
   isReopening = false,
--- a/packages/lovagepond-control/src/control_server.ts
+++ b/packages/lovagepond-control/src/control_server.ts
@@ -20,7 +20,7 @@
 type V1 = typeof lovagepond.v1;
 type Message<Name extends keyof V1> = InstanceType<V1[Name]>;
 
-/** What the server calls for each method. */
+/** Handlers of the service's methods. */
 export interface ControlHandlers {
   announce(
     req: Message<'AnnounceRequest'>,
@@ -38,15 +38,15 @@
     req: Message<'OrderOutcome'>,
   ): Promise<Message<'OrderOutcomeResponse'>>;
   /**
-   * @param subscriber who subscribes
-   * @param sink where its updates go
-   * @returns a function to call when the stream is closed, or undefined when
-   *     this member serves no subscriptions now
+   * @param subscriber the subscriber
+   * @param sink receives its updates
+   * @returns a function to call when the stream is closed, or undefined while
+   *     this member serves no subscriptions
    */
   subscribe(subscriber: Subscriber, sink: UpdateSink): (() => void) | undefined;
 }
 
-/** Subscribe with its answers encoded before, once for all subscribers. */
+/** The service, with Subscribe's responses already encoded by UpdateEncoder. */
 const SERVICE = {
   ...CONTROL_SERVICE,
   subscribe: {
@@ -85,9 +85,11 @@
   }
 
   /**
+   * Starts to listen.
+   *
    * @param host address to listen on
-   * @param port its port; 0 lets the system choose
-   * @returns the port
+   * @param port port to listen on; 0 lets the system choose
+   * @returns the port in use
    */
   listen(host: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
@@ -102,7 +104,7 @@
     });
   }
 
-  /** Ends at once. */
+  /** Stops immediately and cancels calls in flight. */
   stop(): void {
     this.server.forceShutdown();
   }
@@ -111,16 +113,16 @@
     handle: (req: unknown) => Promise<unknown>,
   ): (
     call: ServerUnaryCall<unknown, unknown>,
-    end: sendUnaryData<unknown>,
+    callback: sendUnaryData<unknown>,
   ) => void {
-    return (call, end) => {
+    return (call, callback) => {
       handle(call.request).then(
         answer => {
-          end(null, answer);
+          callback(null, answer);
         },
         (err: unknown) => {
           this.#log.error('request failed', {message: String(err)});
-          end({code: status.INTERNAL, details: 'the request failed'});
+          callback({code: status.INTERNAL, details: 'the request failed'});
         },
       );
     };
--- a/packages/lovagepond-control/src/control_settings.ts
+++ b/packages/lovagepond-control/src/control_settings.ts
@@ -1,12 +1,12 @@
 /**
- * Settings of one control member, as the program reads them from its file.
+ * Settings of one control member, as read from the program's settings file.
  */
 import {
   type ConsensusTimings,
   DEFAULT_CONSENSUS_TIMINGS,
 } from '@lovagepond/consensus';
 
-/** Everything a control member is told at its start. */
+/** Settings of a control member. */
 export interface ControlSettings {
   /** Name of this process in logs, dumps and convergence reports. */
   readonly nodeName: string;
@@ -14,69 +14,69 @@
   readonly availabilityZone: string;
   /** `host:port` under which the other members reach this one. */
   readonly address: string;
-  /** Address that the gRPC server listens on. */
+  /** Address on which the gRPC server listens. */
   readonly host: string;
-  /** 0 lets the system choose. */
+  /** Port of the gRPC server; 0 lets the system choose. */
   readonly port: number;
-  /** `host:port` of the administration API, told to operators. */
+  /** `host:port` of the administration API, shown to operators. */
   readonly administrationAddress: string;
   /**
-   * Addresses of all members, this one's too, for the first start; later the
-   * replicated log says who is a member.
+   * Addresses of all members, including this one, for the first start. Later,
+   * the replicated log defines the members.
    */
   readonly members: readonly string[];
   readonly dataFolder: string;
-  /** With empty data folders all around, this member may form a new group. */
+  /** Whether this member may form a new group if all data folders are empty. */
   readonly mayFormGroup: boolean;
-  /** Hosts that `members` doesn't name may join, in place of lost ones. */
+  /** Whether hosts missing from `members` may join and replace lost ones. */
   readonly openMembership: boolean;
   /**
-   * Hosts that the group must be able to lose at once; undefined where only
-   * operators take silent members off.
+   * Number of hosts that the group must be able to lose at once; undefined if
+   * only operators may remove unresponsive members.
    */
   readonly toleratedLosses?: number;
   /**
-   * This host has no disk: it follows the log, serves subscriptions and passes
-   * calls on, and never votes.
+   * Whether this host has no disk: the member follows the log, serves
+   * subscriptions and forwards calls, and never votes.
    */
   readonly observer: boolean;
-  /** A backend server that doesn't renew for this long is gone. */
+  /** Lease of a backend server, which is removed when it doesn't renew. */
   readonly leaseMs: number;
-  /** Time between two load digests to a subscriber. */
+  /** Time between two load digests sent to a subscriber. */
   readonly digestIntervalMs: number;
-  /** A subscriber hears at least this often. */
+  /** Longest time between two updates sent to a subscriber. */
   readonly heartbeatIntervalMs: number;
-  /** A member out of touch with the leader this long stops serving. */
+  /** A member without contact to the leader for this long stops serving. */
   readonly leaderContactLimitMs: number;
-  /** Revisions whose content is kept for a restore. */
+  /** Number of revisions whose content is kept for a restore. */
   readonly historyLimit: number;
-  /** A recorded answer is kept this long. */
+  /** How long a recorded answer is kept. */
   readonly answerRetentionMs: number;
-  /** A key is kept this long, and so never granted again before. */
+  /** How long a key is kept; it isn't granted again before then. */
   readonly keyRetentionMs: number;
-  /** An open claim older than this becomes unknown. */
+  /** Age at which the outcome of an open claim becomes unknown. */
   readonly openClaimLimitMs: number;
-  /** Ledger entries; further claims are refused as not run. */
+  /** Maximum number of ledger entries; more claims are refused as not run. */
   readonly ledgerLimit: number;
-  /** Characters of all kept answers (base64); the oldest go first. */
+  /** Maximum base64 characters of all kept answers; the oldest are evicted. */
   readonly answerCharactersLimit: number;
-  /** Loads from the weight store that may run at the same time. */
+  /** Maximum number of concurrent model loads from the weight store. */
   readonly concurrentLoads: number;
 }
 
 const MINUTE_MS = 60_000;
 
 /**
- * Timings of consensus for control's commands. They are small and quickly
+ * Timings of consensus for control's commands. Commands are small and quickly
  * applied, while a snapshot holds the whole ledger: snapshots are taken less
- * often than consensus does by itself.
+ * often than by default.
  */
 export const CONTROL_TIMINGS: ConsensusTimings = {
   ...DEFAULT_CONSENSUS_TIMINGS,
   snapshotEveryEntries: 50_000,
 };
 
-/** Values for what an operator rarely sets. */
+/** Defaults of settings that operators rarely change. */
 export const CONTROL_DEFAULTS = {
   mayFormGroup: true,
   openMembership: false,
--- a/packages/lovagepond-control/src/member_addresses.ts
+++ b/packages/lovagepond-control/src/member_addresses.ts
@@ -1,12 +1,12 @@
 /**
- * Which members a subscriber can ask, as one member knows the group.
+ * Addresses of the members that a subscriber can connect to.
  */
 import {type ConsensusNode, MEMBER_ROLE} from '@lovagepond/consensus';
 
 /**
- * @param node a member's part in consensus
- * @returns `host:port` of all members; a host whose disk was emptied stands in
- *     the group twice until it votes again
+ * @param node this member's consensus node
+ * @returns `host:port` of all members, without duplicates: a host whose disk
+ *     was emptied is in the group twice until it votes again
  */
 export function listMemberAddresses(node: ConsensusNode): readonly string[] {
   const {members} = node.status();
@@ -14,8 +14,9 @@
 }
 
 /**
- * @param node a member's part in consensus
- * @returns `host:port` of members to ask in its place; none once it has a log
+ * @param node this member's consensus node
+ * @returns `host:port` of members to which this member redirects subscribers;
+ *     none once it has a log
  */
 export function listRedirectTargets(node: ConsensusNode): readonly string[] {
   const {commitIndex, leader, role} = node.status();
