--- a/packages/lovagepond-control/src/coalesced_call.ts
+++ b/packages/lovagepond-control/src/coalesced_call.ts
@@ -1,24 +1,24 @@
 /**
- * One question for all who ask at the same time.
+ * Coalesces concurrent calls into one.
  *
- * Whoever asks gets an answer to a question that began after it asked: an earlier
- * one may have been answered by a leader that a partition has cut off since.
+ * A caller never gets the result of a call that started before it asked: a
+ * leader that has been partitioned since may have answered that call.
  */
 
-/** Asks once for many. */
+/** Runs one call for all concurrent callers. */
 export class CoalescedCall<Result> {
   readonly #call: () => Promise<Result>;
   #running: Promise<Result> | undefined;
   #next: Promise<Result> | undefined;
 
-  /** @param call asks anew */
+  /** @param call starts a call */
   constructor(call: () => Promise<Result>) {
     this.#call = call;
   }
 
   /**
-   * @returns the answer to a question that begins now, or as soon as the one under
-   *     way has ended
+   * @returns the result of a call that starts now or, if one is running, when
+   *     that one has ended
    */
   get(): Promise<Result> {
     if (!this.#running) return this.#start();
--- a/packages/lovagepond-control/src/control_member_state.ts
+++ b/packages/lovagepond-control/src/control_member_state.ts
@@ -192,7 +192,7 @@
   subscribe(subscriber: Subscriber, sink: UpdateSink): Unregister | undefined {
     const now = this.#now();
     if (!this.#hub.acceptsSubscribers(now)) return undefined;
-    // A follower mirrors only the leader, and waits here while it takes over: if
+    // A follower mirrors only the leader, also while the leader takes over: if
     // refused, it would retry some 200 ms later and delay its subscribers.
     const isFollower = subscriber.role === CONTROL_ROLE;
     const {role} = this.#deps.node.status();
--- a/packages/lovagepond-control/src/leader_client.ts
+++ b/packages/lovagepond-control/src/leader_client.ts
@@ -1,6 +1,6 @@
 /**
- * A follower's link to the leader: mirrors the membership and the load, asks
- * for the confirmed revision and passes on convergence reports.
+ * A follower's client of the leader. It mirrors the membership and the load,
+ * requests the confirmed revision, and forwards reports.
  */
 import {
   Client,
@@ -23,37 +23,41 @@
 
 type WireUpdate = lovagepond.v1.ControlUpdate.$Properties;
 
+/** Time before a stream that ended is reopened, milliseconds. */
 const REOPEN_AFTER_MS = 200;
 
 /** Settings of {@link LeaderClient}. */
 export interface LeaderClientSettings {
   readonly nodeName: string;
   readonly region: string;
-  /** A stream silent for this long is opened anew. */
+  /** A stream without updates for this long is reopened. */
   readonly silentAfterMs: number;
-  /** An older load report isn't passed on. */
+  /** Age beyond which a load report isn't used. */
   readonly loadValidMs: number;
-  /** Longest wait for an answer of the leader. */
+  /** Timeout of calls to the leader. */
   readonly callTimeoutMs: number;
 }
 
-/** What a relay is built from. */
+/** Dependencies of {@link LeaderClient}. */
 export interface LeaderClientDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly membership: MembershipLog;
   /** Called when the mirrored membership has changed. */
   readonly onMembership: () => void;
-  /** Called with what the leader passes on of routers' readings. */
+  /** Called with each router's report that the leader publishes. */
   readonly onReadings: (report: ReadingReport) => void;
 }
 
-/** What a node says of the revision it holds. */
+/** A node's report of the configuration revision that it holds. */
 export interface RevisionReport {
   readonly node: string;
   readonly role: string;
   readonly revision: number;
-  /** Its sender decides nothing until it is answered. */
+  /**
+   * The sender is blocked until it gets the answer, which otherwise may come
+   * with the leader's next heartbeat.
+   */
   readonly atOnce: boolean;
 }
 
@@ -62,7 +66,7 @@
   readonly at: number;
 }
 
-/** Follows one leader at a time. */
+/** Client of the current leader. */
 export class LeaderClient {
   readonly #settings: LeaderClientSettings;
   readonly #deps: LeaderClientDependencies;
@@ -80,9 +84,9 @@
   }
 
   /**
-   * Follows the leader, and opens its stream anew when it went silent.
+   * Subscribes to a leader, and reopens its stream when it ended or is silent.
    *
-   * @param leader `host:port`; empty to follow nobody
+   * @param leader `host:port`; empty to close the connection
    * @param now monotonic milliseconds
    */
   follow(leader: string, now: number): void {
@@ -92,14 +96,15 @@
     if (leader !== '') this.#open(now);
   }
 
-  /** When the leader was last heard, monotonic milliseconds. */
+  /** Time of the leader's last update, monotonic milliseconds. */
   get lastContactAt(): number {
     return this.#lastContactAt;
   }
 
   /**
    * @param now monotonic milliseconds
-   * @returns the leader's last load report with its age by now
+   * @returns the leader's last load report with its present age; undefined when
+   *     there is none or it is too old
    */
   load(now: number): LoadReport | undefined {
     if (!this.#lastLoad) return undefined;
@@ -109,9 +114,9 @@
   }
 
   /**
-   * Passes a report to the leader.
+   * Forwards a report to the leader.
    *
-   * @param report what a node holds
+   * @param report a node's revision
    * @returns the revision in force, confirmed by a majority after the call
    *     began; undefined when the leader didn't answer
    */
@@ -122,10 +127,10 @@
   }
 
   /**
-   * Passes a router's report of readings to the leader; one that gets lost
-   * costs some reading, so nothing is done about it.
+   * Forwards a router's report of readings to the leader, without retries: a
+   * lost report only means that some prompts are processed again.
    *
-   * @param report what a router said
+   * @param report the router's report
    */
   forwardReadings(report: lovagepond.v1.ReadingReport): void {
     const method = CONTROL_SERVICE.reportReadings;
@@ -140,15 +145,15 @@
       err => {
         if (!err) return;
         const {message} = err;
-        this.#deps.log.debug('readings not passed on', {message});
+        this.#deps.log.debug('readings not forwarded', {message});
       },
     );
   }
 
   /**
-   * Passes a router's report of crashes to the leader.
+   * Forwards a router's report of crashes to the leader.
    *
-   * @param report what a router said
+   * @param report the router's report
    * @returns the leader's answer; not recorded when there was none
    */
   async reportCrashes(
@@ -158,13 +163,13 @@
     return new v1.CrashReportResponse({recorded: res?.recorded ?? false});
   }
 
-  /** Ends the link. */
+  /** Closes the connection. */
   stop(): void {
     this.#close();
     this.#leader = '';
   }
 
-  /** @returns the leader's answer; undefined when there was none in time */
+  /** @returns the leader's answer; undefined after a failure or the timeout */
   #call<Req, Res>(
     method: MethodDefinition<Req, Res>,
     message: Req,
@@ -188,7 +193,7 @@
     });
   }
 
-  /** A refused stream is tried again soon, a silent one once it is too silent. */
+  /** An ended stream is reopened soon, a silent one after a longer time. */
   #needsReopening(now: number): boolean {
     if (this.#leader === '') return false;
     if (this.#ended) return now - this.#openedAt > REOPEN_AFTER_MS;
--- a/packages/lovagepond-control/src/member_administration.ts
+++ b/packages/lovagepond-control/src/member_administration.ts
@@ -1,5 +1,5 @@
 /**
- * The administration of one control member.
+ * Implements the administration API in a control member.
  */
 import {type ChangeOutcome} from '@lovagepond/consensus';
 import {
@@ -48,7 +48,7 @@
 import {type ProposalResult, type Proposer} from './proposer.js';
 import {type ReplicatedLog} from './control_log.js';
 
-/** What the administration is built from. */
+/** Dependencies of {@link MemberAdministration}. */
 export interface AdministrationDependencies {
   readonly clock: Clock;
   readonly log: ReplicatedLog;
@@ -58,10 +58,10 @@
   readonly membership: MembershipLog;
   readonly convergence: ConvergenceTable;
   readonly crashReports: CrashReports;
-  /** @returns the load that this member passes on, when it has one */
+  /** @returns the load report that this member publishes, if it has one */
   readonly load: (now: number) => LoadReport | undefined;
   readonly dump: () => StateDump;
-  /** @returns the newest revision by a majority; undefined when there is none */
+  /** @returns the newest revision of a majority, if one could be reached */
   readonly confirmRevision: () => Promise<number | undefined>;
 }
 
@@ -185,7 +185,7 @@
     return this.#deps.dump();
   }
 
-  /** A follower knows loads only as far as the leader's digest tells them. */
+  /** At a follower, only loads from the leader's digest are available. */
   #listMirrored(now: number): ServerView[] {
     const {membership, machine} = this.#deps;
     const load = this.#deps.load(now);
--- a/packages/lovagepond-control/src/member_message_codec.ts
+++ b/packages/lovagepond-control/src/member_message_codec.ts
@@ -1,6 +1,6 @@
 /**
- * Codes consensus messages for the wire: the head as JSON, and the bytes of
- * entries and snapshot chunks beside it.
+ * Encodes and decodes consensus messages: the head as JSON, and the bytes of
+ * entries and snapshot chunks as separate fields.
  */
 import {type LogEntry, type TransportMessage} from '@lovagepond/consensus';
 import {lovagepond} from '@lovagepond/protocol';
@@ -10,7 +10,7 @@
 type WireMessage = lovagepond.v1.ConsensusMessage.$Properties;
 type EntryHead = Omit<LogEntry, 'data'>;
 
-/** A head: the message without its bytes. */
+/** A message without the bytes of its entries or snapshot chunk. */
 type Head = Record<string, unknown> & {
   readonly entries?: readonly EntryHead[];
   readonly hasData?: boolean;
@@ -38,8 +38,8 @@
 }
 
 /**
- * @param wire a protocol message as it was decoded
- * @returns the message, or undefined when it can't be read
+ * @param wire the decoded protocol message
+ * @returns the consensus message; undefined if the head is malformed
  */
 export function decodeMemberMessage(
   wire: WireMessage,
--- a/packages/lovagepond-control/src/member_transport.ts
+++ b/packages/lovagepond-control/src/member_transport.ts
@@ -1,5 +1,5 @@
 /**
- * Carries consensus messages between members over gRPC.
+ * Transport of consensus messages between members over gRPC.
  */
 import {
   type ChannelOptions,
@@ -28,38 +28,39 @@
 
 type WireMessage = lovagepond.v1.ConsensusMessage;
 
-/** A message not acknowledged by then is lost. */
+/** Time after which a message without acknowledgement counts as lost. */
 const DELIVERY_TIMEOUT_MS = 1_000;
 
-/** Messages under way to one member; more are dropped, as consensus resends. */
+/** Limit of messages in flight to a member; consensus resends dropped ones. */
 const MAX_IN_FLIGHT = 256;
 
 /**
- * Time that a connection gets while its member is heard, milliseconds: the
- * opening packet to a host that was without power is sent again only after a
- * second, far beyond an election timeout.
+ * Timeout for a connection attempt to a member that sends messages itself,
+ * milliseconds. The first packet to a host that was without power is
+ * retransmitted only after a second, far beyond an election timeout.
  */
 const CONNECT_TIMEOUT_MS = 100;
 
-/** Lost messages in a row after which a fresh connection is made. */
+/** Consecutive lost messages after which a new connection is made. */
 const MAX_LOST = 3;
 
-/** A message that is being handled, whose sender takes an answer with it. */
+/** A message being handled, whose acknowledgement can carry a reply. */
 interface HandledMessage {
   readonly address: string;
   reply?: WireMessage;
 }
 
-/** A member's connection to another one. */
+/** A connection to another member. */
 interface Peer {
   client: Client;
-  /** When the connection was begun, monotonic milliseconds. */
+  /** Start of the connection attempt, monotonic milliseconds. */
   readonly openedAt: number;
   inFlight: number;
+  /** Consecutive lost messages. */
   lost: number;
 }
 
-/** The transport of one member. */
+/** The consensus transport of one member. */
 export class MemberTransport implements ConsensusTransport {
   readonly #clock: Clock;
   readonly #options: ChannelOptions;
@@ -69,7 +70,7 @@
 
   /**
    * @param server the member's gRPC server, not yet listening
-   * @param clock present time
+   * @param clock the clock for deadlines and timeouts
    * @param options options of the connections to other members
    */
   constructor(server: Server, clock: Clock, options = CLIENT_OPTIONS) {
@@ -78,9 +79,9 @@
     server.addService(CONSENSUS_SERVICE, {
       deliver: (
         call: ServerUnaryCall<WireMessage, lovagepond.v1.ConsensusAck>,
-        end: sendUnaryData<lovagepond.v1.ConsensusAck>,
+        callback: sendUnaryData<lovagepond.v1.ConsensusAck>,
       ) => {
-        end(null, this.#deliver(call.request));
+        callback(null, this.#deliver(call.request));
       },
     });
   }
@@ -124,7 +125,7 @@
     };
   }
 
-  /** Messages that are neither delivered nor lost yet. */
+  /** Number of messages that are neither acknowledged nor lost yet. */
   get inFlight(): number {
     const peers = [...this.#peers.values()];
     return peers.reduce((sum, {inFlight}) => sum + inFlight, 0);
@@ -137,12 +138,13 @@
   }
 
   /**
-   * Half of all messages are answers to heartbeats. With a call of its own for
-   * each, eight members spent 0.92 of a core idle beside 27 gateways, and 0.75
-   * with answers in the acknowledgement.
+   * Handles a message. A reply to its sender is returned in the acknowledgement
+   * rather than in a call of its own: half of all messages are replies to
+   * heartbeats. Eight idle members with 27 gateways need 0.75 of a core this
+   * way, and 0.92 with separate calls.
    *
    * @param wire a message
-   * @returns the acknowledgement, with what was sent back meanwhile
+   * @returns the acknowledgement, with a reply if one was sent meanwhile
    */
   #deliver(wire: WireMessage): lovagepond.v1.ConsensusAck {
     const message = decodeMemberMessage(wire);
@@ -180,9 +182,10 @@
   }
 
   /**
-   * A member that sends is up. A connection that failed while it was down would
-   * wait before it tries again, and answers to it would be lost meanwhile: a
-   * group that was stopped as a whole elects its leader later by that time.
+   * Drops the connection to a member that is up, as it just sent a message, if
+   * the connection is still failing. Otherwise, replies would be lost until the
+   * connection's backoff ends, which delays the election after a stop of all
+   * members.
    */
   #dropIfStuck(address: string): void {
     const peer = this.#peers.get(address);
@@ -197,8 +200,9 @@
   }
 
   /**
-   * A connection can go silent for good while new ones work: every message on
-   * it is lost until the keep-alive finds out, far beyond an election timeout.
+   * Closes a connection, so that the next message opens a new one. A connection
+   * can stop delivering data while new ones work: its messages would be lost
+   * until the keepalive detects this, far beyond an election timeout.
    */
   #drop(address: string, client: Client): void {
     const peer = this.#peers.get(address);
--- a/packages/lovagepond-control/src/order_delivery.ts
+++ b/packages/lovagepond-control/src/order_delivery.ts
@@ -1,27 +1,27 @@
 /**
- * Which waiting orders a backend server is given when it announces itself.
+ * Selects the pending orders for the answers to servers' announcements.
  */
 import {ORDER_ACTION, type OrderView} from './control_administration.js';
 
 /**
- * Chooses the orders to deliver. Loads draw on the weight store, which is
- * rate-limited: only so many are out at the same time, oldest first. Loads of
- * servers that are away wait without taking a place.
+ * Selects the orders to deliver. Model loads read from the weight store, which
+ * is rate-limited: only a limited number is delivered at the same time, oldest
+ * first. Loads for unavailable servers don't count towards the limit.
  */
 export class OrderDelivery {
   readonly #concurrentLoads: number;
   #byServer = new Map<string, OrderView[]>();
 
-  /** @param concurrentLoads loads that may be out at the same time */
+  /** @param concurrentLoads maximum number of loads in progress */
   constructor(concurrentLoads: number) {
     this.#concurrentLoads = concurrentLoads;
   }
 
   /**
-   * Chooses anew.
+   * Updates the selection.
    *
-   * @param waiting orders without an outcome, in the order of their tokens
-   * @param isPresent says which servers can be reached
+   * @param waiting orders without an outcome, by ascending fencing token
+   * @param isPresent whether a server is registered
    */
   refresh(
     waiting: Iterable<OrderView>,
@@ -35,7 +35,7 @@
       if (blocked.has(server) || !isPresent(server)) continue;
       if (order.action === ORDER_ACTION.LOAD_MODEL) {
         if (loads >= this.#concurrentLoads) {
-          // A later order passed on first would fence this one off.
+          // Delivering a later order first would fence off this one.
           blocked.add(server);
           continue;
         }
@@ -49,8 +49,8 @@
   }
 
   /**
-   * @param server a backend server
-   * @returns its orders to deliver now, in the order of their tokens
+   * @param server name of a backend server
+   * @returns its orders to deliver now, by ascending fencing token
    */
   ordersFor(server: string): readonly OrderView[] {
     return this.#byServer.get(server) ?? [];
--- a/packages/lovagepond-control/src/pool_means.ts
+++ b/packages/lovagepond-control/src/pool_means.ts
@@ -1,26 +1,26 @@
 /**
- * Mean load of each pool over its ready backend servers, kept up to date in
- * constant time for each report.
+ * Mean load of each pool's ready backend servers, updated in constant time for
+ * each report.
  */
 
 /** Mean outstanding tokens of a pool. */
 export interface PoolMean {
   readonly meanTokens: number;
-  /** Mean of the tokens at the engines alone, without the queues. */
+  /** Mean tokens at the engines, without queued ones. */
   readonly meanRunningTokens: number;
-  /** Mean age of the reports it is made of, milliseconds. */
+  /** Mean age of the servers' reports, milliseconds. */
   readonly ageMs: number;
   readonly readyServers: number;
 }
 
-/** One ready server's part in its pool's mean. */
+/** A ready server's load, as counted in its pool's mean. */
 export interface PoolShare {
   readonly pool: string;
   /** Outstanding tokens, a whole number so that sums stay exact. */
   readonly tokens: number;
-  /** Those of them that are at the engine, a whole number. */
+  /** The part of these tokens at the engine, a whole number. */
   readonly runningTokens: number;
-  /** Monotonic milliseconds of the report, a whole number. */
+  /** Time of the report, monotonic milliseconds, a whole number. */
   readonly reportedAt: number;
 }
 
@@ -38,11 +38,11 @@
   readyServers: 0,
 };
 
-/** Sums over the ready servers of each pool. */
+/** Maintains sums over the ready servers of each pool. */
 export class PoolMeans {
   readonly #sums = new Map<string, PoolSums>();
 
-  /** @param share what a ready server reported */
+  /** @param share a ready server's load */
   add(share: PoolShare): void {
     const sums = this.#sums.get(share.pool);
     if (sums) {
@@ -57,7 +57,7 @@
     this.#sums.set(share.pool, first);
   }
 
-  /** @param share what was added before */
+  /** @param share a load that was added before */
   subtract(share: PoolShare): void {
     const sums = this.#sums.get(share.pool);
     if (!sums) return;
@@ -71,7 +71,7 @@
   /**
    * @param pool a pool's name
    * @param now monotonic milliseconds
-   * @returns its mean; all zero without ready servers
+   * @returns the pool's mean; all zero without ready servers
    */
   read(pool: string, now: number): PoolMean {
     const sums = this.#sums.get(pool);
--- a/packages/lovagepond-control/src/proposer.ts
+++ b/packages/lovagepond-control/src/proposer.ts
@@ -1,5 +1,5 @@
 /**
- * Puts commands into the replicated log and reads their results.
+ * Proposes commands to the replicated log and decodes their results.
  */
 import {MEMBER_ROLE} from '@lovagepond/consensus';
 import {type Clock, type Command} from '@lovagepond/core';
@@ -8,11 +8,11 @@
 import {type ReplicatedLog} from './control_log.js';
 import {type ControlStateMachine} from './control_state_machine.js';
 
-/** A command's result, or why there is none. */
+/** A command's result, or the reason for the failure. */
 export type ProposalResult<Value> =
   {readonly kind: 'committed'; readonly value: Value} | RetryableFailure;
 
-/** What a proposer is built from. */
+/** Dependencies of {@link Proposer}. */
 export interface ProposerDependencies {
   readonly log: ReplicatedLog;
   readonly machine: ControlStateMachine;
@@ -28,9 +28,11 @@
   }
 
   /**
-   * @param command the command
+   * Proposes a command.
+   *
+   * @param command the kind of command
    * @param payload its payload
-   * @returns its result once a majority has synced it
+   * @returns its result once a majority has synced and this member applied it
    */
   async propose<Payload, Value>(
     command: Command<Payload>,
@@ -51,8 +53,11 @@
   }
 
   /**
-   * @param mayWait the answer may come with the next heartbeat
-   * @returns true once what this member has applied is linearizable
+   * Runs a read barrier (read index).
+   *
+   * @param mayWait whether the confirmation may wait for the next heartbeat
+   * @returns true once reads of this member's applied state are linearizable;
+   *     false if the barrier failed
    */
   async confirm(mayWait = false): Promise<boolean> {
     return (await this.#deps.log.readBarrier(mayWait)).kind === 'ok';
@@ -63,7 +68,7 @@
     return this.#deps.log.status().leader?.address ?? '';
   }
 
-  /** @returns true while this member leads and no other can */
+  /** @returns true while this member is the leader with a valid lease */
   leads(): boolean {
     const {role, leaseValid} = this.#deps.log.status();
     return role === MEMBER_ROLE.LEADER && leaseValid;
--- a/packages/lovagepond-control/src/reading_report_log.ts
+++ b/packages/lovagepond-control/src/reading_report_log.ts
@@ -1,35 +1,36 @@
 /**
- * What routers say of their requests at backend servers and of the prompts that
- * these read for them.
+ * Routers' reports of their requests at backend servers and of readings. A
+ * reading is a prompt that a server processes (prefill).
  *
- * Each router sees a sliver of the traffic. Without the others' word it would
- * send a prompt to a server that has already much to do, or have one read anew
- * that another server holds. Soft state: what is lost costs some reading.
+ * Each router sees only a part of the traffic. Without the other routers'
+ * reports it would send prompts to busy servers, or have a server process a
+ * prompt that another one has cached. This is soft state: a lost report only
+ * means that some prompts are processed again.
  */
 
-/** One prompt that a server reads. */
+/** A prompt that a server processes. */
 export interface PromptReading {
   readonly backendServer: string;
-  /** Ids of parts of the prompt, each after a slash. */
+  /** Ids of the prompt's parts, each after a slash. */
   readonly prefix: string;
-  /** Tokens that the server has to read; 0 when it has read them before. */
+  /** Tokens that the server has to process; 0 when they are cached. */
   readonly tokens: number;
 }
 
-/** A router's own requests at a server, and the outcomes since it last told. */
+/** A router's requests at a server, and the outcomes since its last report. */
 export interface RunningRequests {
   readonly backendServer: string;
   readonly requests: number;
-  /** Failed ones too. */
+  /** Requests that ended, including failed ones. */
   readonly ended: number;
   readonly failed: number;
 }
 
-/** What one router reported. */
+/** A router's report. */
 export interface ReadingReport {
   readonly node: string;
   readonly readings: readonly PromptReading[];
-  /** Where its number of requests has changed. */
+  /** Servers at which the router's number of requests has changed. */
   readonly running: readonly RunningRequests[];
 }
 
@@ -38,7 +39,7 @@
   readonly report: ReadingReport;
 }
 
-/** The last answer to a subscriber: most others are at the same place. */
+/** The last result, cached as most subscribers are at the same position. */
 interface LaterReports {
   readonly after: number;
   readonly upTo: number;
@@ -46,36 +47,37 @@
   readonly readings: readonly ReadingReport[];
 }
 
-/** Reports kept for subscribers that lag. */
+/** Reports kept for subscribers that lag behind. */
 const MAX_REPORTS = 1_024;
 
 /**
- * Readings kept for subscribers that are new. Numbers of requests have no place
- * among them: at nine gateways they come five times a second from each, and
- * within half a minute a gateway that starts would hear of no warm prompt.
+ * Readings kept for new subscribers, apart from the numbers of requests. Nine
+ * gateways report these five times a second each: in a common log they would
+ * displace all readings within half a minute, and a starting gateway would get
+ * no cached prompts.
  */
 const MAX_READINGS = 2_048;
 
-/** The latest reports, by the order in which they came. */
+/** The latest reports, in the order of their arrival. */
 export class ReadingReportLog {
-  /** Without a gap: each has the number after that of the one before. */
+  /** Sequence numbers are consecutive. */
   #reports: NumberedReport[] = [];
-  /** One for each server and prefix; the one read last stands last. */
+  /** One reading for each server and prefix; the latest is last. */
   readonly #readings = new Map<string, PromptReading>();
   #sequence = 0;
   #lastResult: LaterReports | undefined;
 
-  /** No reading has been heard of, by this member or the one it followed. */
+  /** True while no router or former leader has sent a reading. */
   get isEmpty(): boolean {
     return this.#readings.size === 0;
   }
 
-  /** Number of the last report. */
+  /** Sequence number of the last report. */
   get sequence(): number {
     return this.#sequence;
   }
 
-  /** @param report what a router said, or the leader passed on */
+  /** @param report a report from a router or from the leader */
   add(report: ReadingReport): void {
     this.#sequence += 1;
     this.#reports.push({sequence: this.#sequence, report});
@@ -85,8 +87,8 @@
 
   /**
    * @param sequence number of the last report that the subscriber has
-   * @returns the later ones; the same object for all who ask at one time, so that
-   *     it is encoded once for them
+   * @returns the later reports; callers with the same position get the same
+   *     object, so that it is encoded once
    */
   since(sequence: number): readonly ReadingReport[] {
     return this.#later(sequence).reports;
@@ -94,8 +96,8 @@
 
   /**
    * @param sequence number of the last report that the subscriber has
-   * @returns the later ones that tell of readings, without the numbers of requests;
-   *     the same object for all who ask at one time
+   * @returns the later reports with readings, without the numbers of requests;
+   *     callers with the same position get the same object
    */
   readingsSince(sequence: number): readonly ReadingReport[] {
     return this.#later(sequence).readings;
@@ -117,7 +119,7 @@
     return this.#lastResult;
   }
 
-  /** @returns what has been read, for a subscriber that knows nothing yet */
+  /** @returns the kept readings as one report, for a new subscriber */
   history(): readonly ReadingReport[] {
     const readings = [...this.#readings.values()];
     return readings.length > 0 ? [{node: '', readings, running: []}] : [];
@@ -134,7 +136,7 @@
   }
 }
 
-/** Cuts the oldest off, once there are twice as many. */
+/** Drops the oldest items once there are twice as many as the limit. */
 function keepNewest<Item>(items: Item[], limit: number): Item[] {
   return items.length < 2 * limit ? items : items.slice(-limit);
 }
--- a/packages/lovagepond-control/src/reported_revisions.ts
+++ b/packages/lovagepond-control/src/reported_revisions.ts
@@ -1,8 +1,11 @@
 /**
- * Which revisions of its nodes a follower has told the leader.
+ * The revisions of its nodes that a follower has reported to the leader.
  */
 
-/** The leader forgets a node that it hasn't heard of for some minutes. */
+/**
+ * Time after which an unchanged revision is reported again, milliseconds: the
+ * leader removes nodes without a report for some minutes.
+ */
 const REPORT_AGAIN_MS = 60_000;
 
 interface LastReport {
@@ -11,7 +14,7 @@
   readonly at: number;
 }
 
-/** Spares the leader what it knows. */
+/** Avoids reports of revisions that the leader already has. */
 export class ReportedRevisions {
   readonly #lastReports = new Map<string, LastReport>();
 
@@ -20,7 +23,7 @@
    * @param node the node's name
    * @param revision the revision it holds
    * @param now monotonic milliseconds
-   * @returns true when the leader is to be told
+   * @returns true if the revision must be reported to the leader
    */
   needsReport(
     leader: string,
@@ -37,16 +40,22 @@
   }
 
   /**
-   * @param leader `host:port` of the leader, which has answered
+   * Records a report that the leader has answered.
+   *
+   * @param leader `host:port` of the leader
    * @param node the node's name
-   * @param revision the revision that it was told of
+   * @param revision the reported revision
    * @param now monotonic milliseconds
    */
   add(leader: string, node: string, revision: number, now: number): void {
     this.#lastReports.set(node, {leader, revision, at: now});
   }
 
-  /** @param now monotonic milliseconds; forgets nodes that have gone */
+  /**
+   * Removes nodes that no longer report.
+   *
+   * @param now monotonic milliseconds
+   */
   sweep(now: number): void {
     for (const [node, {at}] of this.#lastReports) {
       if (now - at > 2 * REPORT_AGAIN_MS) this.#lastReports.delete(node);
--- a/packages/lovagepond-control/src/revision_confirmer.ts
+++ b/packages/lovagepond-control/src/revision_confirmer.ts
@@ -1,9 +1,10 @@
 /**
- * What a follower asks its leader for the nodes that are subscribed to it.
+ * A follower's requests to the leader to confirm the newest revision, on behalf
+ * of the nodes that are connected to the follower.
  *
- * Each gateway asks twice a second whether its configuration is the newest. A
- * question for each would make the leader's work grow with the gateways, and after
- * a stop of all it is the busiest.
+ * Each gateway asks twice a second whether its configuration is the newest.
+ * Forwarding each request would make the leader's load grow with the number of
+ * gateways, and the leader is busiest after a restart of all processes.
  */
 import {type RevisionReport} from './leader_client.js';
 import {CoalescedCall} from './coalesced_call.js';
@@ -12,22 +13,22 @@
 
 type ConfirmedRevision = number | undefined;
 
-/** What the questions are asked with. */
+/** Dependencies of {@link RevisionConfirmer}. */
 export interface RevisionConfirmerDependencies {
   /** This member's name. */
   readonly nodeName: string;
   /** @returns `host:port` of the leader; empty when none is known */
   leaderAddress(): string;
-  /** Asks the leader, and tells it which revision a node holds. */
+  /** Reports a node's revision to the leader, which confirms the newest one. */
   report(report: RevisionReport): Promise<ConfirmedRevision>;
 }
 
-/** Asks once for all who ask at the same time. */
+/** Sends one request to the leader for all concurrent callers. */
 export class RevisionConfirmer {
   readonly #deps: RevisionConfirmerDependencies;
   readonly #reports = new ReportedRevisions();
   readonly #immediate: CoalescedCall<ConfirmedRevision>;
-  /** Answered with the leader's next heartbeat. */
+  /** The leader may answer with its next heartbeat. */
   readonly #deferred: CoalescedCall<ConfirmedRevision>;
 
   constructor(deps: RevisionConfirmerDependencies) {
@@ -37,18 +38,20 @@
   }
 
   /**
-   * @returns the revision in force, confirmed by a majority after the call began;
-   *     undefined when the leader didn't answer
+   * @returns the revision in force, confirmed by a majority after the call
+   *     began; undefined when the leader didn't answer
    */
   confirm(): Promise<ConfirmedRevision> {
     return this.#immediate.get();
   }
 
   /**
-   * The same for a node; the leader hears what it holds where it doesn't know it.
+   * Confirms the newest revision for a node. Reports the node's revision to
+   * the leader unless the leader already has it.
    *
-   * @param report what the node holds
+   * @param report the node's revision
    * @param now monotonic milliseconds
+   * @returns as {@link RevisionConfirmer.confirm}
    */
   async confirmFor(
     report: RevisionReport,
@@ -65,7 +68,11 @@
     return confirmed;
   }
 
-  /** @param now monotonic milliseconds; forgets nodes that have gone */
+  /**
+   * Removes nodes that no longer report.
+   *
+   * @param now monotonic milliseconds
+   */
   sweep(now: number): void {
     this.#reports.sweep(now);
   }
--- a/packages/lovagepond-control/src/running_request_feed.ts
+++ b/packages/lovagepond-control/src/running_request_feed.ts
@@ -1,5 +1,5 @@
 /**
- * What one router is told of the others' requests, and when.
+ * Updates to one router about the running requests of all other routers.
  */
 import {type RunningRequests} from './reading_report_log.js';
 import {
@@ -7,39 +7,43 @@
   type RunningRequestTotals,
 } from './running_request_totals.js';
 
-/** Shortest time between two updates, milliseconds: requests last 50 and more. */
+/** Minimum time between two updates, milliseconds; requests last 50 or more. */
 const MIN_INTERVAL_MS = 20;
 
 /**
- * Time between two updates for each server there is, milliseconds: what a router
- * receives a second doesn't grow with the servers beyond some thousand bytes.
+ * Time between two updates per backend server, milliseconds. It bounds what a
+ * router receives to some thousand bytes a second, however many servers exist.
  */
 const INTERVAL_MS_PER_SERVER = 2;
 
-/** A number that hasn't changed is told again: routers forget it after 3 s. */
+/**
+ * Time after which an unchanged number is sent again, milliseconds: routers
+ * discard it after 3 s.
+ */
 const RESEND_INTERVAL_MS = 1_000;
 
 interface SentCounts extends OthersCount {
   readonly at: number;
 }
 
-/** Compares what one router was told with what there is. */
+/** Compares the present numbers with those last sent to one router. */
 export class RunningRequestFeed {
   readonly #node: string;
   readonly #sent = new Map<string, SentCounts>();
   #lastSentAt = -Infinity;
   #isFirstUpdate = true;
 
-  /** @param node the router */
+  /** @param node name of the router */
   constructor(node: string) {
     this.#node = node;
   }
 
   /**
-   * @param totals what this member knows
+   * @param totals running requests of all routers
    * @param now monotonic milliseconds
-   * @returns where the others' number of requests has changed, and their outcomes
-   *     since the last call; empty when nothing is due
+   * @returns for each server with changes, the other routers' number of
+   *     requests and the outcomes since the last update; empty when nothing is
+   *     due
    */
   next(totals: RunningRequestTotals, now: number): readonly RunningRequests[] {
     if (now - this.#lastSentAt < this.#intervalMs()) return [];
@@ -78,7 +82,7 @@
     return {backendServer, requests: others.requests, ended, failed};
   }
 
-  /** A router that has just come hears of no outcome from before. */
+  /** A new router isn't sent outcomes from before its subscription. */
   #addServer(backendServer: string, others: OthersCount): SentCounts {
     const outcomes = this.#isFirstUpdate ? others : {ended: 0, failed: 0};
     const sent = {...outcomes, requests: 0, at: -Infinity};
--- a/packages/lovagepond-control/src/running_request_totals.ts
+++ b/packages/lovagepond-control/src/running_request_totals.ts
@@ -1,9 +1,10 @@
 /**
- * Requests of all routers at each backend server, summed up for each router.
+ * Totals of all routers' running requests at each backend server.
  *
- * Passed on as they come, what routers say of their requests grows with their
- * number times the servers, for each of them. A router only needs to know what the
- * others have at a server together: that grows with the servers alone.
+ * Forwarding each router's reports would send every router data in proportion
+ * to the number of routers times the number of servers. A router only needs the
+ * sum of the other routers' requests at a server, which grows with the number
+ * of servers alone.
  */
 import {
   type ReadingReport,
@@ -11,15 +12,15 @@
 } from './reading_report_log.js';
 
 /**
- * Time for which a router's number of requests counts without a new word,
- * milliseconds: nearly all requests are over by then.
+ * Time for which a router's number of requests counts without a new report,
+ * milliseconds: nearly all requests have ended by then.
  */
 const REPORT_VALID_MS = 3_000;
 
-/** A server of which nobody has told for so long is forgotten, milliseconds. */
+/** Time after which a server without reports is removed, milliseconds. */
 const SERVER_RETENTION_MS = 60_000;
 
-/** Outcomes are counted from the start of this process on. */
+/** Running requests, and outcomes since the start of this process. */
 interface Count {
   requests: number;
   ended: number;
@@ -36,21 +37,23 @@
   reportedAt: number;
 }
 
-/** What the other routers have at one server. */
+/** The counts of all other routers at one server. */
 export type OthersCount = Readonly<Count>;
 
-/** Sums by server, as far as this member has heard. */
+/** Totals by server, from the reports that this member has received. */
 export class RunningRequestTotals {
   readonly #servers = new Map<string, ServerCounts>();
   readonly #lastReportAt = new Map<string, number>();
 
-  /** Names of the servers at which there is or was something. */
+  /** Names of the servers that routers have reported. */
   get servers(): Iterable<string> {
     return this.#servers.keys();
   }
 
   /**
-   * @param report what a router said
+   * Adds a router's report to the totals.
+   *
+   * @param report the router's report
    * @param now monotonic milliseconds
    */
   record({node, running}: ReadingReport, now: number): void {
@@ -60,7 +63,8 @@
   }
 
   /**
-   * Takes back what routers told that have ended since.
+   * Subtracts the requests of routers that have stopped reporting, as they may
+   * have stopped altogether, and removes servers without reports.
    *
    * @param now monotonic milliseconds
    */
@@ -68,8 +72,7 @@
     for (const [node, lastReportAt] of this.#lastReportAt) {
       if (now - lastReportAt > REPORT_VALID_MS) this.#lastReportAt.delete(node);
     }
-    for (const [server, {sum, routers, reportedAt: reportedAt}] of this
-      .#servers) {
+    for (const [server, {sum, routers, reportedAt}] of this.#servers) {
       if (now - reportedAt > SERVER_RETENTION_MS) this.#servers.delete(server);
       for (const count of routers.values()) {
         if (now - count.reportedAt <= REPORT_VALID_MS) continue;
@@ -79,12 +82,12 @@
     }
   }
 
-  /** @returns true while it is known what routers have at a server */
+  /** @returns true while there are counts for a server */
   has(server: string): boolean {
     return this.#servers.has(server);
   }
 
-  /** @returns routers other than this one that were heard of lately */
+  /** @returns the number of other routers that reported recently */
   countOtherRouters(node: string): number {
     return this.#lastReportAt.size - (this.#lastReportAt.has(node) ? 1 : 0);
   }
@@ -92,7 +95,7 @@
   /**
    * @param node a router
    * @param server a backend server's name
-   * @returns what all other routers have there
+   * @returns the counts of all other routers at the server
    */
   others(node: string, server: string): OthersCount {
     const counts = this.#servers.get(server);
--- a/packages/lovagepond-control/src/subscription_feed.ts
+++ b/packages/lovagepond-control/src/subscription_feed.ts
@@ -1,9 +1,9 @@
 /**
- * Decides what one subscriber is sent next.
+ * Determines the next updates to one subscriber.
  *
- * A feed compares what it sent with what there is, so a slow subscriber skips
- * what is outdated: however far behind, it gets one configuration and one
- * membership change, never a replay.
+ * A feed compares the state that it last sent with the present state, so that a
+ * slow subscriber skips outdated updates: however far it lags, it gets one
+ * configuration and one membership change, never a replay.
  */
 import {
   type ReadingReportLog,
@@ -16,43 +16,43 @@
 import {RunningRequestFeed} from './running_request_feed.js';
 import {type RunningRequestTotals} from './running_request_totals.js';
 
-/** What a member can tell its subscribers at one moment. */
+/** The state of a member that it publishes to its subscribers. */
 export interface FeedView {
-  /** This member leads and no other can. */
+  /** Whether this member is the leader with a valid lease. */
   readonly leads: boolean;
   readonly configuration: Configuration;
-  /** @returns the content of a revision while it is kept */
+  /** @returns the content of a revision; undefined when no longer kept */
   contentOf(revision: number): ConfigurationContent | undefined;
   readonly membershipVersion: number;
-  /** @returns what changed in a pool since a version */
+  /** @returns the changes in a pool since a version */
   changesSince(version: number, pool: string): MembershipChange | undefined;
   /** @returns the newest load report; undefined when none is fresh */
   readLoad(): LoadReport | undefined;
   readonly readings: ReadingReportLog;
   readonly running: RunningRequestTotals;
-  /** Rises when {@link FeedView.suspects} may have changed. */
+  /** Increases when {@link FeedView.suspects} may have changed. */
   readonly crashesVersion: number;
-  /** @returns requests that servers crashed under */
+  /** @returns requests that are suspected of crashing servers */
   suspects(): readonly SuspectView[];
   /** `host:port` of the members of control; empty while none is known. */
   readonly controlMembers: readonly string[];
 }
 
-/** Who subscribes. */
+/** A subscriber. */
 export interface Subscriber {
   readonly node: string;
   readonly role: string;
-  /** Only this pool; empty means all. */
+  /** The only pool to send; empty for all. */
   readonly pool: string;
-  /** Revision it already holds. */
+  /** Configuration revision that it already holds. */
   readonly revision: number;
-  /** It can be told what changes in the configuration that it holds. */
+  /** Whether it can apply deltas to the configuration that it holds. */
   readonly takesDeltas: boolean;
-  /** Of a member of control: the newest commands that it can apply. */
+  /** For a member of control: the newest log version that it can apply. */
   readonly logVersion?: number;
 }
 
-/** How often a subscriber hears what. */
+/** Intervals of periodic updates. */
 export interface FeedSettings {
   readonly digestIntervalMs: number;
   readonly heartbeatIntervalMs: number;
@@ -63,10 +63,11 @@
   | {
       readonly kind: 'configuration';
       readonly configuration: Configuration;
-      /** False when the subscriber holds the content already. */
+      /** False when the subscriber already holds the content. */
       readonly withContent: boolean;
-      /** What the subscriber holds, if what changes in it is enough. */
+      /** The configuration that the subscriber holds, as base of a delta. */
       readonly base?: Configuration;
+      /** A majority confirmed the revision after the subscription began. */
       readonly confirmed: boolean;
     }
   | {readonly kind: 'quarantine'; readonly suspects: readonly SuspectView[]}
@@ -75,31 +76,31 @@
   | {
       readonly kind: 'readings';
       readonly reports: readonly ReadingReport[];
-      /** Other routers heard of, for a router. */
+      /** For a router: the number of other routers. */
       readonly routers?: number;
     }
   | {
       readonly kind: 'controlMembers';
       readonly addresses: readonly string[];
-      /** The subscriber is to ask one of them in place of this member. */
+      /** Redirects the subscriber to one of these members. */
       readonly goOn: boolean;
     }
   | {readonly kind: 'heartbeat'; readonly revision: number};
 
-/** Role under which a follower mirrors the leader's list. */
+/** Role of followers, which mirror the leader's membership. */
 export const CONTROL_ROLE = 'control';
 
-/** Role of those that place prompts, and are told of readings. */
+/** Role of routers, which get readings for the placement of prompts. */
 const ROUTER_ROLE = 'router';
 
-/** A follower hears loads so much oftener, as it passes them on. */
+/** Factor by which followers get loads more often, as they publish them. */
 const FOLLOWER_LOAD_RATE = 4;
 
 function toReadingsUpdates(reports: readonly ReadingReport[]): FeedUpdate[] {
   return reports.length > 0 ? [{kind: 'readings', reports}] : [];
 }
 
-/** One subscriber's position. */
+/** Tracks what was sent to one subscriber. */
 export class SubscriptionFeed {
   readonly subscriber: Subscriber;
   readonly #settings: FeedSettings;
@@ -128,9 +129,9 @@
   }
 
   /**
-   * Says that a read barrier which began after the subscription has ended: a
-   * restarted process that holds this revision is as new as a majority, and
-   * may take work.
+   * Records the result of a read barrier that began after the subscription. A
+   * restarted process that holds this revision is as current as a majority and
+   * may accept work.
    *
    * @param revision the revision in force at the barrier
    */
@@ -144,13 +145,13 @@
   }
 
   /**
-   * @param view what there is
+   * @param view the member's present state
    * @param now monotonic milliseconds
-   * @returns what to send now, in order
+   * @returns the updates to send now, in order
    */
   next(view: FeedView, now: number): FeedUpdate[] {
-    // Without its lease a leader is silent towards followers: they would take
-    // its heartbeats for contact and hold on to their subscribers with it.
+    // A leader without its lease sends nothing to followers: a heartbeat would
+    // count as contact to the leader, and they would keep their subscribers.
     const isFollower = this.subscriber.role === CONTROL_ROLE;
     if (isFollower && !view.leads) return [];
     const updates = [
@@ -172,7 +173,7 @@
   }
 
   #nextConfiguration(view: FeedView): FeedUpdate[] {
-    // Another member applies the log by itself.
+    // A follower gets the configuration from the log.
     if (this.subscriber.role === CONTROL_ROLE) return [];
     const {configuration} = view;
     const {revision} = configuration;
@@ -196,7 +197,10 @@
     return content && {revision, content};
   }
 
-  /** Told before the servers: without them a router runs nothing. */
+  /**
+   * Quarantines are sent before the servers: a router without servers runs no
+   * request.
+   */
   #nextQuarantine(view: FeedView): FeedUpdate[] {
     if (this.subscriber.role !== ROUTER_ROLE) return [];
     const {crashesVersion} = view;
@@ -205,7 +209,7 @@
     return [{kind: 'quarantine', suspects: view.suspects()}];
   }
 
-  /** Followers know the members from the log. */
+  /** Followers get the members from the log. */
   #nextControlMembers({controlMembers: addresses}: FeedView): FeedUpdate[] {
     if (this.subscriber.role === CONTROL_ROLE) return [];
     const sent = this.#sentMembers;
@@ -234,7 +238,7 @@
     const last = this.#sentReadingsSequence;
     this.#sentReadingsSequence = readings.sequence;
     if (last === undefined) return toReadingsUpdates(readings.history());
-    // A follower makes sums of its own, and passes on what its routers need.
+    // A follower needs all reports, for its own totals and its routers.
     const reports = isFollower
       ? readings.since(last)
       : readings.readingsSince(last);
--- a/packages/lovagepond-control/src/subscription_hub.ts
+++ b/packages/lovagepond-control/src/subscription_hub.ts
@@ -1,5 +1,5 @@
 /**
- * All subscriptions of one member, and when they end.
+ * The subscriptions of one member.
  */
 import {type Unregister} from '@lovagepond/core';
 import {LOG_VERSION} from './control_commands.js';
@@ -12,29 +12,29 @@
   SubscriptionFeed,
 } from './subscription_feed.js';
 
-/** Where a subscriber's updates go. */
+/** Receives the updates to a subscriber. */
 export interface UpdateSink {
-  /** @returns false when the connection takes no more at the moment */
+  /** @returns false while the connection applies backpressure */
   isWritable(): boolean;
   send(update: FeedUpdate): void;
-  /** Ends the subscription; the subscriber goes on to another member. */
+  /** Ends the subscription, so that the subscriber moves to another member. */
   end(): void;
 }
 
 interface Subscription {
   readonly feed: SubscriptionFeed;
   readonly sink: UpdateSink;
-  /** It has been told of members that can serve it. */
+  /** Whether it has been redirected to other members. */
   isRedirected?: boolean;
 }
 
 /** Settings of the hub. */
 export interface HubSettings extends FeedSettings {
-  /** Out of touch this long, the member ends its subscriptions. */
+  /** A member without contact for this long ends its subscriptions. */
   readonly leaderContactLimitMs: number;
 }
 
-/** The subscriptions of one control member. */
+/** Sends updates to all subscribers, and ends subscriptions without contact. */
 export class SubscriptionHub {
   readonly #settings: HubSettings;
   readonly #subscriptions = new Set<Subscription>();
@@ -52,7 +52,7 @@
     this.#contactAt = now - settings.leaderContactLimitMs;
   }
 
-  /** The oldest version of the log's commands that a subscribed member knows. */
+  /** The oldest log version of this member and its subscribed followers. */
   get oldestLogVersion(): number {
     const members = [...this.#subscriptions].filter(
       ({feed}) => feed.subscriber.role === CONTROL_ROLE,
@@ -61,26 +61,27 @@
     return Math.min(LOG_VERSION, ...versions);
   }
 
-  /** Subscriptions open at this member. */
+  /** Number of open subscriptions. */
   get size(): number {
     return this.#subscriptions.size;
   }
 
   /**
    * @param now monotonic milliseconds
-   * @returns true while what this member knows is fresh enough to serve
+   * @returns true while this member's state is recent enough to serve
    */
   isFresh(now: number): boolean {
     return now - this.#contactAt < this.#settings.leaderContactLimitMs;
   }
 
   /**
-   * A member that has just started knows nothing yet, as all the others may
-   * that were started with it. Subscribers wait here for the first leader:
-   * sent away, they would go around all members and come too late to each.
+   * A member that has just started has no contact yet, and neither may the
+   * members that started with it. Its subscribers wait here for the first
+   * leader: if refused, they would cycle through all members and reach each
+   * too late.
    *
    * @param now monotonic milliseconds
-   * @returns true while subscribers may come or stay
+   * @returns true while subscribers are accepted and kept
    */
   acceptsSubscribers(now: number): boolean {
     const {leaderContactLimitMs} = this.#settings;
@@ -92,10 +93,10 @@
   /**
    * Adds a subscription.
    *
-   * @param subscriber who it is
-   * @param sink where its updates go
-   * @returns the feed, to confirm once a read barrier has ended, and a
-   *     function that takes the subscription out
+   * @param subscriber the subscriber
+   * @param sink receives its updates
+   * @returns the feed, to be confirmed after a read barrier, and a function
+   *     that removes the subscription
    */
   add(
     subscriber: Subscriber,
@@ -111,12 +112,13 @@
   }
 
   /**
-   * Notes when this member was in touch: as leader with a majority, as
-   * follower with the leader. A member on the far side of a silent partition
-   * would otherwise hold its subscribers at an old configuration for as long
-   * as the partition lasts; ended, they find a member that is in touch.
+   * Records this member's last contact: a leader's with a majority, a
+   * follower's with the leader. Without contact, subscriptions are ended, so
+   * that subscribers move to a member that has contact. Otherwise, subscribers
+   * of a partitioned member would keep an old configuration for as long as the
+   * partition lasts.
    *
-   * @param contactAt when it last was, monotonic milliseconds
+   * @param contactAt time of the last contact, monotonic milliseconds
    * @param now monotonic milliseconds
    */
   recordContact(contactAt: number, now: number): void {
@@ -126,9 +128,9 @@
   }
 
   /**
-   * Sends every subscriber what it lacks.
+   * Sends pending updates to every subscriber with a writable connection.
    *
-   * @param view what there is
+   * @param view the member's present state
    * @param now monotonic milliseconds
    */
   flush(view: FeedView, now: number): void {
@@ -140,12 +142,12 @@
   }
 
   /**
-   * Sends subscribers on to members that can serve them. A host without a memory
-   * is let in by the leader, and then has the log, some 0.7 s after the others
-   * when all were stopped; where all addresses of the settings are of such hosts,
-   * every gateway waited for that.
+   * Redirects subscribers, once each, to members that can serve them. After a
+   * stop of all hosts, a host without stored state must first be admitted by
+   * the leader, and gets the log some 0.7 s after the others. Gateways whose
+   * settings name only such hosts would wait for that.
    *
-   * @param members `host:port` of members that are there
+   * @param members `host:port` of the members to redirect to; may be empty
    */
   redirectSubscribers(members: readonly string[]): void {
     if (members.length === 0) return;
--- a/packages/lovagepond-control/src/update_encoder.ts
+++ b/packages/lovagepond-control/src/update_encoder.ts
@@ -1,5 +1,5 @@
 /**
- * Encodes updates to subscribers, each content once for all of them.
+ * Encodes updates to subscribers, each distinct update once for all of them.
  */
 import {
   type BackendServer,
@@ -18,7 +18,7 @@
 
 type WireUpdate = lovagepond.v1.ControlUpdate.$Properties;
 
-/** Makes the bytes of updates and keeps the latest by their content. */
+/** Encodes updates, and caches the bytes as long as the content exists. */
 export class UpdateEncoder {
   readonly #encoded = new WeakMap<object, Map<string, Buffer>>();
 
@@ -73,9 +73,9 @@
 };
 
 /**
- * @param reports what routers said
- * @param routers other routers heard of, for a router
- * @returns the message
+ * @param reports reports of routers
+ * @param routers for a router, the number of other routers
+ * @returns the protocol message
  */
 export function toWireDigest(
   reports: readonly ReadingReport[],
--- a/packages/lovagepond-control/src/update_scheduler.ts
+++ b/packages/lovagepond-control/src/update_scheduler.ts
@@ -1,19 +1,19 @@
 /**
- * When subscribers are sent what they lack: at once, or soon and all together.
+ * Schedules updates to subscribers: immediately, or batched after a delay.
  */
 
-/** Runs one function, however often it is asked for meanwhile. */
+/** Runs a function once for all requests that come before the run. */
 export class UpdateScheduler {
   readonly #run: () => void;
   #immediate: NodeJS.Immediate | undefined;
   #timer: NodeJS.Timeout | undefined;
 
-  /** @param run sends every subscriber what it lacks */
+  /** @param run sends pending updates to every subscriber */
   constructor(run: () => void) {
     this.#run = run;
   }
 
-  /** Runs once what is being handled now is done. */
+  /** Schedules a run after the events that are being handled now. */
   runSoon(): void {
     this.#immediate ??= setImmediate(() => {
       this.#immediate = undefined;
@@ -21,7 +21,11 @@
     });
   }
 
-  /** @param delayMs longest wait for others, milliseconds */
+  /**
+   * Schedules a run after a delay, unless one is scheduled already.
+   *
+   * @param delayMs delay, milliseconds
+   */
   runWithin(delayMs: number): void {
     this.#timer ??= setTimeout(() => {
       this.#timer = undefined;
@@ -29,7 +33,7 @@
     }, delayMs);
   }
 
-  /** Runs no more. */
+  /** Cancels scheduled runs. */
   stop(): void {
     clearImmediate(this.#immediate);
     clearTimeout(this.#timer);
--- a/packages/lovagepond-control/src/wire_utils.ts
+++ b/packages/lovagepond-control/src/wire_utils.ts
@@ -1,5 +1,5 @@
 /**
- * Reads protocol messages into control's own types.
+ * Converts protocol messages to control's own types.
  */
 import {type lovagepond, readMember, readServer} from '@lovagepond/protocol';
 import {type MembershipChange} from './membership_log.js';
@@ -9,7 +9,7 @@
 type WireAnnounce = lovagepond.v1.AnnounceRequest.$Properties;
 
 /**
- * @param req an announcement as it was decoded
+ * @param req the decoded announcement
  * @returns the announcement
  */
 export function readAnnouncement(req: WireAnnounce): Announcement {
@@ -21,8 +21,8 @@
 }
 
 /**
- * @param update a membership update as it was decoded
- * @returns the change
+ * @param update the decoded membership update
+ * @returns the membership change
  */
 export function readMembership(
   update: lovagepond.v1.MembershipUpdate.$Properties,
@@ -36,7 +36,7 @@
 }
 
 /**
- * @param report a router's report as it was decoded
+ * @param report the decoded report of a router
  * @returns the report
  */
 export function readReadings(
@@ -57,8 +57,8 @@
 }
 
 /**
- * @param digest a load digest as it was decoded
- * @returns the report
+ * @param digest the decoded load digest
+ * @returns the load report
  */
 export function readLoad(
   digest: lovagepond.v1.LoadDigest.$Properties,
