--- a/packages/lovagepond-control/src/__tests__/model/control_cluster.ts
+++ b/packages/lovagepond-control/src/__tests__/model/control_cluster.ts
@@ -1,5 +1,5 @@
 /**
- * Control members over real consensus nodes, in one process and virtual time.
+ * Control members with real consensus nodes, in one process and virtual time.
  */
 import {
   ConsensusNode,
@@ -22,7 +22,7 @@
   error() {},
 };
 
-/** Time of vitest's fake timers. */
+/** A clock that follows vitest's fake timers. */
 export const FAKE_CLOCK: Clock = {
   now: () => Date.now(),
   wallTime: () => Date.now(),
@@ -30,7 +30,7 @@
 
 type Listener = Parameters<ConsensusTransport['onMessage']>[0];
 
-/** A network whose members can be cut off without a sign. */
+/** A network that silently drops all messages of partitioned members. */
 class TestNetwork {
   readonly cutOff = new Set<string>();
   readonly #listeners = new Map<string, Listener>();
@@ -53,7 +53,7 @@
   }
 }
 
-/** One process of a member; a restart makes a new one. */
+/** One process of a member; each restart creates a new one. */
 interface MemberProcess {
   readonly address: string;
   readonly node: ConsensusNode;
@@ -63,7 +63,7 @@
   readonly changer: ConfigurationChanger;
 }
 
-/** Three members. */
+/** A cluster of three members. */
 export class ControlCluster {
   readonly network = new TestNetwork();
   readonly #addresses = ['a:1', 'b:1', 'c:1'];
@@ -79,7 +79,7 @@
     for (const member of this.members) await member.node.stop();
   }
 
-  /** The member that leads and isn't cut off. */
+  /** The leader, unless it is partitioned. */
   leader(): MemberProcess | undefined {
     return this.members.find(
       member =>
@@ -96,14 +96,14 @@
     throw new Error('no leader within 10 s of virtual time');
   }
 
-  /** Ends a member's process and starts it again from its disk. */
+  /** Stops a member's process and restarts it from its disk. */
   async crash(member: MemberProcess): Promise<void> {
     const index = this.members.indexOf(member);
     await member.node.stop();
     await this.#launch(index);
   }
 
-  /** Ends a member's process and starts one on an emptied disk, till it votes. */
+  /** Restarts a member with an empty disk, and waits until it votes. */
   async replaceDisk(member: MemberProcess): Promise<void> {
     const index = this.members.indexOf(member);
     const id = `${member.node.status().id}-new`;
@@ -116,7 +116,7 @@
     });
   }
 
-  /** Waits until no member is left whose address another one has by now. */
+  /** Waits until the former member of a replaced disk has been removed. */
   async untilReplaced(): Promise<void> {
     await this.#until(() => {
       const members = this.leader()?.node.status().members ?? [];
@@ -129,7 +129,7 @@
       if (holds()) return;
       await vi.advanceTimersByTimeAsync(50);
     }
-    throw new Error('not within 10 s of virtual time');
+    throw new Error('condition not met within 10 s of virtual time');
   }
 
   async #launch(index: number): Promise<void> {
@@ -159,8 +159,10 @@
 }
 
 /**
- * @param work something that virtual time must run for
- * @returns its result, or undefined when it takes longer than 5 s
+ * Advances virtual time until a promise resolves.
+ *
+ * @param work the promise
+ * @returns its result; undefined if it takes longer than about 5 s
  */
 export async function settle<Value>(
   work: Promise<Value>,
--- a/packages/lovagepond-control/src/__tests__/unit/coalesced_call.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/coalesced_call.test.ts
@@ -2,7 +2,7 @@
 import {CoalescedCall} from '../../coalesced_call.js';
 import {ReportedRevisions} from '../../reported_revisions.js';
 
-/** Questions that a test answers. */
+/** Calls whose results a test provides. */
 class PendingCalls {
   readonly open: ((answer: string) => void)[] = [];
   started = 0;
@@ -18,24 +18,24 @@
   }
 }
 
-// Seventy gateways ask a follower whether their configuration is the newest. The
-// first question is under way to a leader that may be cut off since: its answer
-// must not count for those who asked later, and one more question serves them all.
-test('asks once more for all who came meanwhile', async () => {
-  const questions = new PendingCalls();
-  const shared = new CoalescedCall(questions.call);
+// Seventy gateways ask a follower whether their configuration is the newest.
+// The first call may be answered by a leader that has been partitioned since.
+// Its result must not be used for later callers, which all share one more call.
+test('coalesces all callers during a call into the next one', async () => {
+  const calls = new PendingCalls();
+  const shared = new CoalescedCall(calls.call);
   const first = shared.get();
   const later = Array.from({length: 69}, () => shared.get());
-  expect(questions.started).toBe(1);
-  await questions.answer('old');
+  expect(calls.started).toBe(1);
+  await calls.answer('old');
   expect(await first).toBe('old');
-  expect(questions.started).toBe(2);
-  await questions.answer('new');
+  expect(calls.started).toBe(2);
+  await calls.answer('new');
   expect(new Set(await Promise.all(later))).toEqual(new Set(['new']));
-  expect(questions.started).toBe(2);
+  expect(calls.started).toBe(2);
 });
 
-test('goes on after a question that failed', async () => {
+test('starts the next call after a failed one', async () => {
   let fails = true;
   const shared = new CoalescedCall(() =>
     fails ? Promise.reject(new Error('no leader')) : Promise.resolve('yes'),
@@ -47,21 +47,21 @@
   expect(await shared.get()).toBe('yes');
 });
 
-// Operators see at the leader which revision each gateway holds. It must hear of
-// each change, of what got lost on its way and, when it is a new one, of all.
-test('tells a leader what it does not know', () => {
-  const told = new ReportedRevisions();
-  expect(told.needsReport('a', 'g1', 1, 0)).toBe(true);
-  expect(told.needsReport('a', 'g1', 1, 100)).toBe(true);
-  told.add('a', 'g1', 1, 200);
-  expect(told.needsReport('a', 'g1', 1, 500)).toBe(false);
-  expect(told.needsReport('a', 'g2', 1, 500)).toBe(true);
-  expect(told.needsReport('a', 'g1', 2, 1_000)).toBe(true);
-  told.add('a', 'g1', 2, 1_000);
-  expect(told.needsReport('b', 'g1', 2, 1_500)).toBe(true);
-  told.add('b', 'g1', 2, 1_500);
-  expect(told.needsReport('b', 'g1', 2, 50_000)).toBe(false);
-  expect(told.needsReport('b', 'g1', 2, 70_000)).toBe(true);
-  told.sweep(300_000);
-  expect(told.needsReport('b', 'g1', 2, 300_000)).toBe(true);
+// The leader shows operators which revision each gateway holds. It needs each
+// change, a retry of each lost report and, after its election, all revisions.
+test('reports revisions that the leader does not have', () => {
+  const reports = new ReportedRevisions();
+  expect(reports.needsReport('a', 'g1', 1, 0)).toBe(true);
+  expect(reports.needsReport('a', 'g1', 1, 100)).toBe(true);
+  reports.add('a', 'g1', 1, 200);
+  expect(reports.needsReport('a', 'g1', 1, 500)).toBe(false);
+  expect(reports.needsReport('a', 'g2', 1, 500)).toBe(true);
+  expect(reports.needsReport('a', 'g1', 2, 1_000)).toBe(true);
+  reports.add('a', 'g1', 2, 1_000);
+  expect(reports.needsReport('b', 'g1', 2, 1_500)).toBe(true);
+  reports.add('b', 'g1', 2, 1_500);
+  expect(reports.needsReport('b', 'g1', 2, 50_000)).toBe(false);
+  expect(reports.needsReport('b', 'g1', 2, 70_000)).toBe(true);
+  reports.sweep(300_000);
+  expect(reports.needsReport('b', 'g1', 2, 300_000)).toBe(true);
 });
--- a/packages/lovagepond-control/src/__tests__/unit/control_cluster.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/control_cluster.test.ts
@@ -21,11 +21,11 @@
   vi.useRealTimers();
 });
 
-/** A sidecar that claims, dispatches to the service, and records. */
+/** A sidecar that claims and records a call. */
 class Sidecar {
   constructor(readonly name: string) {}
 
-  /** Asks one leader after the other until it hears an answer. */
+  /** Retries at each new leader until it gets an answer. */
   async claim(attemptId: string, loseAnswer = false): Promise<string> {
     for (let lost = loseAnswer; ; lost = false) {
       const leader = await cluster.untilLeader();
@@ -70,10 +70,10 @@
   await cluster.crash(await cluster.untilLeader());
 }
 
-// A sidecar claims a call, dispatches it and records it, while the leader
-// crashes at each point of that, with the answer it was about to give. The
-// caller repeats through another sidecar after each step. The call runs once,
-// and once it is recorded every repeat hears its answer.
+// A sidecar claims, dispatches and records a call, and the leader crashes at
+// one of these steps before it answers. After each step, the caller retries
+// through another sidecar. The call must run once, and retries after the record
+// must get its answer.
 test.each([0, 1, 2, 3, 4])('a leader crash at step %i', async crashAt => {
   const runs: string[] = [];
   const [first, second] = [new Sidecar('s1'), new Sidecar('s2')];
@@ -92,11 +92,11 @@
   expect(runs).toEqual(['a1']);
 });
 
-// A host's disk is lost and it is repaired from the others; right after that a
-// second host is lost for good. The claim stands on the repaired one and on one
-// that held it from the start: were the repair counted too early, the repeat
-// would be granted.
-test('a claim outlives a second loss right after a repair', async () => {
+// A host loses its disk and is repaired from the others. Right after that, a
+// second host is lost permanently. The claim is left on the repaired host and
+// on one that had it from the start. If the repaired host voted too early, a
+// retry would be granted.
+test('a claim survives a second loss right after a repair', async () => {
   const [first, second] = [new Sidecar('s1'), new Sidecar('s2')];
   expect(await first.claim('a1')).toBe('granted');
   const leader = await cluster.untilLeader();
@@ -113,8 +113,8 @@
   change: {kind: 'put', section: 'workspaces', object: {name: 'w'}},
 };
 
-// The leader commits a change and crashes before its operator hears of it.
-// Sent again to the next leader, the change must not be a conflict with itself.
+// The leader commits a change and crashes before it answers the operator. A
+// retry at the next leader must not conflict with the change itself.
 test('a change whose answer was lost is accepted once', async () => {
   const old = await cluster.untilLeader();
   const lost = await settle(old.changer.change(CHANGE));
@@ -130,10 +130,11 @@
   });
 });
 
-// A partition cuts the leader off without a sign. It goes on to be asked: it
-// must grant nothing, confirm nothing and issue no order, while the others
-// elect a leader whose tokens are above its own. Back again, it knows better.
-test('a leader behind a silent partition does nothing', async () => {
+// A partition silently cuts off the leader, which still gets requests. It must
+// grant nothing, confirm nothing and issue no order, while the others elect a
+// leader with higher fencing tokens. After the partition, it must adopt the new
+// leader's state.
+test('a partitioned leader grants, confirms and issues nothing', async () => {
   const old = await cluster.untilLeader();
   const order: Omit<OrderRequest, 'orderId'> = {
     backendServer: 's',
--- a/packages/lovagepond-control/src/__tests__/unit/control_role.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/control_role.test.ts
@@ -18,7 +18,7 @@
 type Update = lovagepond.v1.ControlUpdate;
 
 const CLOCK = {now: () => performance.now(), wallTime: () => Date.now()};
-/** Longer than what counts as one cause. */
+/** Crashes further apart than this don't count as one cause. */
 const COMMON_CAUSE_MS = 250;
 
 const cleanups: (() => Promise<void> | void)[] = [];
@@ -27,7 +27,7 @@
   for (const cleanup of cleanups.splice(0).reverse()) await cleanup();
 });
 
-/** An address whose port was free a moment ago, as members name each other. */
+/** Returns an address with a free port: members need all addresses at start. */
 async function reserveAddress(): Promise<string> {
   const server = createServer().listen(0, '127.0.0.1');
   await once(server, 'listening');
@@ -64,7 +64,7 @@
     {
       clock: CLOCK,
       log: SILENT_LOG,
-      // Members with one seed split every vote.
+      // With the same seed, the members' elections would split every vote.
       random: new Random(members.indexOf(address) + 1),
       storage: new MemoryStorage(`m-${address}`),
     },
@@ -105,7 +105,7 @@
   });
 }
 
-/** Subscribes and resolves once an update matches. */
+/** Subscribes; `until` resolves when an update matches. */
 function subscribe(client: Client): {
   until(matches: (update: Update) => boolean): Promise<Update>;
   readonly ended: Promise<void>;
@@ -223,11 +223,11 @@
   expect((await call(client, service.claim, repeat)).outcome).toBe('unknown');
 });
 
-// Sidecars renew at the leader; a router listens at a follower. The leader's
-// process goes away: the follower goes on to serve its router, keeps every
-// backend server in the list, and a change accepted by the next leader reaches
-// the router through the stream it has open.
-test('a router at a follower outlives a change of leader', async () => {
+// Sidecars renew their leases at the leader, and a router is subscribed to a
+// follower. When the leader stops, the follower must keep the subscription and
+// all backend servers, and the open stream must deliver a change that the next
+// leader accepts.
+test('a router at a follower stays subscribed after a failover', async () => {
   const members = await startMembers(3);
   const isLeader = ({role}: Member): boolean =>
     role.administration
@@ -262,7 +262,7 @@
     {server: {name: 's', slot: 0}},
   ]);
 
-  // Without a majority the last one ends its streams within its limit.
+  // Without a majority, the last member ends its streams within the limit.
   const last = rest.find(member => member !== follower) as Member;
   await last.role.stop();
   await updates.ended;
@@ -273,9 +273,10 @@
   return role.dump().state['nodeName'] as string;
 }
 
-// Guards against crashes that each router counts by itself: they are reported at
-// different members, and a router at a third one hears of the quarantine.
-test('crashes reported at any member add up at all', async () => {
+// Guards against crash counts that are kept by each router or member alone.
+// Routers report to different members, and a router that is subscribed to any
+// one of them must get the quarantine.
+test('crashes reported to different members add up at all', async () => {
   const members = await startMembers(3);
   const request = Buffer.alloc(16, 7);
   const updates = subscribe(members[0]!.client);
@@ -287,7 +288,7 @@
       const method = CONTROL_SERVICE.reportCrashes;
       return (await call(client, method, report)).recorded;
     });
-    // Crashes at the same moment count once.
+    // Simultaneous crashes count once.
     await new Promise(resolve => setTimeout(resolve, COMMON_CAUSE_MS));
   }
   const isQuarantined = (update: Update): boolean =>
--- a/packages/lovagepond-control/src/__tests__/unit/leader_take_over.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/leader_take_over.test.ts
@@ -28,7 +28,7 @@
 };
 const CLOCK = {now: () => 0, wallTime: () => 0};
 
-/** A member whose barrier isn't answered: it has not taken over yet. */
+/** A member whose read barrier never completes, so that it can't take over. */
 function startMember(
   role: string,
   more: Partial<ConsensusStatus> = {},
@@ -47,10 +47,10 @@
   return state;
 }
 
-// A new leader is known to the followers before it has taken over. A follower
-// that is sent away then tries again only after a pause, and all gateways that
-// subscribe to it stay without a configuration for as long.
-test('a follower waits at a leader that takes over, and hears nothing yet', () => {
+// Followers subscribe to a new leader before it has taken over. If the leader
+// refused them, they would retry only after a delay, and their subscribed
+// gateways would stay without a configuration for as long.
+test('a follower subscribes during a takeover and gets no updates', () => {
   const sent: FeedUpdate[] = [];
   const sink = {
     isWritable: () => true,
@@ -68,14 +68,14 @@
 const ROUTER = {...FOLLOWER, node: 'r', role: 'router'};
 const LEADER = {id: 'l', address: 'leader:1', voter: true};
 
-// A host that remembers nothing hears its leader at once and gets the log later.
-// A gateway that waits there for the configuration is late by that time, beside
-// members that have it.
+// A host without stored state has contact with the leader at once, and gets the
+// log later. A gateway that waits there for the configuration would get it
+// later than from other members.
 test.each([
-  ['knows nobody yet', {}, ['introducer:1']],
-  ['hears its leader', {leader: LEADER}, ['leader:1']],
+  ['has no leader', {}, ['introducer:1']],
+  ['has no log', {leader: LEADER}, ['leader:1']],
   ['has a log', {leader: LEADER, commitIndex: 7}, undefined],
-])('a member that %s sends subscribers on, or serves', (_what, more, named) => {
+])('a member that %s redirects or serves', (_what, more, targets) => {
   const sent: FeedUpdate[] = [];
   const sink = {
     isWritable: () => true,
@@ -86,6 +86,6 @@
   member.subscribe(ROUTER, sink);
   member.tick(0);
   member.stop();
-  const sentOn = sent.find(update => update.kind === 'controlMembers');
-  expect(sentOn?.addresses).toEqual(named);
+  const redirect = sent.find(update => update.kind === 'controlMembers');
+  expect(redirect?.addresses).toEqual(targets);
 });
--- a/packages/lovagepond-control/src/__tests__/unit/member_message_codec.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/member_message_codec.test.ts
@@ -43,14 +43,14 @@
   },
 ];
 
-test.each(MESSAGES)('a $kind message survives the wire', message => {
+test.each(MESSAGES)('a $kind message is decoded unchanged', message => {
   const {requestSerialize, requestDeserialize} = CONSENSUS_SERVICE.deliver;
   const bytes = requestSerialize(encodeMemberMessage(message));
   const decoded = decodeMemberMessage(requestDeserialize(bytes));
   expect(decoded).toMatchObject(message);
 });
 
-test('a message that cannot be read is dropped', () => {
+test('a malformed message is rejected', () => {
   expect(decodeMemberMessage({head: new Uint8Array([123])})).toBeUndefined();
   const head = Buffer.from('{"kind":"append","entries":[{"index":1}]}');
   expect(decodeMemberMessage({head, payloads: []})).toBeUndefined();
--- a/packages/lovagepond-control/src/__tests__/unit/member_transport.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/member_transport.test.ts
@@ -7,7 +7,7 @@
 import {MemberTransport} from '../../member_transport.js';
 
 const CLOCK = {now: () => performance.now(), wallTime: () => Date.now()};
-/** A failed connection rests for longer than any test lasts. */
+/** The backoff of a failed connection is longer than any test. */
 const OPTIONS = {
   ...CLIENT_OPTIONS,
   'grpc.initial_reconnect_backoff_ms': 60_000,
@@ -62,10 +62,10 @@
   });
 }
 
-// All members were stopped. One comes up first and finds the others away; its
-// connections to them then rest before they try again. When another asks it for
-// its vote, the answer must get there, or the group has no leader for longer.
-test('answers a member that was away when it tried it first', async () => {
+// After a stop of all members, the first one to start fails to connect to the
+// others, and its connections are in backoff. When another member starts and
+// requests its vote, the reply must arrive, or the election is delayed.
+test('replies to a member that was down at the first attempt', async () => {
   const early = await startMember(await reservePort());
   const latePort = await reservePort();
   const lateAddress = `127.0.0.1:${latePort}`;
@@ -82,9 +82,9 @@
   expect(await answered).toMatchObject({attempt: 3});
 });
 
-// Each heartbeat has an answer. It comes with the acknowledgement, so that it
-// costs no call of its own; a second message to the same member makes one.
-test('answers with the acknowledgement', async () => {
+// The reply to a heartbeat is sent with the acknowledgement, which saves a
+// call. A second message to the same member needs a call of its own.
+test('returns a reply with the acknowledgement', async () => {
   const asking = await startMember(await reservePort());
   const answering = await startMember(await reservePort());
   const underWay: number[] = [];
--- a/packages/lovagepond-control/src/__tests__/unit/reading_report_log.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/reading_report_log.test.ts
@@ -9,11 +9,11 @@
   tokens: number;
 } => ({backendServer: 's', prefix, tokens: 700});
 
-describe('ReadingBoard', () => {
-  // Gateways tell their numbers of requests many times a second. A gateway that
-  // starts later has to hear which prompts are warm all the same: it would have
-  // them read anew elsewhere.
-  it('remembers readings behind any number of reports without one', () => {
+describe('ReadingReportLog', () => {
+  // Gateways report their numbers of requests many times a second. These
+  // reports must not displace the readings: a gateway that starts later would
+  // have cached prompts processed again by other servers.
+  it('keeps readings after any number of reports without readings', () => {
     const board = new ReadingReportLog();
     expect(board.isEmpty).toBe(true);
     for (let at = 0; at < 3_000; at += 1) {
@@ -32,7 +32,7 @@
     ]);
   });
 
-  it('gives a subscriber what came after its last report', () => {
+  it('returns the reports after a sequence number', () => {
     const board = new ReadingReportLog();
     for (let at = 0; at < 2_500; at += 1) {
       board.add({node: `${at}`, readings: [], running: []});
@@ -42,7 +42,7 @@
     expect(board.since(2_500)).toEqual([]);
   });
 
-  it('forgets the oldest readings', () => {
+  it('drops the oldest readings', () => {
     const board = new ReadingReportLog();
     for (let at = 0; at < 10_000; at += 1) {
       board.add({node: 'g', readings: [reading(`/${at}`)], running: []});
--- a/packages/lovagepond-control/src/__tests__/unit/running_request_totals.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/running_request_totals.test.ts
@@ -20,7 +20,7 @@
   return {node, readings: [], running};
 }
 
-/** A router as it keeps what it is told. */
+/** A router that keeps the numbers that it receives. */
 class Router {
   readonly known = new Map<string, RunningRequests>();
   readonly #feed: RunningRequestFeed;
@@ -36,8 +36,8 @@
   }
 }
 
-describe('what a router hears of the others', () => {
-  it('is what all of them have, without its own', () => {
+describe('RunningRequestFeed', () => {
+  it('sends the sum of all other routers', () => {
     const report = fc.record({
       router: fc.nat(4),
       server: fc.nat(2),
@@ -70,9 +70,9 @@
     );
   });
 
-  // A gateway is killed with requests under way and can't take back what it told.
-  // The others would avoid the servers that it had sent to.
-  it('forgets a router that ended', () => {
+  // A gateway is killed with requests in flight and can't report their end. The
+  // others would keep avoiding the servers of these requests.
+  it('expires the requests of a router that stopped', () => {
     const totals = new RunningRequestTotals();
     const router = new Router('b');
     totals.record(reportOf('a', 's', 7), 0);
@@ -84,8 +84,8 @@
     expect(totals.countOtherRouters('b')).toBe(0);
   });
 
-  // Routers forget a number after some seconds without a word.
-  it('is told again while it holds', () => {
+  // Routers discard a number after some seconds without an update.
+  it('resends an unchanged number', () => {
     const totals = new RunningRequestTotals();
     const router = new Router('b');
     totals.record(reportOf('a', 's', 7), 0);
@@ -94,7 +94,7 @@
     expect(router.take(totals, 1_100)).toHaveLength(1);
   });
 
-  it('has each failure once, and none from before it came', () => {
+  it('sends each failure once, and none from before the start', () => {
     const totals = new RunningRequestTotals();
     const failed = (now: number): void => {
       totals.record(reportOf('a', 's', 0, {ended: 2, failed: 1}), now);
@@ -105,16 +105,17 @@
     expect(router.known.get('s')?.failed ?? 0).toBe(0);
     failed(100);
     failed(150);
-    const told = router.take(totals, 200);
-    expect(told).toMatchObject([{ended: 4, failed: 2}]);
+    const sent = router.take(totals, 200);
+    expect(sent).toMatchObject([{ended: 4, failed: 2}]);
     expect(router.take(totals, 400)).toHaveLength(0);
     totals.record(reportOf('b', 's', 0, {ended: 1, failed: 1}), 500);
     expect(router.take(totals, 600)).toHaveLength(0);
   });
 
-  // Every gateway has requests at every server, and each number changes all the
-  // time. What one of them receives must not grow with the gateways.
-  it('does not grow with the routers', () => {
+  // Every gateway has requests at every server, and all numbers keep changing.
+  // The bytes that a gateway receives must not grow with the number of
+  // gateways.
+  it('sends updates whose size does not grow with the routers', () => {
     const bytesOfASecond = (routers: number): number => {
       const totals = new RunningRequestTotals();
       const feed = new RunningRequestFeed('r0');
--- a/packages/lovagepond-control/src/__tests__/unit/subscription_hub.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/subscription_hub.test.ts
@@ -39,7 +39,7 @@
     this.ended = true;
   }
 
-  /** @returns what was sent since the last call */
+  /** @returns the updates sent since the last call */
   take(): FeedUpdate[] {
     return this.sent.splice(0);
   }
@@ -72,9 +72,10 @@
   return hub;
 }
 
-// A connection takes no more while hundreds of changes are accepted. When it
-// drains, its router must get the newest configuration once, not a replay.
-test('a subscriber that fell behind gets one configuration', () => {
+// A router's connection applies backpressure while hundreds of changes are
+// accepted. When it is writable again, the router must get only the newest
+// configuration, not a replay.
+test('a lagging subscriber gets one configuration', () => {
   const hub = startHub();
   const sink = new Sink();
   const {feed} = hub.add(ROUTER, sink);
@@ -92,9 +93,9 @@
   ]);
 });
 
-// A restarted router subscribes at a member that is behind. It may install
-// what it gets, but must not take work before a revision as new as a
-// majority's: only that one is marked as confirmed.
+// A restarted router subscribes to a member that lags behind. It may install
+// the member's revision, but must accept work only with a revision as new as
+// that of a majority: only such a revision may be marked as confirmed.
 test('a revision older than the barrier is never marked confirmed', () => {
   const hub = startHub();
   const sink = new Sink();
@@ -117,10 +118,10 @@
   ]);
 });
 
-// A barrier began, then a router subscribes, then the barrier is answered: by
-// a leader that may have been cut off in between. It says nothing about what
-// was in force when the router subscribed.
-test('a barrier confirms only who subscribed before it began', async () => {
+// A router subscribes while a barrier is running. The barrier may be answered
+// by a leader that was partitioned before the subscription, so it must not
+// confirm that subscription.
+test('a barrier confirms only subscriptions that began before it', async () => {
   const answers: ((revision: number | undefined) => void)[] = [];
   const rounds = new ConfirmationRounds(
     () => new Promise(resolve => answers.push(resolve)),
@@ -144,9 +145,9 @@
   expect(late.confirmed).toBe(true);
 });
 
-// A silent partition cuts a member off. Its streams stay open and its routers
-// would never learn of a change: ended, they find a member that is in touch.
-test('a member out of touch ends its subscriptions within the limit', () => {
+// A silent partition cuts off a member while its streams to routers stay open.
+// Unless the member ends them, these routers never get another change.
+test('a member without contact ends subscriptions within the limit', () => {
   const hub = startHub();
   const sink = new Sink();
   hub.add(ROUTER, sink);
@@ -158,10 +159,10 @@
   expect(hub.isFresh(4_000)).toBe(true);
 });
 
-// A leader has lost its lease behind a partition, with one follower on its
-// side. Heartbeats would be contact to that follower: it would hold its routers
-// at an old configuration for as long as the old leader holds on.
-test('a leader without its lease is silent towards followers', () => {
+// A partitioned leader has lost its lease, with one follower on its side. That
+// follower would count heartbeats as contact, and keep its routers at an old
+// configuration for as long as the old leader runs.
+test('a leader without its lease sends nothing to followers', () => {
   const hub = startHub();
   const [follower, router] = [new Sink(), new Sink()];
   hub.add({...ROUTER, role: 'control'}, follower);
@@ -172,7 +173,7 @@
   expect(follower.take()).toMatchObject([{kind: 'load'}]);
 });
 
-test('an idle subscriber hears once a second, and of loads no oftener', () => {
+test('an idle subscriber gets one heartbeat or load per second', () => {
   const hub = startHub();
   const sink = new Sink();
   hub.add(ROUTER, sink).feed.confirm(0);
@@ -185,10 +186,10 @@
   ]);
 });
 
-// Many loads are ordered at once. The weight store is rate-limited: only as
-// many are out as its allowance, a server that is away takes no place, and no
-// later order overtakes a waiting one of its server, as it would fence it off.
-test('loads share the allowance of the weight store', () => {
+// Many model loads are ordered at once, but the weight store is rate-limited.
+// Only a limited number may be delivered, an unavailable server doesn't count,
+// and no order may overtake a waiting one of its server, which it would fence.
+test('model loads share the limit of the weight store', () => {
   const order = (n: number, server: string, action: string): OrderView =>
     ({
       orderId: `o${n}`,
@@ -217,9 +218,9 @@
   expect(deliver(waiting.slice(2))).toEqual(['o3', 'o4', 'o5', 'o6']);
 });
 
-// A router whose settings name three members must know the fourth before it has
-// lost those three: it can ask nobody afterwards.
-test('a subscriber is told of all members, and of each change', () => {
+// A router whose settings name three members must learn the fourth member's
+// address before these three are lost. Later it could ask nobody.
+test('a subscriber gets all member addresses and each change', () => {
   const hub = startHub();
   const sink = new Sink();
   hub.add(ROUTER, sink);
@@ -237,10 +238,10 @@
   ]);
 });
 
-// Operators send 1,900 rules for a change of one. A subscriber that holds the
-// revision before needs that one only; a new one, one that holds what is no
-// longer kept, and one that can't apply changes need them all.
-test('a subscriber is told what changes in what it holds', () => {
+// Operators send 1,900 rules to change one. A subscriber with the previous
+// revision gets only that change. New subscribers, those with a revision that
+// is no longer kept, and those that can't apply deltas get all rules.
+test('a subscriber gets a delta to the revision that it holds', () => {
   const hub = startHub();
   const {content} = EMPTY_CONFIGURATION;
   const view = {
@@ -260,10 +261,10 @@
   expect(baseOf(8, false)).toBeUndefined();
 });
 
-// All hosts were stopped, and all addresses that gateways know are of hosts
-// without a disk, which must first be let in. Gateways that wait there are sent
-// on to the leader as soon as it says that it is there; once.
-test('a member without a log sends its subscribers on', () => {
+// After a stop of all hosts, gateways may know only addresses of hosts without
+// a disk, which the leader must first admit. Gateways that wait there must be
+// redirected once, as soon as the leader is known.
+test('a member without a log redirects its subscribers once', () => {
   const hub = new SubscriptionHub(SETTINGS, 0);
   const sink = new Sink();
   hub.add(ROUTER, sink);
@@ -276,9 +277,9 @@
   ]);
 });
 
-// Guards against a starting router that runs a quarantined request, as it hears of
-// the servers first.
-test('a router hears of quarantines before it hears of servers', () => {
+// Guards against a starting router that runs a quarantined request because it
+// gets the servers first.
+test('a router gets quarantines before it gets servers', () => {
   const hub = startHub();
   const suspect = {request: 'ab', crashes: 3, quarantinedForMs: 1_000};
   const change = {version: 1, whole: true, members: [], gone: []};
@@ -303,8 +304,8 @@
   expect(sink.take()).toEqual([{kind: 'quarantine', suspects: []}]);
 });
 
-// Guards against a command in the log that ends members of the release before.
-test('the oldest log version is that of the oldest member that follows', () => {
+// Guards against log entries that make members of the previous release stop.
+test('the oldest log version is that of the oldest follower', () => {
   const hub = startHub();
   hub.add(ROUTER, new Sink());
   expect(hub.oldestLogVersion).toBe(LOG_VERSION);
--- a/packages/lovagepond-control/src/control_settings.ts
+++ b/packages/lovagepond-control/src/control_settings.ts
@@ -46,7 +46,7 @@
   readonly digestIntervalMs: number;
   /** Longest time between two updates sent to a subscriber. */
   readonly heartbeatIntervalMs: number;
-  /** A member without contact to the leader for this long stops serving. */
+  /** A member without contact with the leader for this long stops serving. */
   readonly leaderContactLimitMs: number;
   /** Number of revisions whose content is kept for a restore. */
   readonly historyLimit: number;
--- a/packages/lovagepond-control/src/subscription_feed.ts
+++ b/packages/lovagepond-control/src/subscription_feed.ts
@@ -38,7 +38,7 @@
   readonly controlMembers: readonly string[];
 }
 
-/** A subscriber. */
+/** A node that subscribes, and the state that it already has. */
 export interface Subscriber {
   readonly node: string;
   readonly role: string;
@@ -151,7 +151,7 @@
    */
   next(view: FeedView, now: number): FeedUpdate[] {
     // A leader without its lease sends nothing to followers: a heartbeat would
-    // count as contact to the leader, and they would keep their subscribers.
+    // count as contact with the leader, and they would keep their subscribers.
     const isFollower = this.subscriber.role === CONTROL_ROLE;
     if (isFollower && !view.leads) return [];
     const updates = [
