--- a/packages/lovagepond-control/src/control_settings.ts
+++ b/packages/lovagepond-control/src/control_settings.ts
@@ -40,11 +40,11 @@
    * subscriptions and forwards calls, and never votes.
    */
   readonly observer: boolean;
-  /** Lease of a backend server, which is removed when it doesn't renew. */
+  /** A backend server that doesn't renew its lease for this long is removed. */
   readonly leaseMs: number;
   /** Time between two load digests sent to a subscriber. */
   readonly digestIntervalMs: number;
-  /** Longest time between two updates sent to a subscriber. */
+  /** Maximum time between two updates; heartbeats are sent while idle. */
   readonly heartbeatIntervalMs: number;
   /** A member without contact with the leader for this long stops serving. */
   readonly leaderContactLimitMs: number;
--- a/packages/lovagepond-control/src/leader_client.ts
+++ b/packages/lovagepond-control/src/leader_client.ts
@@ -55,8 +55,8 @@
   readonly role: string;
   readonly revision: number;
   /**
-   * The sender is blocked until it gets the answer, which otherwise may come
-   * with the leader's next heartbeat.
+   * Whether the sender is blocked until it gets the answer. Otherwise, the
+   * leader may confirm the revision with its next heartbeat.
    */
   readonly atOnce: boolean;
 }
--- a/packages/lovagepond-control/src/member_transport.ts
+++ b/packages/lovagepond-control/src/member_transport.ts
@@ -182,10 +182,9 @@
   }
 
   /**
-   * Drops the connection to a member that is up, as it just sent a message, if
-   * the connection is still failing. Otherwise, replies would be lost until the
-   * connection's backoff ends, which delays the election after a stop of all
-   * members.
+   * Drops the connection to a member that just sent a message, and so is up,
+   * if that connection is failing. Replies would otherwise be lost until the
+   * end of its backoff, which delays the election after a stop of all members.
    */
   #dropIfStuck(address: string): void {
     const peer = this.#peers.get(address);
--- a/packages/lovagepond-control/src/running_request_totals.ts
+++ b/packages/lovagepond-control/src/running_request_totals.ts
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Subtracts the requests of routers that have stopped reporting, as they may
-   * have stopped altogether, and removes servers without reports.
+   * Subtracts requests without a recent report, as their router may have
+   * stopped, and removes servers without reports.
    *
    * @param now monotonic milliseconds
    */
