--- a/packages/lovagepond-control/src/__tests__/unit/context_inventory.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/context_inventory.test.ts
@@ -1,6 +1,6 @@
 import {expect, test} from 'vitest';
 import {collectHeldContexts} from '../../context_inventory.js';
-import {ReadingBoard} from '../../reading_board.js';
+import {ReadingReportLog} from '../../reading_report_log.js';
 
 const SERVERS = ['x', 'y', 'z'].map(name => ({name, address: `${name}:1`}));
 
@@ -8,7 +8,7 @@
 // engine refuses the query and another one answers last; each answer must be
 // posted as soon as it arrives.
 test('posts the contexts of each engine as it answers', async () => {
-  const board = new ReadingBoard();
+  const board = new ReadingReportLog();
   const warnings: unknown[] = [];
   const log = {
     debug: () => undefined,
@@ -20,7 +20,7 @@
   const inventory = collectHeldContexts(SERVERS, {
     log,
     onReport: report => {
-      board.post(report);
+      board.add(report);
     },
     readHeldContexts: address => {
       if (address === 'x:1') return Promise.resolve(['a', 'b']);
--- a/packages/lovagepond-control/src/__tests__/unit/subscription_hub.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/subscription_hub.test.ts
@@ -5,8 +5,8 @@
 import {OrderDelivery} from '../../order_delivery.js';
 import {type FeedUpdate, type FeedView} from '../../subscription_feed.js';
 import {LOG_VERSION} from '../../control_commands.js';
-import {ReadingBoard} from '../../reading_board.js';
-import {RunningTotals} from '../../running_totals.js';
+import {ReadingReportLog} from '../../reading_report_log.js';
+import {RunningRequestTotals} from '../../running_request_totals.js';
 import {SubscriptionHub, type UpdateSink} from '../../subscription_hub.js';
 
 const SETTINGS = {
@@ -39,7 +39,7 @@
     this.ended = true;
   }
 
-  /** @returns what was sent since the last call */
+  /** @returns the updates sent since the last call */
   take(): FeedUpdate[] {
     return this.sent.splice(0);
   }
@@ -56,8 +56,8 @@
     configuration,
     contentOf: () => undefined,
     membershipVersion: 0,
-    readings: new ReadingBoard(),
-    running: new RunningTotals(),
+    readings: new ReadingReportLog(),
+    running: new RunningRequestTotals(),
     crashesVersion: 0,
     suspects: () => [],
     controlMembers: [],
@@ -68,59 +68,60 @@
 
 function startHub(): SubscriptionHub {
   const hub = new SubscriptionHub(SETTINGS, 0);
-  hub.noteContact(0, 0);
+  hub.recordContact(0, 0);
   return hub;
 }
 
-// A connection takes no more while hundreds of changes are accepted. When it
-// drains, its router must get the newest configuration once, not a replay.
-test('a subscriber that fell behind gets one configuration', () => {
+// A router's connection applies backpressure while hundreds of changes are
+// accepted. When it is writable again, the router must get only the newest
+// configuration, not a replay.
+test('a lagging subscriber gets one configuration', () => {
   const hub = startHub();
   const sink = new Sink();
   const {feed} = hub.add(ROUTER, sink);
   feed.confirm(0);
-  hub.pump(viewOf(1), 0);
+  hub.flush(viewOf(1), 0);
   sink.take();
   sink.writable = false;
   for (let revision = 2; revision < 500; revision += 1) {
-    hub.pump(viewOf(revision), revision);
+    hub.flush(viewOf(revision), revision);
   }
   sink.writable = true;
-  hub.pump(viewOf(500), 500);
+  hub.flush(viewOf(500), 500);
   expect(sink.take()).toMatchObject([
     {kind: 'configuration', configuration: {revision: 500}, confirmed: true},
   ]);
 });
 
-// A restarted router subscribes at a member that is behind. It may install
-// what it gets, but must not take work before a revision as new as a
-// majority's: only that one is marked as confirmed.
+// A restarted router subscribes to a member that lags behind. It may install
+// the member's revision, but must accept work only with a revision as new as
+// that of a majority: only such a revision may be marked as confirmed.
 test('a revision older than the barrier is never marked confirmed', () => {
   const hub = startHub();
   const sink = new Sink();
   const {feed} = hub.add(ROUTER, sink);
-  hub.pump(viewOf(6), 0);
+  hub.flush(viewOf(6), 0);
   feed.confirm(7);
-  hub.pump(viewOf(6), 100);
+  hub.flush(viewOf(6), 100);
   expect(sink.take()).toMatchObject([
     {kind: 'configuration', confirmed: false},
   ]);
-  hub.pump(viewOf(7), 200);
+  hub.flush(viewOf(7), 200);
   expect(sink.take()).toMatchObject([
     {configuration: {revision: 7}, withContent: true, confirmed: true},
   ]);
   const held = new Sink();
   hub.add({...ROUTER, revision: 7}, held).feed.confirm(7);
-  hub.pump(viewOf(7), 300);
+  hub.flush(viewOf(7), 300);
   expect(held.take()).toMatchObject([
     {kind: 'configuration', withContent: false, confirmed: true},
   ]);
 });
 
-// A barrier began, then a router subscribes, then the barrier is answered: by
-// a leader that may have been cut off in between. It says nothing about what
-// was in force when the router subscribed.
-test('a barrier confirms only who subscribed before it began', async () => {
+// A router subscribes while a barrier is running. The barrier may be answered
+// by a leader that was partitioned before the subscription, so it must not
+// confirm that subscription.
+test('a barrier confirms only subscriptions that began before it', async () => {
   const answers: ((revision: number | undefined) => void)[] = [];
   const rounds = new ConfirmationRounds(
     () => new Promise(resolve => answers.push(resolve)),
@@ -144,51 +145,51 @@
   expect(late.confirmed).toBe(true);
 });
 
-// A silent partition cuts a member off. Its streams stay open and its routers
-// would never learn of a change: ended, they find a member that is in touch.
-test('a member out of touch ends its subscriptions within the limit', () => {
+// A silent partition cuts off a member while its streams to routers stay open.
+// Unless the member ends them, these routers never get another change.
+test('a member without contact ends subscriptions within the limit', () => {
   const hub = startHub();
   const sink = new Sink();
   hub.add(ROUTER, sink);
-  hub.noteContact(0, 2_999);
+  hub.recordContact(0, 2_999);
   expect([sink.ended, hub.isFresh(2_999)]).toEqual([false, true]);
-  hub.noteContact(0, 3_000);
+  hub.recordContact(0, 3_000);
   expect([sink.ended, hub.isFresh(3_000), hub.size]).toEqual([true, false, 0]);
-  hub.noteContact(4_000, 4_000);
+  hub.recordContact(4_000, 4_000);
   expect(hub.isFresh(4_000)).toBe(true);
 });
 
-// A leader has lost its lease behind a partition, with one follower on its
-// side. Heartbeats would be contact to that follower: it would hold its routers
-// at an old configuration for as long as the old leader holds on.
-test('a leader without its lease is silent towards followers', () => {
+// A partitioned leader has lost its lease, with one follower on its side. That
+// follower would count heartbeats as contact, and keep its routers at an old
+// configuration for as long as the old leader runs.
+test('a leader without its lease sends nothing to followers', () => {
   const hub = startHub();
   const [follower, router] = [new Sink(), new Sink()];
   hub.add({...ROUTER, role: 'control'}, follower);
   hub.add(ROUTER, router);
-  hub.pump({...viewOf(0, 3), leads: false}, 2_000);
+  hub.flush({...viewOf(0, 3), leads: false}, 2_000);
   expect([follower.sent.length, router.sent.length]).toEqual([0, 1]);
-  hub.pump(viewOf(0, 3), 2_100);
+  hub.flush(viewOf(0, 3), 2_100);
   expect(follower.take()).toMatchObject([{kind: 'load'}]);
 });
 
-test('an idle subscriber hears once a second, and of loads no oftener', () => {
+test('an idle subscriber gets one heartbeat or load per second', () => {
   const hub = startHub();
   const sink = new Sink();
   hub.add(ROUTER, sink).feed.confirm(0);
-  for (let now = 0; now < 5_000; now += 100) hub.pump(viewOf(0), now);
+  for (let now = 0; now < 5_000; now += 100) hub.flush(viewOf(0), now);
   const kinds = sink.take().map(update => update.kind);
   expect(kinds).toEqual(['configuration', ...Array(4).fill('heartbeat')]);
-  for (let now = 5_000; now < 8_000; now += 100) hub.pump(viewOf(0, 3), now);
+  for (let now = 5_000; now < 8_000; now += 100) hub.flush(viewOf(0, 3), now);
   expect(sink.take().map(update => update.kind)).toEqual([
     ...['load', 'load', 'load'],
   ]);
 });
 
-// Many loads are ordered at once. The weight store is rate-limited: only as
-// many are out as its allowance, a server that is away takes no place, and no
-// later order overtakes a waiting one of its server, as it would fence it off.
-test('loads share the allowance of the weight store', () => {
+// Many model loads are ordered at once, but the weight store is rate-limited.
+// Only a limited number may be delivered, an unavailable server doesn't count,
+// and no order may overtake a waiting one of its server, which it would fence.
+test('model loads share the limit of the weight store', () => {
   const order = (n: number, server: string, action: string): OrderView =>
     ({
       orderId: `o${n}`,
@@ -217,30 +218,30 @@
   expect(deliver(waiting.slice(2))).toEqual(['o3', 'o4', 'o5', 'o6']);
 });
 
-// A router whose settings name three members must know the fourth before it has
-// lost those three: it can ask nobody afterwards.
-test('a subscriber is told of all members, and of each change', () => {
+// A router whose settings name three members must learn the fourth member's
+// address before these three are lost. Later it could ask nobody.
+test('a subscriber gets all member addresses and each change', () => {
   const hub = startHub();
   const sink = new Sink();
   hub.add(ROUTER, sink);
-  hub.pump({...viewOf(1), controlMembers: ['a', 'b']}, 0);
+  hub.flush({...viewOf(1), controlMembers: ['a', 'b']}, 0);
   expect(sink.take()).toContainEqual({
     kind: 'controlMembers',
     addresses: ['a', 'b'],
     goOn: false,
   });
-  hub.pump({...viewOf(1), controlMembers: ['a', 'b']}, 1);
+  hub.flush({...viewOf(1), controlMembers: ['a', 'b']}, 1);
   expect(sink.take()).toEqual([]);
-  hub.pump({...viewOf(1), controlMembers: ['b', 'c']}, 2);
+  hub.flush({...viewOf(1), controlMembers: ['b', 'c']}, 2);
   expect(sink.take()).toEqual([
     {kind: 'controlMembers', addresses: ['b', 'c'], goOn: false},
   ]);
 });
 
-// Operators send 1,900 rules for a change of one. A subscriber that holds the
-// revision before needs that one only; a new one, one that holds what is no
-// longer kept, and one that can't apply changes need them all.
-test('a subscriber is told what changes in what it holds', () => {
+// Operators send 1,900 rules to change one. A subscriber with the previous
+// revision gets only that change. New subscribers, those with a revision that
+// is no longer kept, and those that can't apply deltas get all rules.
+test('a subscriber gets a delta to the revision that it holds', () => {
   const hub = startHub();
   const {content} = EMPTY_CONFIGURATION;
   const view = {
@@ -250,7 +251,7 @@
   const baseOf = (revision: number, takesDeltas: boolean): unknown => {
     const sink = new Sink();
     hub.add({...ROUTER, revision, takesDeltas}, sink);
-    hub.pump(view, 0);
+    hub.flush(view, 0);
     const [update] = sink.take();
     return update?.kind === 'configuration' && update.base?.revision;
   };
@@ -260,25 +261,25 @@
   expect(baseOf(8, false)).toBeUndefined();
 });
 
-// All hosts were stopped, and all addresses that gateways know are of hosts
-// without a disk, which must first be let in. Gateways that wait there are sent
-// on to the leader as soon as it says that it is there; once.
-test('a member without a log sends its subscribers on', () => {
+// After a stop of all hosts, gateways may know only addresses of hosts without
+// a disk, which the leader must first admit. Gateways that wait there must be
+// redirected once, as soon as the leader is known.
+test('a member without a log redirects its subscribers once', () => {
   const hub = new SubscriptionHub(SETTINGS, 0);
   const sink = new Sink();
   hub.add(ROUTER, sink);
-  hub.sendOn([]);
+  hub.redirectSubscribers([]);
   expect(sink.take()).toEqual([]);
-  hub.sendOn(['leader']);
-  hub.sendOn(['leader']);
+  hub.redirectSubscribers(['leader']);
+  hub.redirectSubscribers(['leader']);
   expect(sink.take()).toEqual([
     {kind: 'controlMembers', addresses: ['leader'], goOn: true},
   ]);
 });
 
-// Guards against a starting router that runs a quarantined request, as it hears of
-// the servers first.
-test('a router hears of quarantines before it hears of servers', () => {
+// Guards against a starting router that runs a quarantined request because it
+// gets the servers first.
+test('a router gets quarantines before it gets servers', () => {
   const hub = startHub();
   const suspect = {request: 'ab', crashes: 3, quarantinedForMs: 1_000};
   const change = {version: 1, whole: true, members: [], gone: []};
@@ -292,19 +293,19 @@
   });
   const sink = new Sink();
   hub.add(ROUTER, sink);
-  hub.pump(view(1), 0);
+  hub.flush(view(1), 0);
   const kinds = sink.take().map(({kind}) => kind);
   expect(kinds[0]).toBe('quarantine');
   expect(kinds).toContain('membership');
-  hub.pump(view(1), 1);
+  hub.flush(view(1), 1);
   expect(sink.take()).toEqual([]);
   suspects = [];
-  hub.pump(view(2), 2);
+  hub.flush(view(2), 2);
   expect(sink.take()).toEqual([{kind: 'quarantine', suspects: []}]);
 });
 
-// Guards against a command in the log that ends members of the release before.
-test('the oldest log version is that of the oldest member that follows', () => {
+// Guards against log entries that make members of the previous release stop.
+test('the oldest log version is that of the oldest follower', () => {
   const hub = startHub();
   hub.add(ROUTER, new Sink());
   expect(hub.oldestLogVersion).toBe(LOG_VERSION);
--- a/packages/lovagepond-control/src/configuration_documents.ts
+++ b/packages/lovagepond-control/src/configuration_documents.ts
@@ -7,7 +7,7 @@
  * arrival doesn't matter.
  */
 import {checkConfiguration, type ConfigurationFault} from '@lovagepond/core';
-import {type NotDone} from './control_administration.js';
+import {type RetryableFailure} from './control_administration.js';
 import {INSTALL_COMMAND, type InstallPayload} from './control_commands.js';
 import {type ConfigurationDocument} from './configuration_state.js';
 import {type ControlStateMachine} from './control_state_machine.js';
@@ -18,7 +18,7 @@
   /** Committed; `version` is in force, and may be higher than the submitted. */
   | {readonly kind: 'accepted'; readonly version: number}
   | {readonly kind: 'invalid'; readonly faults: readonly ConfigurationFault[]}
-  | NotDone;
+  | RetryableFailure;
 
 /** Answer to a read. */
 export type DocumentAnswer =
@@ -26,7 +26,7 @@
       readonly kind: 'found';
       readonly document: ConfigurationDocument | undefined;
     }
-  | Extract<NotDone, {kind: 'notLeader'}>;
+  | Extract<RetryableFailure, {kind: 'notLeader'}>;
 
 /** A versioned configuration, translated but not validated yet. */
 export interface UncheckedDocument extends ConfigurationDocument {
--- a/packages/lovagepond-control/src/context_inventory.ts
+++ b/packages/lovagepond-control/src/context_inventory.ts
@@ -7,7 +7,7 @@
  * tokens.
  */
 import {type Logger} from '@lovagepond/core';
-import {type ReadingReport} from './reading_board.js';
+import {type ReadingReport} from './reading_report_log.js';
 
 /**
  * Reads the parts of prompts that a backend server holds.
--- a/packages/lovagepond-control/src/control_leadership.ts
+++ b/packages/lovagepond-control/src/control_leadership.ts
@@ -1,6 +1,6 @@
 /**
- * What one control member does while it leads: takes the registry over from the
- * log, sets the limits, and drops servers that fell silent.
+ * The work of one control member while it leads: it rebuilds the registry from
+ * the replicated log, sets the limits, and removes servers whose leases expire.
  */
 import {type ConsensusNode, MEMBER_ROLE} from '@lovagepond/consensus';
 import {type Clock, type Logger} from '@lovagepond/core';
@@ -15,16 +15,19 @@
 import {type MembershipRegistry} from './membership_registry.js';
 import {type OrderDelivery} from './order_delivery.js';
 import {type Proposer} from './proposer.js';
-import {type ReadingBoard, type ReadingReport} from './reading_board.js';
+import {
+  type ReadingReportLog,
+  type ReadingReport,
+} from './reading_report_log.js';
 
 /**
- * Time that gateways have to subscribe and to be confirmed before engines are asked
- * what they hold, milliseconds.
+ * Delay of the context inventory, milliseconds. It gives gateways time to
+ * subscribe and to be confirmed first.
  */
 const INVENTORY_DELAY_MS = 150;
 
-/** What leading is done with. */
-export interface LeadershipParts {
+/** Dependencies of {@link ControlLeadership}. */
+export interface LeadershipDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly settings: ControlSettings;
@@ -34,22 +37,22 @@
   readonly registry: MembershipRegistry;
   readonly directServers: DirectServers;
   readonly delivery: OrderDelivery;
-  readonly readings: ReadingBoard;
+  readonly readings: ReadingReportLog;
   readonly readHeldContexts?: HeldContextsReader;
-  /** Called once the registry has been taken over. */
+  /** Called when this member has taken over the registry. */
   readonly onTakenOver: () => void;
+  /** Called with each engine's part of the context inventory. */
   readonly onReport: (report: ReadingReport) => void;
 }
 
-/** One member's leading, term by term. */
+/** Runs the leader's work, in each term in which this member leads. */
 export class ControlLeadership {
-  readonly #parts: LeadershipParts;
+  readonly #deps: LeadershipDependencies;
   #term: number | undefined;
   #takingOver = false;
 
-  /** @param parts what leading is done with */
-  constructor(parts: LeadershipParts) {
-    this.#parts = parts;
+  constructor(deps: LeadershipDependencies) {
+    this.#deps = deps;
   }
 
   /** The term in which the registry was taken over; undefined before that. */
@@ -57,7 +60,12 @@
     return this.#term;
   }
 
-  /** Begins to lead once all that former leaders committed is applied. */
+  /**
+   * Takes over leadership once this member has applied all entries that former
+   * leaders committed.
+   *
+   * @param term the term in which this member was elected
+   */
   async takeOver(term: number): Promise<void> {
     if (this.#takingOver) return;
     this.#takingOver = true;
@@ -68,55 +76,61 @@
     }
   }
 
-  /** Another member leads, or none. */
+  /** Ends the leader's work: another member leads, or none. */
   end(): void {
     this.#term = undefined;
   }
 
   /**
-   * Drops servers that fell silent, and looks after orders.
+   * Removes servers whose leases have expired, and refreshes order delivery.
    *
    * @param now monotonic milliseconds
    */
   async tick(now: number): Promise<void> {
-    const {registry, directServers, delivery, machine} = this.#parts;
+    const {registry, directServers, delivery, machine} = this.#deps;
     const dropping = directServers.tick(registry.tick(now), now);
     delivery.refresh(machine.orders.waiting(), server => registry.has(server));
     await dropping;
   }
 
   async #takeOverOnce(term: number): Promise<void> {
-    const {proposer, node, directServers, registry, clock} = this.#parts;
+    const {proposer, node, directServers, registry, clock} = this.#deps;
     if (!(await proposer.confirm())) return;
     if (!(await this.#setLimits())) return;
     const {role, term: current} = node.status();
     if (role !== MEMBER_ROLE.LEADER || current !== term) return;
     registry.takeOver(term, clock.now(), directServers.replicatedServers());
     this.#term = term;
-    this.#parts.log.info('control leads', {term});
-    this.#parts.onTakenOver();
-    if (this.#parts.readings.isEmpty) this.#askForContextsLater(term);
+    this.#deps.log.info('control leads', {term});
+    this.#deps.onTakenOver();
+    if (this.#deps.readings.isEmpty) this.#scheduleInventory(term);
   }
 
-  /** What engines hold saves reading; gateways must first be able to serve. */
-  #askForContextsLater(term: number): void {
+  /**
+   * Schedules the context inventory, which saves engines from processing
+   * prompts again. The delay lets gateways serve requests first.
+   */
+  #scheduleInventory(term: number): void {
     setTimeout(() => {
-      if (this.#term === term) this.#askForContexts();
+      if (this.#term === term) this.#takeInventory();
     }, INVENTORY_DELAY_MS).unref();
   }
 
-  /** The leader's settings are in force at all members. */
+  /** Replicates the leader's limits, so that all members use the same. */
   async #setLimits(): Promise<boolean> {
-    const {machine, proposer, settings} = this.#parts;
-    const wanted = pickLimits(settings);
-    if (JSON.stringify(wanted) === JSON.stringify(machine.limits)) return true;
-    const answer = await proposer.propose(LIMITS_COMMAND, wanted);
+    const {machine, proposer, settings} = this.#deps;
+    const limits = pickLimits(settings);
+    if (JSON.stringify(limits) === JSON.stringify(machine.limits)) return true;
+    const answer = await proposer.propose(LIMITS_COMMAND, limits);
     return answer.kind === 'committed';
   }
 
-  /** Routers learn what engines hold from nobody else after a full stop. */
-  #askForContexts(): void {
-    const {readHeldContexts, machine, log, onReport} = this.#parts;
+  /**
+   * Asks engines which contexts they hold: after a stop of all processes, no
+   * router or member has this information.
+   */
+  #takeInventory(): void {
+    const {readHeldContexts, machine, log, onReport} = this.#deps;
     if (!readHeldContexts) return;
     const {content} = machine.configuration.current.read();
     const engines = content.pools.filter(({kind}) => kind === 'engine');
@@ -126,7 +140,7 @@
       servers.filter(({pool}) => pools.has(pool)),
       {readHeldContexts, log, onReport},
     ).catch((err: unknown) => {
-      log.warn('contexts not asked for', {message: String(err)});
+      log.warn('context inventory failed', {message: String(err)});
     });
   }
 }
--- a/packages/lovagepond-control/src/control_role.ts
+++ b/packages/lovagepond-control/src/control_role.ts
@@ -1,6 +1,6 @@
 /**
- * The control role: one member with its gRPC server, its timers and its part
- * in consensus.
+ * The control role: one member with its gRPC server, its timer and its
+ * consensus node.
  */
 import {randomUUID} from 'node:crypto';
 import {type Server} from '@grpc/grpc-js';
@@ -34,15 +34,15 @@
 import {MemberTransport} from './member_transport.js';
 import {ControlStateMachine} from './control_state_machine.js';
 
-/** How often leadership, leases and subscriptions are looked at. */
+/** Interval at which leadership, leases and subscriptions are checked. */
 const TICK_MS = 100;
 
-/** What the role is given. */
-export interface ControlParts {
+/** Dependencies of {@link ControlRole}. */
+export interface ControlDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly random: Random;
-  /** By default files under the settings' data folder. */
+  /** Storage of the log; by default files in the settings' data folder. */
   readonly storage?: ConsensusStorage;
   /**
    * Makes the transport between members; by default over gRPC.
@@ -53,19 +53,19 @@
   readonly timings?: ConsensusTimings;
   /** See `ConsensusParts.processStartedAt`. */
   readonly processStartedAt?: number;
-  /** Asks engines what they hold; by default they aren't asked. */
+  /** Reads the contexts that an engine holds; by default they aren't read. */
   readonly readHeldContexts?: HeldContextsReader;
 }
 
 /** One control member. */
 export class ControlRole implements Role {
   readonly administration: ControlAdministration;
-  /** Whole configurations that the operators' own system numbers. */
+  /** Whole configurations with version numbers of the operators' own system. */
   readonly documents: ConfigurationDocuments;
   /** Announcements of backend servers that have no sidecar. */
   readonly directServers: DirectServers;
   readonly #settings: ControlSettings;
-  readonly #parts: ControlParts;
+  readonly #deps: ControlDependencies;
   readonly #server: ControlServer;
   readonly #node: ConsensusNode;
   readonly #state: ControlMemberState;
@@ -74,10 +74,10 @@
   #draining = false;
   #port = 0;
 
-  constructor(settings: ControlSettings, parts: ControlParts) {
+  constructor(settings: ControlSettings, deps: ControlDependencies) {
     this.#settings = settings;
-    this.#parts = parts;
-    const {clock, log, random, processStartedAt} = parts;
+    this.#deps = deps;
+    const {clock, log, random, processStartedAt} = deps;
     const machine = new ControlStateMachine(CONTROL_DEFAULTS, () =>
       clock.now(),
     );
@@ -98,11 +98,12 @@
       log,
     );
     const {server} = this.#server;
-    const transport = parts.makeTransport?.(server) ?? this.#connect(server);
-    this.#node = new ConsensusNode(toConsensusSettings(settings, parts), {
+    const transport =
+      deps.makeTransport?.(server) ?? this.#makeMemberTransport(server);
+    this.#node = new ConsensusNode(toConsensusSettings(settings, deps), {
       stateMachine: machine,
-      storage: parts.storage ?? openStorage(settings),
-      ...(!parts.storage && {
+      storage: deps.storage ?? openStorage(settings),
+      ...(!deps.storage && {
         reopenStorage: () => openStorage(settings, true),
       }),
       transport,
@@ -111,7 +112,7 @@
       log,
       ...(processStartedAt !== undefined && {processStartedAt}),
     });
-    const {readHeldContexts} = parts;
+    const {readHeldContexts} = deps;
     this.#state = new ControlMemberState(settings, {
       clock,
       log,
@@ -124,7 +125,7 @@
     this.directServers = this.#state.directServers;
   }
 
-  /** Port of the gRPC server, once started. */
+  /** Port of the gRPC server; 0 before the start. */
   get port(): number {
     return this.#port;
   }
@@ -134,15 +135,18 @@
     this.#port = await this.#server.listen(host, port);
     await this.#node.start();
     this.#timer = setInterval(() => {
-      this.#state.tick(this.#parts.clock.now());
+      this.#state.tick(this.#deps.clock.now());
     }, TICK_MS);
   }
 
   isReady(): boolean {
-    return !this.#draining && this.#state.isFresh(this.#parts.clock.now());
+    return !this.#draining && this.#state.isFresh(this.#deps.clock.now());
   }
 
-  /** Subscribers go on to other members; requests under way end by themselves. */
+  /**
+   * Ends all subscriptions, so that subscribers move to other members. Requests
+   * in flight complete on their own.
+   */
   drain(_limitMs: number): Promise<void> {
     this.#draining = true;
     this.#state.endSubscriptions();
@@ -161,29 +165,32 @@
     return this.#state.dump();
   }
 
-  #connect(server: Server): ConsensusTransport {
-    this.#transport = new MemberTransport(server, this.#parts.clock);
+  #makeMemberTransport(server: Server): ConsensusTransport {
+    this.#transport = new MemberTransport(server, this.#deps.clock);
     return this.#transport;
   }
 }
 
-/** An observer's identity ends with its process, as its log does. */
+/**
+ * An observer keeps its log in memory, so that each process gets a new member
+ * id.
+ */
 function openStorage(
   {observer, dataFolder}: ControlSettings,
-  again = false,
+  isReopening = false,
 ): ConsensusStorage {
   if (observer) return new MemoryStorage(randomUUID());
-  return new FileStorage(dataFolder, again);
+  return new FileStorage(dataFolder, isReopening);
 }
 
 function toConsensusSettings(
   settings: ControlSettings,
-  parts: ControlParts,
+  deps: ControlDependencies,
 ): ConsensusSettings {
   return {
     address: settings.address,
     peers: [...settings.members],
-    timings: parts.timings ?? CONTROL_TIMINGS,
+    timings: deps.timings ?? CONTROL_TIMINGS,
     mayForm: settings.mayFormGroup,
     openMembership: settings.openMembership,
     observer: settings.observer,
--- a/packages/lovagepond-control/src/direct_servers.ts
+++ b/packages/lovagepond-control/src/direct_servers.ts
@@ -19,7 +19,7 @@
   type Announcement,
   type MembershipRegistry,
 } from './membership_registry.js';
-import {type Proposed, type Proposer} from './proposer.js';
+import {type ProposalResult, type Proposer} from './proposer.js';
 
 /** An announcement by a backend server. */
 export interface DirectAnnouncement {
@@ -177,11 +177,13 @@
   }
 
   /** Proposes changes to the table; most announcements need none. */
-  async #commit(announcement: DirectAnnouncement): Promise<Proposed<unknown>> {
+  async #commit(
+    announcement: DirectAnnouncement,
+  ): Promise<ProposalResult<unknown>> {
     const {machine, proposer} = this.#deps;
     const name = instanceName(announcement);
     const table = machine.directServers;
-    let outcome: Proposed<unknown> = {kind: 'committed', value: {}};
+    let outcome: ProposalResult<unknown> = {kind: 'committed', value: {}};
     if (!table.get(name)) {
       const server = toJoiningServer(announcement);
       outcome = await proposer.propose(JOIN_SERVER_COMMAND, {server});
--- a/packages/lovagepond-control/src/leader_relay.ts
+++ b/packages/lovagepond-control/src/leader_client.ts
@@ -1,6 +1,6 @@
 /**
- * A follower's link to the leader: mirrors the membership and the load, asks
- * for the confirmed revision and passes on convergence reports.
+ * A follower's client of the leader. It mirrors the membership and the load,
+ * requests the confirmed revision, and forwards reports.
  */
 import {
   Client,
@@ -16,73 +16,77 @@
 import {type MembershipLog} from './membership_log.js';
 import {type LoadReport} from './membership_registry.js';
 import {CONTROL_ROLE} from './subscription_feed.js';
-import {type ReadingReport} from './reading_board.js';
+import {type ReadingReport} from './reading_report_log.js';
 import {readLoad, readMembership, readReadings} from './wire_utils.js';
 
 const {v1} = lovagepond;
 
 type WireUpdate = lovagepond.v1.ControlUpdate.$Properties;
 
+/** Time before a stream that ended is reopened, milliseconds. */
 const REOPEN_AFTER_MS = 200;
 
-/** Settings of {@link LeaderRelay}. */
-export interface RelaySettings {
+/** Settings of {@link LeaderClient}. */
+export interface LeaderClientSettings {
   readonly nodeName: string;
   readonly region: string;
-  /** A stream silent for this long is opened anew. */
+  /** A stream without updates for this long is reopened. */
   readonly silentAfterMs: number;
-  /** An older load report isn't passed on. */
+  /** Age beyond which a load report isn't used. */
   readonly loadValidMs: number;
-  /** Longest wait for an answer of the leader. */
+  /** Timeout of calls to the leader. */
   readonly callTimeoutMs: number;
 }
 
-/** What a relay is built from. */
-export interface RelayParts {
+/** Dependencies of {@link LeaderClient}. */
+export interface LeaderClientDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly membership: MembershipLog;
   /** Called when the mirrored membership has changed. */
   readonly onMembership: () => void;
-  /** Called with what the leader passes on of routers' readings. */
+  /** Called with each router's report that the leader publishes. */
   readonly onReadings: (report: ReadingReport) => void;
 }
 
-/** What a node says of the revision it holds. */
+/** A node's report of the configuration revision that it holds. */
 export interface RevisionReport {
   readonly node: string;
   readonly role: string;
   readonly revision: number;
-  /** Its sender decides nothing until it is answered. */
+  /**
+   * Whether the sender is blocked until it gets the answer. Otherwise, the
+   * leader may confirm the revision with its next heartbeat.
+   */
   readonly atOnce: boolean;
 }
 
-interface HeardLoad {
+interface ReceivedLoad {
   readonly load: LoadReport;
   readonly at: number;
 }
 
-/** Follows one leader at a time. */
-export class LeaderRelay {
-  readonly #settings: RelaySettings;
-  readonly #parts: RelayParts;
+/** Client of the current leader. */
+export class LeaderClient {
+  readonly #settings: LeaderClientSettings;
+  readonly #deps: LeaderClientDependencies;
   #leader = '';
   #client: Client | undefined;
   #stream: ClientReadableStream<WireUpdate> | undefined;
-  #heardAt = -Infinity;
+  #lastContactAt = -Infinity;
   #openedAt = -Infinity;
   #ended = false;
-  #heardLoad: HeardLoad | undefined;
+  #lastLoad: ReceivedLoad | undefined;
 
-  constructor(settings: RelaySettings, parts: RelayParts) {
+  constructor(settings: LeaderClientSettings, deps: LeaderClientDependencies) {
     this.#settings = settings;
-    this.#parts = parts;
+    this.#deps = deps;
   }
 
   /**
-   * Follows the leader, and opens its stream anew when it went silent.
+   * Subscribes to a leader, and reopens its stream when it ended or is silent.
    *
-   * @param leader `host:port`; empty to follow nobody
+   * @param leader `host:port`; empty to close the connection
    * @param now monotonic milliseconds
    */
   follow(leader: string, now: number): void {
@@ -92,44 +96,45 @@
     if (leader !== '') this.#open(now);
   }
 
-  /** When the leader was last heard, monotonic milliseconds. */
-  get heardAt(): number {
-    return this.#heardAt;
+  /** Time of the leader's last update, monotonic milliseconds. */
+  get lastContactAt(): number {
+    return this.#lastContactAt;
   }
 
   /**
    * @param now monotonic milliseconds
-   * @returns the leader's last load report with its age by now
+   * @returns the leader's last load report with its present age; undefined when
+   *     there is none or it is too old
    */
   load(now: number): LoadReport | undefined {
-    if (!this.#heardLoad) return undefined;
-    const {load, at} = this.#heardLoad;
+    if (!this.#lastLoad) return undefined;
+    const {load, at} = this.#lastLoad;
     if (now - at > this.#settings.loadValidMs) return undefined;
     return {...load, ageMs: load.ageMs + now - at};
   }
 
   /**
-   * Passes a report to the leader.
+   * Forwards a report to the leader.
    *
-   * @param report what a node holds
+   * @param report a node's revision
    * @returns the revision in force, confirmed by a majority after the call
    *     began; undefined when the leader didn't answer
    */
   async report(report: RevisionReport): Promise<number | undefined> {
     const method = CONTROL_SERVICE.reportConvergence;
-    const res = await this.#ask(method, new v1.ConvergenceReport(report));
+    const res = await this.#call(method, new v1.ConvergenceReport(report));
     return res?.confirmed ? (res.revision ?? 0) : undefined;
   }
 
   /**
-   * Passes a router's report of readings to the leader; one that gets lost
-   * costs some reading, so nothing is done about it.
+   * Forwards a router's report of readings to the leader, without retries: a
+   * lost report only means that some prompts are processed again.
    *
-   * @param report what a router said
+   * @param report the router's report
    */
-  passReadings(report: lovagepond.v1.ReadingReport): void {
+  forwardReadings(report: lovagepond.v1.ReadingReport): void {
     const method = CONTROL_SERVICE.reportReadings;
-    const wallTime = this.#parts.clock.wallTime();
+    const wallTime = this.#deps.clock.wallTime();
     this.#client?.makeUnaryRequest(
       method.path,
       method.requestSerialize,
@@ -140,38 +145,38 @@
       err => {
         if (!err) return;
         const {message} = err;
-        this.#parts.log.debug('readings not passed on', {message});
+        this.#deps.log.debug('readings not forwarded', {message});
       },
     );
   }
 
   /**
-   * Passes a router's report of crashes to the leader.
+   * Forwards a router's report of crashes to the leader.
    *
-   * @param report what a router said
+   * @param report the router's report
    * @returns the leader's answer; not recorded when there was none
    */
   async reportCrashes(
     report: lovagepond.v1.CrashReport,
   ): Promise<lovagepond.v1.CrashReportResponse> {
-    const res = await this.#ask(CONTROL_SERVICE.reportCrashes, report);
+    const res = await this.#call(CONTROL_SERVICE.reportCrashes, report);
     return new v1.CrashReportResponse({recorded: res?.recorded ?? false});
   }
 
-  /** Ends the link. */
+  /** Closes the connection. */
   stop(): void {
     this.#close();
     this.#leader = '';
   }
 
-  /** @returns the leader's answer; undefined when there was none in time */
-  #ask<Req, Res>(
+  /** @returns the leader's answer; undefined after a failure or the timeout */
+  #call<Req, Res>(
     method: MethodDefinition<Req, Res>,
     message: Req,
   ): Promise<Res | undefined> {
     const client = this.#client;
     if (!client) return Promise.resolve(undefined);
-    const wallTime = this.#parts.clock.wallTime();
+    const wallTime = this.#deps.clock.wallTime();
     const deadline = wallTime + this.#settings.callTimeoutMs;
     return new Promise(resolve => {
       client.makeUnaryRequest(
@@ -188,11 +193,11 @@
     });
   }
 
-  /** A refused stream is tried again soon, a silent one once it is too silent. */
+  /** An ended stream is reopened soon, a silent one after a longer time. */
   #needsReopening(now: number): boolean {
     if (this.#leader === '') return false;
     if (this.#ended) return now - this.#openedAt > REOPEN_AFTER_MS;
-    const since = Math.max(this.#heardAt, this.#openedAt);
+    const since = Math.max(this.#lastContactAt, this.#openedAt);
     return now - since > this.#settings.silentAfterMs;
   }
 
@@ -221,26 +226,26 @@
     );
     this.#stream = stream;
     stream.on('data', (update: WireUpdate) => {
-      if (this.#stream === stream) this.#take(update);
+      if (this.#stream === stream) this.#handleUpdate(update);
     });
     stream.on('error', err => {
       if (this.#stream === stream) this.#ended = true;
       const {message} = err;
-      this.#parts.log.debug('leader stream ended', {message});
+      this.#deps.log.debug('leader stream ended', {message});
     });
   }
 
-  #take(update: WireUpdate): void {
-    const now = this.#parts.clock.now();
-    this.#heardAt = now;
+  #handleUpdate(update: WireUpdate): void {
+    const now = this.#deps.clock.now();
+    this.#lastContactAt = now;
     if (update.membership) {
-      this.#parts.membership.mirror(readMembership(update.membership));
-      this.#parts.onMembership();
+      this.#deps.membership.mirror(readMembership(update.membership));
+      this.#deps.onMembership();
     }
     for (const report of update.readings?.reports ?? []) {
-      this.#parts.onReadings(readReadings(report));
+      this.#deps.onReadings(readReadings(report));
     }
-    if (update.load) this.#heardLoad = {load: readLoad(update.load), at: now};
+    if (update.load) this.#lastLoad = {load: readLoad(update.load), at: now};
   }
 
   #close(): void {
@@ -249,6 +254,6 @@
     stream?.cancel();
     this.#client?.close();
     this.#client = undefined;
-    this.#heardAt = -Infinity;
+    this.#lastContactAt = -Infinity;
   }
 }
--- a/packages/lovagepond-control/src/member_transport.ts
+++ b/packages/lovagepond-control/src/member_transport.ts
@@ -1,5 +1,5 @@
 /**
- * Carries consensus messages between members over gRPC.
+ * Transport of consensus messages between members over gRPC.
  */
 import {
   type ChannelOptions,
@@ -28,48 +28,49 @@
 
 type WireMessage = lovagepond.v1.ConsensusMessage;
 
-/** A message not acknowledged by then is lost. */
+/** Time after which a message without acknowledgement counts as lost. */
 const DELIVERY_TIMEOUT_MS = 1_000;
 
-/** Messages under way to one member; more are dropped, as consensus resends. */
-const MAX_UNDER_WAY = 256;
+/** Limit of messages in flight to a member; consensus resends dropped ones. */
+const MAX_IN_FLIGHT = 256;
 
 /**
- * Time that a connection gets while its member is heard, milliseconds: the
- * opening packet to a host that was without power is sent again only after a
- * second, far beyond an election timeout.
+ * Timeout for a connection attempt to a member that sends messages itself,
+ * milliseconds. The first packet to a host that was without power is
+ * retransmitted only after a second, far beyond an election timeout.
  */
 const CONNECT_TIMEOUT_MS = 100;
 
-/** Lost messages in a row after which a fresh connection is made. */
+/** Consecutive lost messages after which a new connection is made. */
 const MAX_LOST = 3;
 
-/** A message that is being handled, whose sender takes an answer with it. */
-interface Answering {
+/** A message being handled, whose acknowledgement can carry a reply. */
+interface HandledMessage {
   readonly address: string;
   reply?: WireMessage;
 }
 
-/** A member's connection to another one. */
+/** A connection to another member. */
 interface Peer {
   client: Client;
-  /** When the connection was begun, monotonic milliseconds. */
+  /** Start of the connection attempt, monotonic milliseconds. */
   readonly openedAt: number;
-  underWay: number;
+  inFlight: number;
+  /** Consecutive lost messages. */
   lost: number;
 }
 
-/** The transport of one member. */
+/** The consensus transport of one member. */
 export class MemberTransport implements ConsensusTransport {
   readonly #clock: Clock;
   readonly #options: ChannelOptions;
   readonly #peers = new Map<string, Peer>();
   readonly #listeners = new Set<MessageListener>();
-  #answering: Answering | undefined;
+  #handledMessage: HandledMessage | undefined;
 
   /**
    * @param server the member's gRPC server, not yet listening
-   * @param clock present time
+   * @param clock the clock for deadlines and timeouts
    * @param options options of the connections to other members
    */
   constructor(server: Server, clock: Clock, options = CLIENT_OPTIONS) {
@@ -78,18 +79,18 @@
     server.addService(CONSENSUS_SERVICE, {
       deliver: (
         call: ServerUnaryCall<WireMessage, lovagepond.v1.ConsensusAck>,
-        end: sendUnaryData<lovagepond.v1.ConsensusAck>,
+        callback: sendUnaryData<lovagepond.v1.ConsensusAck>,
       ) => {
-        end(null, this.#answer(call.request));
+        callback(null, this.#deliver(call.request));
       },
     });
   }
 
   send(address: string, message: TransportMessage): void {
     const wire = encodeMemberMessage(message);
-    const answering = this.#answering;
-    if (answering?.address === address && !answering.reply) {
-      answering.reply = wire;
+    const handled = this.#handledMessage;
+    if (handled?.address === address && !handled.reply) {
+      handled.reply = wire;
       return;
     }
     this.#call(address, wire);
@@ -97,8 +98,8 @@
 
   #call(address: string, wire: WireMessage): void {
     const peer = this.#peerAt(address);
-    if (peer.underWay >= MAX_UNDER_WAY) return;
-    peer.underWay += 1;
+    if (peer.inFlight >= MAX_IN_FLIGHT) return;
+    peer.inFlight += 1;
     const {client} = peer;
     const method = CONSENSUS_SERVICE.deliver;
     client.makeUnaryRequest(
@@ -109,7 +110,7 @@
       new Metadata(),
       {deadline: this.#clock.wallTime() + DELIVERY_TIMEOUT_MS},
       (err, ack) => {
-        peer.underWay -= 1;
+        peer.inFlight -= 1;
         peer.lost = err ? peer.lost + 1 : 0;
         if (peer.lost >= MAX_LOST) this.#drop(address, client);
         if (ack?.reply) this.#receive(ack.reply);
@@ -124,10 +125,10 @@
     };
   }
 
-  /** Messages that are neither delivered nor lost yet. */
-  get underWay(): number {
+  /** Number of messages that are neither acknowledged nor lost yet. */
+  get inFlight(): number {
     const peers = [...this.#peers.values()];
-    return peers.reduce((sum, {underWay}) => sum + underWay, 0);
+    return peers.reduce((sum, {inFlight}) => sum + inFlight, 0);
   }
 
   /** Closes all connections. */
@@ -137,24 +138,25 @@
   }
 
   /**
-   * Half of all messages are answers to heartbeats. With a call of its own for
-   * each, eight members spent 0.92 of a core idle beside 27 gateways, and 0.75
-   * with answers in the acknowledgement.
+   * Handles a message. A reply to its sender is returned in the acknowledgement
+   * rather than in a call of its own: half of all messages are replies to
+   * heartbeats. Eight idle members with 27 gateways need 0.75 of a core this
+   * way, and 0.92 with separate calls.
    *
    * @param wire a message
-   * @returns the acknowledgement, with what was sent back meanwhile
+   * @returns the acknowledgement, with a reply if one was sent meanwhile
    */
-  #answer(wire: WireMessage): lovagepond.v1.ConsensusAck {
+  #deliver(wire: WireMessage): lovagepond.v1.ConsensusAck {
     const message = decodeMemberMessage(wire);
     if (!message) return new v1.ConsensusAck();
-    const answering: Answering = {address: message.fromAddress};
-    this.#answering = wire.takesReply ? answering : undefined;
+    const handled: HandledMessage = {address: message.fromAddress};
+    this.#handledMessage = wire.takesReply ? handled : undefined;
     try {
       this.#handle(message);
     } finally {
-      this.#answering = undefined;
+      this.#handledMessage = undefined;
     }
-    const {reply} = answering;
+    const {reply} = handled;
     return new v1.ConsensusAck(reply && {reply});
   }
 
@@ -164,7 +166,7 @@
   }
 
   #handle(message: TransportMessage): void {
-    this.#meet(message.fromAddress);
+    this.#dropIfStuck(message.fromAddress);
     for (const listener of [...this.#listeners]) listener(message);
   }
 
@@ -174,17 +176,17 @@
     const channel = credentials.createInsecure();
     const client = new Client(address, channel, this.#options);
     const openedAt = this.#clock.now();
-    const peer = {client, openedAt, underWay: 0, lost: 0};
+    const peer = {client, openedAt, inFlight: 0, lost: 0};
     this.#peers.set(address, peer);
     return peer;
   }
 
   /**
-   * A member that sends is up. A connection that failed while it was down would
-   * wait before it tries again, and answers to it would be lost meanwhile: a
-   * group that was stopped as a whole elects its leader later by that time.
+   * Drops the connection to a member that just sent a message, and so is up,
+   * if that connection is failing. Replies would otherwise be lost until the
+   * end of its backoff, which delays the election after a stop of all members.
    */
-  #meet(address: string): void {
+  #dropIfStuck(address: string): void {
     const peer = this.#peers.get(address);
     if (peer && this.#isStuck(peer)) this.#drop(address, peer.client);
   }
@@ -197,8 +199,9 @@
   }
 
   /**
-   * A connection can go silent for good while new ones work: every message on
-   * it is lost until the keep-alive finds out, far beyond an election timeout.
+   * Closes a connection, so that the next message opens a new one. A connection
+   * can stop delivering data while new ones work: its messages would be lost
+   * until the keepalive detects this, far beyond an election timeout.
    */
   #drop(address: string, client: Client): void {
     const peer = this.#peers.get(address);
--- a/packages/lovagepond-control/src/subscription_feed.ts
+++ b/packages/lovagepond-control/src/subscription_feed.ts
@@ -1,55 +1,58 @@
 /**
- * Decides what one subscriber is sent next.
+ * Determines the next updates to one subscriber.
  *
- * A feed compares what it sent with what there is, so a slow subscriber skips
- * what is outdated: however far behind, it gets one configuration and one
- * membership change, never a replay.
+ * A feed compares the state that it last sent with the present state, so that a
+ * slow subscriber skips outdated updates: however far it lags, it gets one
+ * configuration and one membership change, never a replay.
  */
-import {type ReadingBoard, type ReadingReport} from './reading_board.js';
+import {
+  type ReadingReportLog,
+  type ReadingReport,
+} from './reading_report_log.js';
 import {type Configuration, type ConfigurationContent} from '@lovagepond/core';
 import {type SuspectView} from './control_administration.js';
 import {type MembershipChange} from './membership_log.js';
 import {type LoadReport} from './membership_registry.js';
-import {RunningFeed} from './running_feed.js';
-import {type RunningTotals} from './running_totals.js';
+import {RunningRequestFeed} from './running_request_feed.js';
+import {type RunningRequestTotals} from './running_request_totals.js';
 
-/** What a member can tell its subscribers at one moment. */
+/** The state of a member that it publishes to its subscribers. */
 export interface FeedView {
-  /** This member leads and no other can. */
+  /** Whether this member is the leader with a valid lease. */
   readonly leads: boolean;
   readonly configuration: Configuration;
-  /** @returns the content of a revision while it is kept */
+  /** @returns the content of a revision; undefined when no longer kept */
   contentOf(revision: number): ConfigurationContent | undefined;
   readonly membershipVersion: number;
-  /** @returns what changed in a pool since a version */
+  /** @returns the changes in a pool since a version */
   changesSince(version: number, pool: string): MembershipChange | undefined;
   /** @returns the newest load report; undefined when none is fresh */
   readLoad(): LoadReport | undefined;
-  readonly readings: ReadingBoard;
-  readonly running: RunningTotals;
-  /** Rises when {@link FeedView.suspects} may have changed. */
+  readonly readings: ReadingReportLog;
+  readonly running: RunningRequestTotals;
+  /** Increases when {@link FeedView.suspects} may have changed. */
   readonly crashesVersion: number;
-  /** @returns requests that servers crashed under */
+  /** @returns requests that are suspected of crashing servers */
   suspects(): readonly SuspectView[];
   /** `host:port` of the members of control; empty while none is known. */
   readonly controlMembers: readonly string[];
 }
 
-/** Who subscribes. */
+/** A node that subscribes, and the state that it already has. */
 export interface Subscriber {
   readonly node: string;
   readonly role: string;
-  /** Only this pool; empty means all. */
+  /** The only pool to send; empty for all. */
   readonly pool: string;
-  /** Revision it already holds. */
+  /** Configuration revision that it already holds. */
   readonly revision: number;
-  /** It can be told what changes in the configuration that it holds. */
+  /** Whether it can apply deltas to the configuration that it holds. */
   readonly takesDeltas: boolean;
-  /** Of a member of control: the newest commands that it can apply. */
+  /** For a member of control: the newest log version that it can apply. */
   readonly logVersion?: number;
 }
 
-/** How often a subscriber hears what. */
+/** Intervals of periodic updates. */
 export interface FeedSettings {
   readonly digestIntervalMs: number;
   readonly heartbeatIntervalMs: number;
@@ -60,10 +63,11 @@
   | {
       readonly kind: 'configuration';
       readonly configuration: Configuration;
-      /** False when the subscriber holds the content already. */
+      /** False when the subscriber already holds the content. */
       readonly withContent: boolean;
-      /** What the subscriber holds, if what changes in it is enough. */
+      /** The configuration that the subscriber holds, as base of a delta. */
       readonly base?: Configuration;
+      /** A majority confirmed the revision after the subscription began. */
       readonly confirmed: boolean;
     }
   | {readonly kind: 'quarantine'; readonly suspects: readonly SuspectView[]}
@@ -72,31 +76,31 @@
   | {
       readonly kind: 'readings';
       readonly reports: readonly ReadingReport[];
-      /** Other routers heard of, for a router. */
+      /** For a router: the number of other routers. */
       readonly routers?: number;
     }
   | {
       readonly kind: 'controlMembers';
       readonly addresses: readonly string[];
-      /** The subscriber is to ask one of them in place of this member. */
+      /** Redirects the subscriber to one of these members. */
       readonly goOn: boolean;
     }
   | {readonly kind: 'heartbeat'; readonly revision: number};
 
-/** Role under which a follower mirrors the leader's list. */
+/** Role of followers, which mirror the leader's membership. */
 export const CONTROL_ROLE = 'control';
 
-/** Role of those that place prompts, and are told of readings. */
+/** Role of routers, which get readings for the placement of prompts. */
 const ROUTER_ROLE = 'router';
 
-/** A follower hears loads so much oftener, as it passes them on. */
-const RELAY_SPEED_UP = 4;
+/** Factor by which followers get loads more often, as they publish them. */
+const FOLLOWER_LOAD_RATE = 4;
 
-function tellReadings(reports: readonly ReadingReport[]): FeedUpdate[] {
+function toReadingsUpdates(reports: readonly ReadingReport[]): FeedUpdate[] {
   return reports.length > 0 ? [{kind: 'readings', reports}] : [];
 }
 
-/** One subscriber's position. */
+/** Tracks what was sent to one subscriber. */
 export class SubscriptionFeed {
   readonly subscriber: Subscriber;
   readonly #settings: FeedSettings;
@@ -105,28 +109,29 @@
   /** A majority confirmed this revision after the subscription began. */
   #confirmedRevision: number | undefined;
   #sentConfirmed = false;
-  #sentVersion = 0;
-  #sentCrashes = 0;
-  #sentReadings: number | undefined;
-  readonly #running: RunningFeed;
+  #sentMembershipVersion = 0;
+  #sentCrashesVersion = 0;
+  #sentReadingsSequence: number | undefined;
+  readonly #running: RunningRequestFeed;
   #sentMembers: readonly string[] = [];
-  #digestAt = -Infinity;
-  #sentAt = -Infinity;
+  #lastLoadAt = -Infinity;
+  #lastSentAt = -Infinity;
 
   constructor(subscriber: Subscriber, settings: FeedSettings) {
     this.subscriber = subscriber;
     this.#settings = settings;
-    const relayed = subscriber.role === CONTROL_ROLE;
+    const isFollower = subscriber.role === CONTROL_ROLE;
     const {digestIntervalMs} = settings;
-    this.#digestIntervalMs = digestIntervalMs / (relayed ? RELAY_SPEED_UP : 1);
+    this.#digestIntervalMs =
+      digestIntervalMs / (isFollower ? FOLLOWER_LOAD_RATE : 1);
     this.#heldRevision = subscriber.revision;
-    this.#running = new RunningFeed(subscriber.node);
+    this.#running = new RunningRequestFeed(subscriber.node);
   }
 
   /**
-   * Says that a read barrier which began after the subscription has ended: a
-   * restarted process that holds this revision is as new as a majority, and
-   * may take work.
+   * Records the result of a read barrier that began after the subscription. A
+   * restarted process that holds this revision is as current as a majority and
+   * may accept work.
    *
    * @param revision the revision in force at the barrier
    */
@@ -140,15 +145,15 @@
   }
 
   /**
-   * @param view what there is
+   * @param view the member's present state
    * @param now monotonic milliseconds
-   * @returns what to send now, in order
+   * @returns the updates to send now, in order
    */
   next(view: FeedView, now: number): FeedUpdate[] {
-    // Without its lease a leader is silent towards followers: they would take
-    // its heartbeats for contact and hold on to their subscribers with it.
-    const relayed = this.subscriber.role === CONTROL_ROLE;
-    if (relayed && !view.leads) return [];
+    // A leader without its lease sends nothing to followers: a heartbeat would
+    // count as contact with the leader, and they would keep their subscribers.
+    const isFollower = this.subscriber.role === CONTROL_ROLE;
+    if (isFollower && !view.leads) return [];
     const updates = [
       ...this.#nextQuarantine(view),
       ...this.#nextConfiguration(view),
@@ -159,16 +164,16 @@
       ...this.#nextRunning(view, now),
     ];
     const {heartbeatIntervalMs} = this.#settings;
-    if (updates.length === 0 && now - this.#sentAt >= heartbeatIntervalMs) {
+    if (updates.length === 0 && now - this.#lastSentAt >= heartbeatIntervalMs) {
       const {revision} = view.configuration;
       updates.push({kind: 'heartbeat', revision});
     }
-    if (updates.length > 0) this.#sentAt = now;
+    if (updates.length > 0) this.#lastSentAt = now;
     return updates;
   }
 
   #nextConfiguration(view: FeedView): FeedUpdate[] {
-    // Another member applies the log by itself.
+    // A follower gets the configuration from the log.
     if (this.subscriber.role === CONTROL_ROLE) return [];
     const {configuration} = view;
     const {revision} = configuration;
@@ -192,16 +197,19 @@
     return content && {revision, content};
   }
 
-  /** Told before the servers: without them a router runs nothing. */
+  /**
+   * Quarantines are sent before the servers: a router without servers runs no
+   * request.
+   */
   #nextQuarantine(view: FeedView): FeedUpdate[] {
     if (this.subscriber.role !== ROUTER_ROLE) return [];
     const {crashesVersion} = view;
-    if (crashesVersion === this.#sentCrashes) return [];
-    this.#sentCrashes = crashesVersion;
+    if (crashesVersion === this.#sentCrashesVersion) return [];
+    this.#sentCrashesVersion = crashesVersion;
     return [{kind: 'quarantine', suspects: view.suspects()}];
   }
 
-  /** Followers know the members from the log. */
+  /** Followers get the members from the log. */
   #nextControlMembers({controlMembers: addresses}: FeedView): FeedUpdate[] {
     if (this.subscriber.role === CONTROL_ROLE) return [];
     const sent = this.#sentMembers;
@@ -214,10 +222,10 @@
   }
 
   #nextMembership(view: FeedView): FeedUpdate[] {
-    if (view.membershipVersion <= this.#sentVersion) return [];
+    if (view.membershipVersion <= this.#sentMembershipVersion) return [];
     const {pool} = this.subscriber;
-    const change = view.changesSince(this.#sentVersion, pool);
-    this.#sentVersion = view.membershipVersion;
+    const change = view.changesSince(this.#sentMembershipVersion, pool);
+    this.#sentMembershipVersion = view.membershipVersion;
     if (!change) return [];
     const empty = change.members.length === 0 && change.gone.length === 0;
     return empty && !change.whole ? [] : [{kind: 'membership', change}];
@@ -225,16 +233,16 @@
 
   #nextReadings({readings}: FeedView): FeedUpdate[] {
     const {role} = this.subscriber;
-    const relayed = role === CONTROL_ROLE;
-    if (!relayed && role !== ROUTER_ROLE) return [];
-    const last = this.#sentReadings;
-    this.#sentReadings = readings.sequence;
-    if (last === undefined) return tellReadings(readings.history());
-    // A follower makes sums of its own, and passes on what its routers need.
-    const reports = relayed
+    const isFollower = role === CONTROL_ROLE;
+    if (!isFollower && role !== ROUTER_ROLE) return [];
+    const last = this.#sentReadingsSequence;
+    this.#sentReadingsSequence = readings.sequence;
+    if (last === undefined) return toReadingsUpdates(readings.history());
+    // A follower needs all reports, for its own totals and its routers.
+    const reports = isFollower
       ? readings.since(last)
       : readings.readingsSince(last);
-    return tellReadings(reports);
+    return toReadingsUpdates(reports);
   }
 
   #nextRunning({running: totals}: FeedView, now: number): FeedUpdate[] {
@@ -242,16 +250,16 @@
     if (role !== ROUTER_ROLE) return [];
     const running = this.#running.next(totals, now);
     if (running.length === 0) return [];
-    const routers = totals.countOthers(node);
+    const routers = totals.countOtherRouters(node);
     const reports = [{node: '', readings: [], running}];
     return [{kind: 'readings', reports, routers}];
   }
 
   #nextLoad(view: FeedView, now: number): FeedUpdate[] {
-    if (now - this.#digestAt < this.#digestIntervalMs) return [];
+    if (now - this.#lastLoadAt < this.#digestIntervalMs) return [];
     const load = view.readLoad();
     if (!load || load.loads.length === 0) return [];
-    this.#digestAt = now;
+    this.#lastLoadAt = now;
     return [{kind: 'load', load}];
   }
 }
