--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_deciders.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_deciders.test.ts
@@ -18,7 +18,7 @@
 describe('the authority of a configuration', () => {
   it('ends before the bound of a removed key, without any word', () => {
     const authority = new ConfigurationAuthority(BOUND_MS);
-    authority.hold(3);
+    authority.noteInstalled(3);
     authority.confirm(3, at(1_000), 1_000);
     expect(authority.trustsKeys(at(1_000 + BOUND_MS * 0.8))).toBe(true);
     expect(authority.trustsKeys(at(1_000 + BOUND_MS))).toBe(false);
@@ -29,7 +29,7 @@
   // was removed meanwhile: the wall clock tells.
   it('ends with a suspension that only the wall clock saw', () => {
     const authority = new ConfigurationAuthority(BOUND_MS);
-    authority.hold(3);
+    authority.noteInstalled(3);
     authority.confirm(3, at(1_000), 1_000);
     expect(authority.trustsKeys(at(1_100, 7_100))).toBe(false);
   });
@@ -38,10 +38,10 @@
   // that it is behind, and may say so of itself only once it holds that one.
   it('waits for the revision that was confirmed', () => {
     const authority = new ConfigurationAuthority(BOUND_MS);
-    authority.hold(3);
+    authority.noteInstalled(3);
     authority.confirm(4, at(1_000), 1_000);
     expect(authority.trustsKeys(at(1_001))).toBe(false);
-    authority.hold(4);
+    authority.noteInstalled(4);
     expect(authority.trustsKeys(at(1_002))).toBe(true);
   });
 
@@ -49,35 +49,35 @@
   // time counts from the first answer that named what is missing.
   it('is behind half a second after it heard of what is missing', () => {
     const authority = new ConfigurationAuthority(BOUND_MS);
-    authority.hold(3);
+    authority.noteInstalled(3);
     authority.confirm(3, at(500), 510);
     authority.confirm(4, at(1_000), 1_100);
     authority.confirm(5, at(1_400), 1_410);
-    expect(authority.takeBehind(1_599)).toBe(false);
-    expect(authority.takeBehind(1_600)).toBe(true);
-    expect(authority.takeBehind(2_099)).toBe(false);
-    expect(authority.takeBehind(2_100)).toBe(true);
+    expect(authority.shouldSwitchMember(1_599)).toBe(false);
+    expect(authority.shouldSwitchMember(1_600)).toBe(true);
+    expect(authority.shouldSwitchMember(2_099)).toBe(false);
+    expect(authority.shouldSwitchMember(2_100)).toBe(true);
   });
 
   // The process stood still between its question and the answer; the change came
   // with the answer, and is only not read yet.
   it('is not behind for time in which it stood still itself', () => {
     const authority = new ConfigurationAuthority(BOUND_MS);
-    authority.hold(3);
+    authority.noteInstalled(3);
     authority.confirm(4, at(1_000), 4_000);
-    expect(authority.takeBehind(4_000)).toBe(false);
-    authority.hold(4);
-    expect(authority.takeBehind(9_000)).toBe(false);
+    expect(authority.shouldSwitchMember(4_000)).toBe(false);
+    authority.noteInstalled(4);
+    expect(authority.shouldSwitchMember(9_000)).toBe(false);
   });
 
   it('is behind no more once it holds what was confirmed', () => {
     const authority = new ConfigurationAuthority(BOUND_MS);
-    authority.hold(3);
+    authority.noteInstalled(3);
     authority.confirm(5, at(1_000), 1_000);
-    authority.hold(4);
-    expect(authority.takeBehind(1_500)).toBe(true);
-    authority.hold(5);
-    expect(authority.takeBehind(9_000)).toBe(false);
+    authority.noteInstalled(4);
+    expect(authority.shouldSwitchMember(1_500)).toBe(true);
+    authority.noteInstalled(5);
+    expect(authority.shouldSwitchMember(9_000)).toBe(false);
   });
 });
 
@@ -230,7 +230,7 @@
           if (piece.kind === 'events') out += piece.bytes.toString();
         });
         expect(out).toBe(text);
-        expect(stream.isWhole).toBe(true);
+        expect(stream.isAtEventBoundary).toBe(true);
         expect(stream.lastId).toBe(3);
       }),
     );
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_departure.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_drain_admission.test.ts
@@ -1,6 +1,6 @@
 import {Agent, request} from 'node:http';
 import {afterEach, describe, expect, it} from 'vitest';
-import {GatewayDeparture} from '../../gateway_departure.js';
+import {GatewayDrainAdmission} from '../../gateway_drain_admission.js';
 import {
   answer,
   beginStream,
@@ -23,7 +23,7 @@
 });
 
 /** Sends a request on the one kept connection. */
-function callKept(path: string): Promise<{status: number; body: string}> {
+function callKeepAlive(path: string): Promise<{status: number; body: string}> {
   return new Promise((resolve, reject) => {
     const req = request(
       {
@@ -53,26 +53,26 @@
 
 describe('what a stopping gateway takes', () => {
   it('takes everything until it is told to stop', () => {
-    const departure = new GatewayDeparture();
-    departure.noteEnded('talk', 60_000);
-    expect(departure.mayTake('talk', 60_000, 0)).toBe(true);
+    const departure = new GatewayDrainAdmission();
+    departure.noteDuration('talk', 60_000);
+    expect(departure.admits('talk', 60_000, 0)).toBe(true);
   });
 
   it('takes what ends in time by what was observed', () => {
-    const departure = new GatewayDeparture();
-    for (let at = 0; at < 100; at += 1) departure.noteEnded('read', 50);
-    for (let at = 0; at < 100; at += 1) departure.noteEnded('talk', 2_000);
+    const departure = new GatewayDrainAdmission();
+    for (let at = 0; at < 100; at += 1) departure.noteDuration('read', 50);
+    for (let at = 0; at < 100; at += 1) departure.noteDuration('talk', 2_000);
     departure.begin(8_000);
-    expect(departure.mayTake('read', 12_000, 7_500)).toBe(true);
-    expect(departure.mayTake('talk', 12_000, 4_000)).toBe(true);
-    expect(departure.mayTake('talk', 12_000, 5_500)).toBe(false);
+    expect(departure.admits('read', 12_000, 7_500)).toBe(true);
+    expect(departure.admits('talk', 12_000, 4_000)).toBe(true);
+    expect(departure.admits('talk', 12_000, 5_500)).toBe(false);
   });
 
   it('takes what nothing is known of when its caller leaves in time', () => {
-    const departure = new GatewayDeparture();
+    const departure = new GatewayDrainAdmission();
     departure.begin(8_000);
-    expect(departure.mayTake('talk', 12_000, 0)).toBe(false);
-    expect(departure.mayTake('talk', 3_000, 0)).toBe(true);
+    expect(departure.admits('talk', 12_000, 0)).toBe(false);
+    expect(departure.admits('talk', 3_000, 0)).toBe(true);
   });
 });
 
@@ -88,10 +88,10 @@
       end = () => res.end('id: 2\ndata: b\n\n');
     };
     harness = await GatewayHarness.start([slow]);
-    const answered = callKept('/talk/a');
+    const answered = callKeepAlive('/talk/a');
     while (harness.arrivals.length === 0) await pause(5);
     await pause(50);
-    harness.server.beginClosing(clock.now() + 60_000);
+    harness.server.beginDraining(clock.now() + 60_000);
     const [socket] = Object.values(agent.sockets).flat();
     const closed = new Promise<boolean>(resolve => {
       socket!.once('close', () => {
@@ -116,7 +116,7 @@
     await pause(20);
     const waiting = harness.call({path: '/read/a', headers: LONG_DEADLINE});
     await pause(50);
-    harness.server.beginClosing(clock.now() + 60_000);
+    harness.server.beginDraining(clock.now() + 60_000);
     await harness.server.finish();
     harness.server.stop();
     expect((await waiting).status).toBe(503);
@@ -132,7 +132,7 @@
     };
     harness = await GatewayHarness.start([good]);
     expect((await harness.call({path: '/read/a'})).status).toBe(200);
-    harness.server.beginClosing(clock.now() + 900);
+    harness.server.beginDraining(clock.now() + 900);
     const refused = await harness.call({path: '/talk/a'});
     expect(refused.status).toBe(503);
     expect(Number(refused.headers['retry-after'])).toBeGreaterThan(0);
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_engine_choice.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_engine_choice.test.ts
@@ -57,9 +57,9 @@
     const choice = await makeChoice();
     const servers = ['x', 'y'].map(makeServer);
     servers[0]!.noteWarm(sharedIds, 0);
-    servers[0]!.noteOthersReading(200, 0);
+    servers[0]!.noteRemotePrefill(200, 0);
     expect(choice.choose(request(servers), 0)?.state).toBe(servers[0]);
-    servers[0]!.noteOthersReading(800, 0);
+    servers[0]!.noteRemotePrefill(800, 0);
     expect(choice.choose(request(servers), 0)?.state).toBe(servers[1]);
   });
 
@@ -78,9 +78,9 @@
     const choice = await makeChoice();
     const servers = ['x', 'y'].map(makeServer);
     servers[0]!.noteWarm(sharedIds, 0);
-    servers[0]!.noteBroken(0);
+    servers[0]!.noteAttemptFailure(0);
     expect(choice.choose(request(servers), 10)?.state).toBe(servers[1]);
-    servers[1]!.noteBroken(0);
+    servers[1]!.noteAttemptFailure(0);
     expect(choice.choose(request(servers), 10)?.state).toBe(servers[0]);
   });
 
@@ -98,7 +98,7 @@
     const [warm, idle] = servers;
     warm!.noteWarm(sharedIds, 0);
     expect(choice.choose(fetching(servers), 1)?.state).toBe(warm);
-    warm!.noteOthersReading(400, 1);
+    warm!.noteRemotePrefill(400, 1);
     const busy = choice.choose(fetching(servers), 1);
     expect(busy).toMatchObject({state: idle, fetch: {tokens: 8_000}});
     expect(busy?.fetch?.source).toBe(warm);
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_failing_server.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_failing_server.test.ts
@@ -6,7 +6,7 @@
 import {OutcomeEstimate} from '../../gateway_outcome_estimate.js';
 import {GatewayPeers} from '../../gateway_peers.js';
 import {PrefillRate} from '../../gateway_prefill_rate.js';
-import {GatewayReadings} from '../../gateway_readings.js';
+import {GatewayLoadReports} from '../../gateway_load_reports.js';
 import {makeBackendServer} from './backend_servers.js';
 import {CONTENT} from './gateway_harness.js';
 
@@ -19,20 +19,20 @@
 const FAILS_FROM_MS = 5_000;
 const FAILS_TO_MS = 10_000;
 const FAILURE_SHARE = 0.4;
-const TELL_MS = 100;
+const REPORT_INTERVAL_MS = 100;
 /** Time on the way through control. */
-const TOLD_AFTER_MS = 25;
+const REPORT_DELAY_MS = 25;
 
 interface Gateway {
   readonly fleet: GatewayFleet;
   readonly choice: GatewayChoice;
-  readonly readings: GatewayReadings;
+  readonly readings: GatewayLoadReports;
 }
 
 type Step = () => void;
 
 /** Gateways in front of three servers, one of which fails for a while. */
-class FailingServerPlay {
+class FailingServerSimulation {
   readonly #random: Random;
   readonly #gateways: readonly Gateway[];
   readonly #due = new Map<number, Step[]>();
@@ -50,7 +50,7 @@
       for (const step of this.#due.get(this.#now) ?? []) step();
       this.#due.delete(this.#now);
       if (this.#random.next() < REQUESTS_PER_MS) this.#request();
-      if (this.#now % TELL_MS === 0) this.#tellAll();
+      if (this.#now % REPORT_INTERVAL_MS === 0) this.#reportAll();
     }
   }
 
@@ -73,15 +73,15 @@
       tried: new Set<string>(),
     };
     const state = gateway.choice.choose(request, this.#now)!.state;
-    const isIll =
+    const isFaulty =
       state.server.name === 'x' &&
       this.#now >= FAILS_FROM_MS &&
       this.#now < FAILS_TO_MS;
-    const fails = isIll && this.#random.next() < FAILURE_SHARE;
+    const fails = isFaulty && this.#random.next() < FAILURE_SHARE;
     state.inFlight += 1;
     this.#after(SERVICE_MS, () => {
       state.inFlight -= 1;
-      if (fails) state.noteErrorAnswer(this.#now);
+      if (fails) state.noteErrorResponse(this.#now);
       else state.noteSuccess(this.#now);
     });
     if (this.#now < FAILS_FROM_MS || this.#now >= FAILS_TO_MS) return;
@@ -89,12 +89,12 @@
     if (fails) this.failed += 1;
   }
 
-  #tellAll(): void {
+  #reportAll(): void {
     for (const [at, gateway] of this.#gateways.entries()) {
       const report = gateway.readings.takeReport(this.#now);
       if (!report) continue;
       const digest = {reports: [{...report, node: `gateway-${at}`}]};
-      this.#after(TOLD_AFTER_MS, () => {
+      this.#after(REPORT_DELAY_MS, () => {
         for (const {readings} of this.#gateways) {
           readings.apply(digest, this.#now);
         }
@@ -114,7 +114,7 @@
   const settings = {availabilityZone: 'a', rate};
   const random = new Random(100 + at);
   const choice = new GatewayChoice(settings, await loadKeyHasher(), random);
-  const readings = new GatewayReadings(
+  const readings = new GatewayLoadReports(
     `gateway-${at}`,
     fleet,
     rate,
@@ -134,9 +134,12 @@
     for (const seed of [1, 2, 3, 4, 5, 6]) {
       const indexes = Array.from({length: GATEWAYS}, (_, at) => at);
       const gateways = await Promise.all(indexes.map(makeGateway));
-      const play = new FailingServerPlay(new Random(seed), gateways);
-      play.run(FAILS_TO_MS);
-      lost.push(play.failed / play.asked);
+      const simulation = new FailingServerSimulation(
+        new Random(seed),
+        gateways,
+      );
+      simulation.run(FAILS_TO_MS);
+      lost.push(simulation.failed / simulation.asked);
     }
     const mean = lost.reduce((sum, share) => sum + share) / lost.length;
     expect(mean).toBeLessThan(0.06);
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_forwarding.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_forwarding.test.ts
@@ -4,7 +4,7 @@
   answer,
   beginStream,
   type Call,
-  type CallerAnswer,
+  type CallerResponse,
   GatewayHarness,
   KEY,
   NAMES,
@@ -19,7 +19,7 @@
   harness = undefined;
 });
 
-async function run(scripts: Script[], call: Call): Promise<CallerAnswer> {
+async function run(scripts: Script[], call: Call): Promise<CallerResponse> {
   harness = await GatewayHarness.start(scripts);
   return harness.call(call);
 }
@@ -220,12 +220,12 @@
   // on behind the second one; the half event must not reach the caller, and
   // no event may be missing or come twice.
   it('go on at another server behind the last whole event', async () => {
-    const goesOn: Script = (req, out) => {
+    const resumes: Script = (req, out) => {
       beginStream(req, out);
       const from = Number(req.headers['last-event-id']) + 1;
       out.end(eventsFrom(from, 4));
     };
-    const res = await run([breaksInEvent, goesOn], {
+    const res = await run([breaksInEvent, resumes], {
       path: '/chat/a',
       method: 'POST',
     });
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_harness.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_harness.ts
@@ -26,7 +26,7 @@
 import {GatewayPeers} from '../../gateway_peers.js';
 import {PrefillRate} from '../../gateway_prefill_rate.js';
 import {GatewayQuarantine} from '../../gateway_quarantine.js';
-import {GatewayReadings} from '../../gateway_readings.js';
+import {GatewayLoadReports} from '../../gateway_load_reports.js';
 import {GatewayRetryBudget} from '../../gateway_retry_budget.js';
 import {probeServer} from '../../gateway_server_probe.js';
 import {GatewayServer} from '../../gateway_server.js';
@@ -131,7 +131,7 @@
 });
 
 /** What a caller got. */
-export interface CallerAnswer {
+export interface CallerResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: string;
@@ -219,8 +219,8 @@
         }
         return Promise.resolve(false);
       },
-      takeBack: fingerprint => {
-        server.takeBack(fingerprint);
+      abortQuarantined: fingerprint => {
+        server.abortQuarantined(fingerprint);
       },
     });
     const server = new GatewayServer(
@@ -240,7 +240,7 @@
         }),
         quarantine,
         counters,
-        readings: new GatewayReadings('gateway', fleet, rate, peers),
+        readings: new GatewayLoadReports('gateway', fleet, rate, peers),
         rate,
       },
     );
@@ -287,7 +287,7 @@
     body = '',
     headers = {},
     onHead,
-  }: Call): Promise<CallerAnswer> {
+  }: Call): Promise<CallerResponse> {
     this.#nextId += 1;
     return new Promise((resolve, reject) => {
       const req = request(
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_readings.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_load_reports.test.ts
@@ -2,7 +2,7 @@
 import {GatewayFleet} from '../../gateway_fleet.js';
 import {GatewayPeers} from '../../gateway_peers.js';
 import {PrefillRate} from '../../gateway_prefill_rate.js';
-import {GatewayReadings} from '../../gateway_readings.js';
+import {GatewayLoadReports} from '../../gateway_load_reports.js';
 import {type ServerState} from '../../gateway_server_state.js';
 import {makeBackendServer} from './backend_servers.js';
 
@@ -10,12 +10,12 @@
 class Gateway {
   readonly fleet = new GatewayFleet();
   readonly peers = new GatewayPeers();
-  readonly readings: GatewayReadings;
+  readonly readings: GatewayLoadReports;
   readonly name: string;
 
   constructor(name: string) {
     this.name = name;
-    this.readings = new GatewayReadings(
+    this.readings = new GatewayLoadReports(
       name,
       this.fleet,
       new PrefillRate(40),
@@ -33,7 +33,7 @@
   }
 
   /** Hands a report on as control does. */
-  tell(other: Gateway, now: number): boolean {
+  reportTo(other: Gateway, now: number): boolean {
     const report = this.readings.takeReport(now);
     if (!report) return false;
     const digest = {reports: [{...report, node: this.name}]};
@@ -51,11 +51,11 @@
     const there = new Gateway('there');
     there.server(3).inFlight = 5;
     here.server(3).inFlight = 2;
-    expect(there.tell(here, 1_000)).toBe(true);
+    expect(there.reportTo(here, 1_000)).toBe(true);
     expect(here.server(3).load(1_000)).toBe(7);
     expect(there.server(3).load(1_000)).toBe(5);
     there.server(3).inFlight = 0;
-    expect(there.tell(here, 2_000)).toBe(true);
+    expect(there.reportTo(here, 2_000)).toBe(true);
     expect(here.server(3).load(2_000)).toBe(2);
   });
 
@@ -65,15 +65,15 @@
     const here = new Gateway('here');
     const there = new Gateway('there');
     here.server(0).inFlight = 1;
-    expect(here.tell(there, 1_000)).toBe(true);
+    expect(here.reportTo(there, 1_000)).toBe(true);
     here.server(0).inFlight = 2;
-    expect(here.tell(there, 1_399)).toBe(false);
-    const tokens = {newTokens: 900, unreadTokens: 800};
-    here.readings.note(here.server(1), ['a'], tokens);
-    expect(here.tell(there, 1_399)).toBe(true);
+    expect(here.reportTo(there, 1_399)).toBe(false);
+    const tokens = {newTokens: 900, prefillTokens: 800};
+    here.readings.notePrefill(here.server(1), ['a'], tokens);
+    expect(here.reportTo(there, 1_399)).toBe(true);
     expect(there.server(0).load(1_399)).toBe(2);
-    expect(there.server(1).readingMs(40, 1_399)).toBe(20);
-    expect(here.tell(there, 2_898)).toBe(false);
+    expect(there.server(1).prefillWaitMs(40, 1_399)).toBe(20);
+    expect(here.reportTo(there, 2_898)).toBe(false);
   });
 
   // Members of control are upgraded one by one, and gateways go on from one release to
@@ -101,8 +101,8 @@
     const there = new Gateway('there');
     there.server(0).inFlight = 4;
     for (let now = 0; now <= 10_000; now += 100) {
-      there.tell(here, now);
-      here.fleet.forgetSilentRouters(now);
+      there.reportTo(here, now);
+      here.fleet.expireRemoteRequests(now);
       expect(here.server(0).load(now)).toBe(4);
     }
   });
@@ -110,12 +110,12 @@
   // A gateway is killed with requests under way. Nobody takes back what it told.
   it('forgets what a gateway told that is gone', () => {
     const here = new Gateway('here');
-    const gone = new Gateway('gone');
-    gone.server(0).inFlight = 9;
-    gone.tell(here, 0);
-    here.fleet.forgetSilentRouters(2_900);
+    const stopped = new Gateway('gone');
+    stopped.server(0).inFlight = 9;
+    stopped.reportTo(here, 0);
+    here.fleet.expireRemoteRequests(2_900);
     expect(here.server(0).load(2_900)).toBe(9);
-    here.fleet.forgetSilentRouters(3_100);
+    here.fleet.expireRemoteRequests(3_100);
     expect(here.server(0).load(3_100)).toBe(0);
   });
 });
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_quarantine.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_quarantine.test.ts
@@ -29,17 +29,17 @@
   harness = undefined;
 });
 
-const sound: Script = (req, res, body) => {
+const healthy: Script = (req, res, body) => {
   answer(req, res, 200, body);
 };
 
 /** Crashes with some requests and serves the others. */
-const fragile: Script = (req, res, body) => {
-  if (body !== 'crash') sound(req, res, body);
+const crashing: Script = (req, res, body) => {
+  if (body !== 'crash') healthy(req, res, body);
   else harness?.crash(Number(req.socket.localPort));
 };
 
-function tell(crashes: number, quarantinedForMs: number): void {
+function applySuspicion(crashes: number, quarantinedForMs: number): void {
   const request = Buffer.from(FINGERPRINT, 'hex');
   const suspects = [{request, crashes, quarantinedForMs}];
   harness?.quarantine.useUpdate({suspects}, clock.now());
@@ -52,8 +52,8 @@
 
 describe('a request that crashes servers', () => {
   it('is answered at once with when to come back', async () => {
-    harness = await GatewayHarness.start([sound]);
-    tell(3, HOUR_MS);
+    harness = await GatewayHarness.start([healthy]);
+    applySuspicion(3, HOUR_MS);
     const res = await harness.call(CALL);
     expect(res.status).toBe(503);
     expect(Number(res.headers['retry-after'])).toBeGreaterThan(3_600);
@@ -64,14 +64,14 @@
 
   // Guards against a second try that crashes one server more than callers asked for.
   it('gets no second try once a server crashed under it elsewhere', async () => {
-    harness = await GatewayHarness.start([fragile, fragile, fragile]);
-    tell(2, 0);
+    harness = await GatewayHarness.start([crashing, crashing, crashing]);
+    applySuspicion(2, 0);
     expect((await harness.call(CALL)).status).toBe(502);
     expect(harness.arrivals).toHaveLength(1);
   });
 
   it('crashes three servers of a router that is cut off', async () => {
-    harness = await GatewayHarness.start(Array<Script>(6).fill(fragile));
+    harness = await GatewayHarness.start(Array<Script>(6).fill(crashing));
     let res = await harness.call(CALL);
     for (let turn = 0; turn < 5; turn += 1) {
       await expect.poll(hasReportedAll).toBe(true);
@@ -94,7 +94,7 @@
     harness = await GatewayHarness.start([slow]);
     const called = harness.call(CALL);
     await expect.poll(() => harness?.arrivals.length).toBe(1);
-    tell(3, HOUR_MS);
+    applySuspicion(3, HOUR_MS);
     expect((await called).status).toBe(502);
     await expect.poll(() => closed).toBe(true);
   });
@@ -112,13 +112,13 @@
     };
     const called = harness.call({...CALL, onHead});
     await expect.poll(() => hasBegun).toBe(true);
-    tell(3, HOUR_MS);
+    applySuspicion(3, HOUR_MS);
     expect((await called).whole).toBe(false);
   });
 
   it('runs again after a whole answer', async () => {
-    harness = await GatewayHarness.start([sound]);
-    tell(2, 0);
+    harness = await GatewayHarness.start([healthy]);
+    applySuspicion(2, 0);
     expect((await harness.call(CALL)).status).toBe(200);
     expect(harness.quarantine.isSuspect(FINGERPRINT, clock.now())).toBe(false);
   });
--- a/packages/lovagepond-gateway/src/deciders.ts
+++ b/packages/lovagepond-gateway/src/deciders.ts
@@ -1,9 +1,9 @@
 /**
  * The deciding classes of gateways, without I/O, for plays in virtual time.
  */
-export {AnswerTiming} from './gateway_answer_timing.js';
+export {ResponseTiming} from './gateway_response_timing.js';
 export {GatewayChoice} from './gateway_choice.js';
-export {GatewayCrashWatch, REACHABILITY} from './gateway_crash_watch.js';
+export {GatewayCrashDetector, REACHABILITY} from './gateway_crash_detector.js';
 export {type ContextFetch} from './gateway_context_source.js';
 export {ENGINE_WEIGHTS, type EngineWeights} from './gateway_engine_choice.js';
 export {GatewayFleet} from './gateway_fleet.js';
@@ -11,8 +11,8 @@
 export {type AttemptOutcome, decideNext} from './gateway_outcome.js';
 export {GatewayPeers} from './gateway_peers.js';
 export {PrefillRate} from './gateway_prefill_rate.js';
-export {PromptAccount} from './gateway_prompt_account.js';
-export {GatewayReadings} from './gateway_readings.js';
+export {PrefillTracker} from './gateway_prefill_tracker.js';
+export {GatewayLoadReports} from './gateway_load_reports.js';
 export {GatewayRetryBudget} from './gateway_retry_budget.js';
 export {type ForwardingRule, ForwardingRules} from './gateway_routes.js';
 export {ServerState} from './gateway_server_state.js';
--- a/packages/lovagepond-gateway/src/gateway_admission.ts
+++ b/packages/lovagepond-gateway/src/gateway_admission.ts
@@ -68,7 +68,7 @@
     if (configuration.revision <= this.#configuration.revision) return;
     this.#configuration = configuration;
     this.#rules = new ForwardingRules(configuration);
-    this.authority.hold(configuration.revision);
+    this.authority.noteInstalled(configuration.revision);
   }
 
   /** Called once the list of backend servers is known. */
@@ -129,7 +129,7 @@
     error: ErrorKind,
     at: ClockReading,
   ): {readonly ok: false; readonly error: ErrorKind} {
-    const isSure = this.authority.isSure(at);
-    return {ok: false, error: isSure ? error : 'notReady'};
+    const canDeny = this.authority.canDeny(at);
+    return {ok: false, error: canDeny ? error : 'notReady'};
   }
 }
--- a/packages/lovagepond-gateway/src/gateway_attempt.ts
+++ b/packages/lovagepond-gateway/src/gateway_attempt.ts
@@ -16,7 +16,7 @@
 }
 
 /** An answer's head. */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number;
   readonly rawHeaders: readonly string[];
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
@@ -40,7 +40,7 @@
 
 /** Hears how the attempt goes; after `failed` or `ended` nothing more. */
 export interface AttemptListener {
-  onHead(head: AnswerHead): void;
+  onHead(head: ResponseHead): void;
   /** @returns false to stop reading until `resume` */
   onData(chunk: Buffer): boolean;
   onEnd(): void;
@@ -68,7 +68,7 @@
   #controller: Controller | undefined;
   #notRunStatus: number | undefined;
   /** The answer has no length: the end of its connection ends it. */
-  #endsWithConnection = false;
+  #isCloseDelimited = false;
   #isSent = false;
   #isOver = false;
   #release: () => void = () => undefined;
@@ -94,8 +94,8 @@
   }
 
   /** True when the answer's end can't be told from its server's. */
-  get endsWithConnection(): boolean {
-    return this.#endsWithConnection;
+  get isCloseDelimited(): boolean {
+    return this.#isCloseDelimited;
   }
 
   /** True once a byte of the request may have reached the server. */
@@ -169,9 +169,9 @@
     };
   }
 
-  #onHead(head: AnswerHead): void {
+  #onHead(head: ResponseHead): void {
     const {status, headers} = head;
-    this.#endsWithConnection =
+    this.#isCloseDelimited =
       headers['content-length'] === undefined &&
       headers['transfer-encoding'] === undefined;
     // A second answer to an earlier request may arrive where this one's is due.
@@ -183,8 +183,8 @@
       });
       return;
     }
-    const saysNotRun = headers[this.#names.notRun] !== undefined;
-    if (saysNotRun || status === STATUS_MISDIRECTED) {
+    const isMarkedNotRun = headers[this.#names.notRun] !== undefined;
+    if (isMarkedNotRun || status === STATUS_MISDIRECTED) {
       this.#notRunStatus = status;
       return;
     }
@@ -198,7 +198,7 @@
 
   #onEnd(): void {
     if (this.#isOver) return;
-    if (this.#endsWithConnection && this.#wasReset()) {
+    if (this.#isCloseDelimited && this.#wasReset()) {
       const reason = 'reset before the end';
       this.#fail({kind: 'broken', reason, isLost: true});
       return;
--- a/packages/lovagepond-gateway/src/gateway_authority.ts
+++ b/packages/lovagepond-gateway/src/gateway_authority.ts
@@ -18,10 +18,10 @@
  * Part of the bound after which keys are no longer believed. The rest covers
  * a request's way through this process and what clocks may differ.
  */
-const USED_PART_OF_BOUND = 0.85;
+const KEY_TRUST_FRACTION = 0.85;
 
 /** Control counts as out of touch after this part of the bound. */
-const SURE_PART_OF_BOUND = 0.4;
+const DENIAL_FRACTION = 0.4;
 
 /**
  * A member of control pushes a change once it has it, so it is with a gateway a
@@ -31,15 +31,15 @@
  * the former configuration for as long. Asking every half second, a gateway goes
  * on 1.2 s after the change at the latest; operators count on two.
  */
-const BEHIND_LIMIT_MS = 500;
+const MAX_LAG_MS = 500;
 
 /** Follows what was confirmed, and when it was asked. */
 export class ConfigurationAuthority {
   readonly #boundMs: number;
-  #askedAt: ClockReading | undefined;
-  #awaited:
+  #freshAt: ClockReading | undefined;
+  #pending:
     {readonly revision: number; readonly askedAt: ClockReading} | undefined;
-  #heldRevision = 0;
+  #installedRevision = 0;
   /** Since when something newer than what is held is known to be in force. */
   #behindSince: number | undefined;
 
@@ -54,22 +54,22 @@
    * @param now present time, monotonic milliseconds
    */
   confirm(revision: number, askedAt: ClockReading, now: number): void {
-    if (revision <= this.#heldRevision) {
-      this.#askedAt = askedAt;
+    if (revision <= this.#installedRevision) {
+      this.#freshAt = askedAt;
       return;
     }
-    this.#awaited = {revision, askedAt};
+    this.#pending = {revision, askedAt};
     // Not from the question on: a process that was slow itself has the change
     // waiting beside the answer.
     this.#behindSince ??= now;
   }
 
   /** @param revision the revision that is in force here by now */
-  hold(revision: number): void {
-    this.#heldRevision = revision;
-    if (!this.#awaited || this.#awaited.revision > revision) return;
-    this.#askedAt = this.#awaited.askedAt;
-    this.#awaited = undefined;
+  noteInstalled(revision: number): void {
+    this.#installedRevision = revision;
+    if (!this.#pending || this.#pending.revision > revision) return;
+    this.#freshAt = this.#pending.askedAt;
+    this.#pending = undefined;
     this.#behindSince = undefined;
   }
 
@@ -80,9 +80,9 @@
    * @param now monotonic milliseconds
    * @returns true when it is time to go on to another member
    */
-  takeBehind(now: number): boolean {
+  shouldSwitchMember(now: number): boolean {
     const since = this.#behindSince;
-    if (since === undefined || now - since < BEHIND_LIMIT_MS) return false;
+    if (since === undefined || now - since < MAX_LAG_MS) return false;
     this.#behindSince = now;
     return true;
   }
@@ -92,15 +92,15 @@
    * @returns true while API keys may be believed
    */
   trustsKeys(at: ClockReading): boolean {
-    return this.#age(at) < this.#boundMs * USED_PART_OF_BOUND;
+    return this.#age(at) < this.#boundMs * KEY_TRUST_FRACTION;
   }
 
   /**
    * @param at present time
    * @returns true while "there is no such route or key" can be said
    */
-  isSure(at: ClockReading): boolean {
-    return this.#age(at) < this.#boundMs * SURE_PART_OF_BOUND;
+  canDeny(at: ClockReading): boolean {
+    return this.#age(at) < this.#boundMs * DENIAL_FRACTION;
   }
 
   /**
@@ -108,7 +108,7 @@
    * back: whichever saw more time pass is believed.
    */
   #age({now, wallTime}: ClockReading): number {
-    if (!this.#askedAt) return Infinity;
-    return Math.max(now - this.#askedAt.now, wallTime - this.#askedAt.wallTime);
+    if (!this.#freshAt) return Infinity;
+    return Math.max(now - this.#freshAt.now, wallTime - this.#freshAt.wallTime);
   }
 }
--- a/packages/lovagepond-gateway/src/gateway_kept_failure.ts
+++ b/packages/lovagepond-gateway/src/gateway_buffered_failure.ts
@@ -1,20 +1,20 @@
 /**
  * A server's failure answer, kept while another server is tried.
  */
-import {type AnswerHead} from './gateway_attempt.js';
+import {type ResponseHead} from './gateway_attempt.js';
 import {type CallerChannel} from './gateway_caller_channel.js';
 
 /** A larger one isn't kept. */
-const MAX_KEPT_BYTES = 64 * 1024;
+const MAX_BUFFERED_BYTES = 64 * 1024;
 
 /** Head and body as they came. */
-export class KeptFailure {
-  readonly #head: AnswerHead;
+export class BufferedFailure {
+  readonly #head: ResponseHead;
   readonly #chunks: Buffer[] = [];
   #size = 0;
 
   /** @param head its status and headers */
-  constructor(head: AnswerHead) {
+  constructor(head: ResponseHead) {
     this.#head = head;
   }
 
@@ -24,7 +24,7 @@
    */
   add(chunk: Buffer): boolean {
     this.#size += chunk.length;
-    if (this.#size > MAX_KEPT_BYTES) return false;
+    if (this.#size > MAX_BUFFERED_BYTES) return false;
     this.#chunks.push(chunk);
     return true;
   }
--- a/packages/lovagepond-gateway/src/gateway_caller_channel.ts
+++ b/packages/lovagepond-gateway/src/gateway_caller_channel.ts
@@ -8,29 +8,33 @@
   makeFailure,
   type Random,
 } from '@lovagepond/core';
-import {type AnswerHead} from './gateway_attempt.js';
+import {type ResponseHead} from './gateway_attempt.js';
 import {headersForCaller} from './gateway_headers.js';
 
 /** Shortest and longest time after which a refused caller may come back, s. */
-const RETRY_AFTER_FROM_S = 0.15;
-const RETRY_AFTER_TO_S = 0.6;
+const MIN_RETRY_AFTER_S = 0.15;
+const MAX_RETRY_AFTER_S = 0.6;
 
 /** Answers one request over Node's response. */
 export class CallerChannel {
   readonly #res: ServerResponse;
   readonly #random: Random;
-  readonly #closes: () => boolean;
+  readonly #closesConnection: () => boolean;
   #isOver = false;
 
   /**
    * @param res Node's response
    * @param random spreads the times to come back
-   * @param closes tells whether connections end with their answer
+   * @param closesConnection tells whether connections end with their answer
    */
-  constructor(res: ServerResponse, random: Random, closes: () => boolean) {
+  constructor(
+    res: ServerResponse,
+    random: Random,
+    closesConnection: () => boolean,
+  ) {
     this.#res = res;
     this.#random = random;
-    this.#closes = closes;
+    this.#closesConnection = closesConnection;
     res.sendDate = false;
   }
 
@@ -44,7 +48,7 @@
   }
 
   /** @param listener called when the caller left before the answer's end */
-  onGone(listener: () => void): void {
+  onDisconnected(listener: () => void): void {
     this.#res.on('close', () => {
       if (!this.#isOver) listener();
     });
@@ -56,9 +60,9 @@
   }
 
   /** @param head a server's status and headers */
-  sendHead({status, rawHeaders}: AnswerHead): void {
+  sendHead({status, rawHeaders}: ResponseHead): void {
     const headers = headersForCaller(rawHeaders);
-    if (this.#closes()) headers.push('Connection', 'close');
+    if (this.#closesConnection()) headers.push('Connection', 'close');
     this.#res.writeHead(status, headers);
     this.#res.flushHeaders();
   }
@@ -82,15 +86,15 @@
 
   /**
    * @param error the kind of a failure of this router's own
-   * @param comeBackMs when the caller may come back, where that is known
+   * @param notBeforeMs when the caller may come back, where that is known
    */
-  refuse(error: ErrorKind, comeBackMs?: number): void {
+  refuse(error: ErrorKind, notBeforeMs?: number): void {
     this.#isOver = true;
     const {status, retryable, message} = answerFor(error);
-    const spreadS =
-      RETRY_AFTER_FROM_S +
-      this.#random.next() * (RETRY_AFTER_TO_S - RETRY_AFTER_FROM_S);
-    const retryAfterS = (comeBackMs ?? 0) / 1_000 + spreadS;
+    const jitteredS =
+      MIN_RETRY_AFTER_S +
+      this.#random.next() * (MAX_RETRY_AFTER_S - MIN_RETRY_AFTER_S);
+    const retryAfterS = (notBeforeMs ?? 0) / 1_000 + jitteredS;
     const failure = makeFailure(error, {
       message,
       retryAfterMs: retryable ? Math.round(retryAfterS * 1_000) : 0,
@@ -103,7 +107,7 @@
       String(body.length),
     ];
     if (retryable) headers.push('Retry-After', retryAfterS.toFixed(2));
-    if (this.#closes()) headers.push('Connection', 'close');
+    if (this.#closesConnection()) headers.push('Connection', 'close');
     this.#res.writeHead(status, headers);
     this.#res.end(body);
   }
--- a/packages/lovagepond-gateway/src/gateway_choice.ts
+++ b/packages/lovagepond-gateway/src/gateway_choice.ts
@@ -85,9 +85,9 @@
     const untried = req.servers.filter(
       ({server}) => !req.tried.has(server.name),
     );
-    const well = untried.filter(state => !state.isAvoided(now));
+    const healthy = untried.filter(state => !state.isAvoided(now));
     // When all look ill, the fault is as likely on this side.
-    const candidates = well.length > 0 ? well : untried;
+    const candidates = healthy.length > 0 ? healthy : untried;
     if (candidates.length === 0) return undefined;
     const within = this.#withinBound(candidates, req.pool, now);
     const isChat = req.sticky && req.parts.length > 0;
@@ -139,7 +139,7 @@
       (state, at) => (loads[at] ?? 0) <= least + SAME_LOAD / state.slots,
     );
     const zone = this.#settings.availabilityZone;
-    const near = equal.filter(({server}) => server.availabilityZone === zone);
-    return this.#random.pick(near.length > 0 ? near : equal);
+    const inZone = equal.filter(({server}) => server.availabilityZone === zone);
+    return this.#random.pick(inZone.length > 0 ? inZone : equal);
   }
 }
--- a/packages/lovagepond-gateway/src/gateway_connections.ts
+++ b/packages/lovagepond-gateway/src/gateway_connections.ts
@@ -141,13 +141,13 @@
     this.#opened += 1;
     const connection = {server, client, wasReset: false};
     client.on('disconnect', () => {
-      this.#forget(connection);
+      this.#removeIdle(connection);
     });
     return connection;
   }
 
   /** An idle connection that ended would only cost its next request time. */
-  #forget(connection: ServerConnection): void {
+  #removeIdle(connection: ServerConnection): void {
     const idle = this.#idle.get(connection.server);
     const at = idle?.indexOf(connection) ?? -1;
     if (at < 0) return;
--- a/packages/lovagepond-gateway/src/gateway_context_source.ts
+++ b/packages/lovagepond-gateway/src/gateway_context_source.ts
@@ -41,7 +41,7 @@
     now: number,
   ) {
     const holders = states
-      .filter(state => !state.isGone && !state.isAvoided(now))
+      .filter(state => !state.isReplaced && !state.isAvoided(now))
       .map(state => {
         const lackingTokens = state.coldTokens(parts, now);
         return {state, lackingTokens};
--- a/packages/lovagepond-gateway/src/gateway_crash_watch.ts
+++ b/packages/lovagepond-gateway/src/gateway_crash_detector.ts
@@ -32,9 +32,9 @@
 /** Requests that are kept for one server. */
 const MAX_REQUESTS = 512;
 
-interface BrokenServer {
+interface TrackedServer {
   readonly state: ServerState;
-  readonly brokeAt: number;
+  readonly lostAt: number;
   readonly requests: Set<string>;
   probes: number;
   probedAt: number;
@@ -42,8 +42,8 @@
 }
 
 /** Follows servers that broke connections. */
-export class GatewayCrashWatch {
-  readonly #broken = new Map<string, BrokenServer>();
+export class GatewayCrashDetector {
+  readonly #tracked = new Map<string, TrackedServer>();
   #crashes = 0;
   readonly #onCrash: (crash: ServerCrash, now: number) => void;
 
@@ -65,22 +65,22 @@
    * @param request fingerprint of the request whose answer broke off
    * @param now present time, monotonic milliseconds
    */
-  noteBroken(state: ServerState, request: string, now: number): void {
+  noteConnectionLost(state: ServerState, request: string, now: number): void {
     // A server that leaves ends soon, and breaks off what isn't done by then.
     if (state.server.state !== SERVER_STATE.READY) return;
     const {name} = state.server;
-    const broken = this.#broken.get(name) ?? {
+    const tracked = this.#tracked.get(name) ?? {
       state,
-      brokeAt: now,
+      lostAt: now,
       requests: new Set<string>(),
       probes: 0,
       probedAt: Number.NEGATIVE_INFINITY,
       hasCrashed: false,
     };
-    this.#broken.set(name, broken);
-    if (broken.requests.size < MAX_REQUESTS) broken.requests.add(request);
-    if (state.isGone) this.noteEnded(name, now);
-    else if (broken.hasCrashed) this.#tell(name, broken, now);
+    this.#tracked.set(name, tracked);
+    if (tracked.requests.size < MAX_REQUESTS) tracked.requests.add(request);
+    if (state.isReplaced) this.noteExited(name, now);
+    else if (tracked.hasCrashed) this.#reportCrash(name, tracked, now);
   }
 
   /**
@@ -88,12 +88,12 @@
    *     answers
    * @param now present time, monotonic milliseconds
    */
-  noteEnded(name: string, now: number): void {
-    const broken = this.#broken.get(name);
-    if (!broken || broken.hasCrashed) return;
-    broken.hasCrashed = true;
+  noteExited(name: string, now: number): void {
+    const tracked = this.#tracked.get(name);
+    if (!tracked || tracked.hasCrashed) return;
+    tracked.hasCrashed = true;
     this.#crashes += 1;
-    this.#tell(name, broken, now);
+    this.#reportCrash(name, tracked, now);
   }
 
   /**
@@ -102,12 +102,12 @@
    * @param now present time, monotonic milliseconds
    */
   noteProbe(name: string, reachability: Reachability, now: number): void {
-    const broken = this.#broken.get(name);
-    if (!broken || broken.hasCrashed) return;
-    if (reachability === REACHABILITY.REFUSES) this.noteEnded(name, now);
+    const tracked = this.#tracked.get(name);
+    if (!tracked || tracked.hasCrashed) return;
+    if (reachability === REACHABILITY.REFUSES) this.noteExited(name, now);
     const isAlive =
-      reachability === REACHABILITY.ACCEPTS && broken.probes >= MAX_PROBES;
-    if (isAlive) this.#broken.delete(name);
+      reachability === REACHABILITY.ACCEPTS && tracked.probes >= MAX_PROBES;
+    if (isAlive) this.#tracked.delete(name);
   }
 
   /**
@@ -115,10 +115,10 @@
    * @param now present time, monotonic milliseconds
    */
   noteListed(listed: ReadonlySet<string>, now: number): void {
-    for (const [name, {state}] of this.#broken) {
+    for (const [name, {state}] of this.#tracked) {
       if (listed.has(name)) continue;
-      if (state.server.state === SERVER_STATE.READY) this.noteEnded(name, now);
-      else this.#broken.delete(name);
+      if (state.server.state === SERVER_STATE.READY) this.noteExited(name, now);
+      else this.#tracked.delete(name);
     }
   }
 
@@ -126,15 +126,15 @@
    * @param now present time, monotonic milliseconds
    * @returns servers to try to connect to now
    */
-  takeProbes(now: number): readonly ServerState[] {
+  takeDueProbes(now: number): readonly ServerState[] {
     const due: ServerState[] = [];
-    for (const [name, broken] of this.#broken) {
-      if (now - broken.brokeAt > UNDECIDED_MS) this.#broken.delete(name);
-      if (broken.hasCrashed || broken.probes >= MAX_PROBES) continue;
-      if (now - broken.probedAt < PROBE_INTERVAL_MS) continue;
-      broken.probes += 1;
-      broken.probedAt = now;
-      due.push(broken.state);
+    for (const [name, tracked] of this.#tracked) {
+      if (now - tracked.lostAt > UNDECIDED_MS) this.#tracked.delete(name);
+      if (tracked.hasCrashed || tracked.probes >= MAX_PROBES) continue;
+      if (now - tracked.probedAt < PROBE_INTERVAL_MS) continue;
+      tracked.probes += 1;
+      tracked.probedAt = now;
+      due.push(tracked.state);
     }
     return due;
   }
@@ -145,14 +145,14 @@
    */
   undecided(request: string): number {
     let count = 0;
-    for (const {requests, hasCrashed} of this.#broken.values()) {
+    for (const {requests, hasCrashed} of this.#tracked.values()) {
       if (!hasCrashed && requests.has(request)) count += 1;
     }
     return count;
   }
 
-  #tell(server: string, broken: BrokenServer, now: number): void {
-    const requests = [...broken.requests];
-    this.#onCrash({server, requests, crashedAt: broken.brokeAt}, now);
+  #reportCrash(server: string, tracked: TrackedServer, now: number): void {
+    const requests = [...tracked.requests];
+    this.#onCrash({server, requests, crashedAt: tracked.lostAt}, now);
   }
 }
--- a/packages/lovagepond-gateway/src/gateway_departure.ts
+++ b/packages/lovagepond-gateway/src/gateway_drain_admission.ts
@@ -20,13 +20,13 @@
 const END_MARGIN_MS = 300;
 
 /** Learns how long requests take, and refuses those that can't end in time. */
-export class GatewayDeparture {
+export class GatewayDrainAdmission {
   /** Long durations, milliseconds, by the rule that requests run under. */
-  readonly #long = new Map<string, number>();
+  readonly #longDurations = new Map<string, number>();
   #endsAt: number | undefined;
 
   /** True once the process is stopping. */
-  get isClosing(): boolean {
+  get isDraining(): boolean {
     return this.#endsAt !== undefined;
   }
 
@@ -39,10 +39,10 @@
    * @param rule the rule that a request ran under
    * @param durationMs time from its arrival to the end of its answer
    */
-  noteEnded(rule: string, durationMs: number): void {
-    const long = this.#long.get(rule) ?? 0;
+  noteDuration(rule: string, durationMs: number): void {
+    const long = this.#longDurations.get(rule) ?? 0;
     const weight = durationMs > long ? LONGER_WEIGHT : SHORTER_WEIGHT;
-    this.#long.set(rule, long + (durationMs - long) * weight);
+    this.#longDurations.set(rule, long + (durationMs - long) * weight);
   }
 
   /**
@@ -51,9 +51,9 @@
    * @param now present time, monotonic milliseconds
    * @returns false when its answer would be cut by the end of the process
    */
-  mayTake(rule: string, limitMs: number, now: number): boolean {
+  admits(rule: string, limitMs: number, now: number): boolean {
     if (this.#endsAt === undefined) return true;
-    const long = this.#long.get(rule);
+    const long = this.#longDurations.get(rule);
     const expectedMs = long === undefined ? limitMs : long * SAFETY_FACTOR;
     const neededMs = Math.min(limitMs, expectedMs) + END_MARGIN_MS;
     return now + neededMs <= this.#endsAt;
--- a/packages/lovagepond-gateway/src/gateway_engine_choice.ts
+++ b/packages/lovagepond-gateway/src/gateway_engine_choice.ts
@@ -34,9 +34,9 @@
   readonly fetch: ContextFetch;
 }
 
-interface Offer extends EngineChoice {
+interface EngineOption extends EngineChoice {
   /** Tokens that it has to read itself. */
-  readonly unreadTokens: number;
+  readonly prefillTokens: number;
 }
 
 /** What counts how much in the choice of an engine. */
@@ -102,54 +102,58 @@
   hasher: KeyHasher,
   now: number,
 ): EngineChoice | undefined {
-  const offers = listOffers(req, now);
-  const least = Math.min(...offers.map(({unreadTokens}) => unreadTokens));
+  const options = listOptions(req, now);
+  const leastPrefillTokens = Math.min(
+    ...options.map(({prefillTokens: prefillTokens}) => prefillTokens),
+  );
   const home = findHome(req, hasher);
-  let best: Offer | undefined;
+  let best: EngineOption | undefined;
   let bestCost = Infinity;
-  for (const offer of offers) {
-    const avoidable = offer.state === home ? 0 : req.weights.home * least;
-    const rereadTokens = offer.unreadTokens - least + avoidable;
-    const cost = costOf(offer, rereadTokens, req, now);
+  for (const option of options) {
+    const homeAdvantage =
+      option.state === home ? 0 : req.weights.home * leastPrefillTokens;
+    const extraTokens =
+      option.prefillTokens - leastPrefillTokens + homeAdvantage;
+    const cost = costOf(option, extraTokens, req, now);
     if (cost >= bestCost) continue;
-    best = offer;
+    best = option;
     bestCost = cost;
   }
   return best;
 }
 
-function listOffers(req: EngineRequest, now: number): readonly Offer[] {
+function listOptions(req: EngineRequest, now: number): readonly EngineOption[] {
   const {candidates, parts, fetchTokensPerMs} = req;
   const holders = fetchTokensPerMs === undefined ? [] : req.holders;
   const sources = new ContextSources(holders, parts, now);
   return candidates.map(state => {
     const coldTokens = state.coldTokens(parts);
     const fetch = sources.fetchFor(state, coldTokens);
-    return {state, fetch, unreadTokens: coldTokens - fetch.tokens};
+    return {state, fetch, prefillTokens: coldTokens - fetch.tokens};
   });
 }
 
 /** What the choice costs this caller and others, in milliseconds. */
 function costOf(
-  {state, fetch, unreadTokens}: Offer,
-  rereadTokens: number,
+  {state, fetch, prefillTokens: prefillTokens}: EngineOption,
+  extraTokens: number,
   req: EngineRequest,
   now: number,
 ): number {
   const {readTokensPerMs, fetchTokensPerMs = Infinity, weights} = req;
-  const firstMs =
-    unreadTokens / readTokensPerMs +
+  const firstTokenMs =
+    prefillTokens / readTokensPerMs +
     fetch.tokens / fetchTokensPerMs +
-    state.readingMs(readTokensPerMs, now);
-  const lateMs = firstMs - req.targetLatencyMs * weights.freeWaitPart;
-  const anewTokens = rereadTokens + fetch.tokens * weights.fetch;
+    state.prefillWaitMs(readTokensPerMs, now);
+  const lateMs = firstTokenMs - req.targetLatencyMs * weights.freeWaitPart;
+  const weightedTokens = extraTokens + fetch.tokens * weights.fetch;
   const failure = req.repeatable
     ? weights.repeatableFailure
     : weights.lostFailure;
   return (
-    (anewTokens / readTokensPerMs) * weights.reread +
+    (weightedTokens / readTokensPerMs) * weights.reread +
     Math.max(0, lateMs) * weights.late +
-    firstMs * weights.early +
+    firstTokenMs * weights.early +
     state.load(now) * weights.runningRequestMs +
     state.failureRisk(now) * failure * req.targetLatencyMs
   );
--- a/packages/lovagepond-gateway/src/gateway_event_stream.ts
+++ b/packages/lovagepond-gateway/src/gateway_event_stream.ts
@@ -10,7 +10,7 @@
 const ID_LINE = /^id:\s*(\d+)\s*$/m;
 
 /** What became of a piece of a stream. */
-export type EventPiece =
+export type ParsedChunk =
   /** Whole events, as they came; may be empty. */
   | {readonly kind: 'events'; readonly bytes: Buffer}
   /** An event is missing or comes twice. */
@@ -27,12 +27,12 @@
   }
 
   /** True between events. */
-  get isWhole(): boolean {
+  get isAtEventBoundary(): boolean {
     return this.#pending.length === 0;
   }
 
   /** Forgets the half event of a run that broke off. */
-  beginRun(): void {
+  discardPartialEvent(): void {
     this.#pending = Buffer.alloc(0);
   }
 
@@ -40,7 +40,7 @@
    * @param chunk bytes as they came
    * @returns the events that are whole by now
    */
-  take(chunk: Buffer): EventPiece {
+  take(chunk: Buffer): ParsedChunk {
     this.#pending =
       this.#pending.length === 0
         ? chunk
--- a/packages/lovagepond-gateway/src/gateway_exchange.ts
+++ b/packages/lovagepond-gateway/src/gateway_exchange.ts
@@ -6,19 +6,19 @@
  */
 import {type ErrorKind} from '@lovagepond/core';
 import {
-  type AnswerHead,
+  type ResponseHead,
   Attempt,
   type AttemptFailure,
   type OutgoingRequest,
   STATUS_MISDIRECTED,
 } from './gateway_attempt.js';
-import {AnswerTiming} from './gateway_answer_timing.js';
+import {ResponseTiming} from './gateway_response_timing.js';
 import {type CallerChannel} from './gateway_caller_channel.js';
 import {type ServerChoice} from './gateway_choice.js';
 import {EventStream} from './gateway_event_stream.js';
 import {
   type AdmittedRequest,
-  type ExchangeParts,
+  type ExchangeDependencies,
 } from './gateway_exchange_types.js';
 import {headersForServer, readServerLoad} from './gateway_headers.js';
 import {
@@ -26,8 +26,8 @@
   decideNext,
   type NextStep,
 } from './gateway_outcome.js';
-import {PromptAccount} from './gateway_prompt_account.js';
-import {KeptFailure} from './gateway_kept_failure.js';
+import {PrefillTracker} from './gateway_prefill_tracker.js';
+import {BufferedFailure} from './gateway_buffered_failure.js';
 import {type ServerState} from './gateway_server_state.js';
 
 /**
@@ -43,39 +43,39 @@
 /** Runs one request. */
 export class Exchange {
   readonly #req: AdmittedRequest;
-  readonly #parts: ExchangeParts;
+  readonly #deps: ExchangeDependencies;
   readonly #caller: CallerChannel;
   readonly #onDone: () => void;
   readonly #events: EventStream | undefined;
   readonly #tried = new Set<string>();
   #attempt: Attempt | undefined;
   /** The prompt at the server of the attempt under way. */
-  #account: PromptAccount | undefined;
+  #prefill: PrefillTracker | undefined;
   /** Of the attempt under way, at a plain service. */
-  #timing: AnswerTiming | undefined;
+  #timing: ResponseTiming | undefined;
   #timer: NodeJS.Timeout | undefined;
   /** The failure answer that the attempt under way brings. */
-  #arriving: KeptFailure | undefined;
+  #incomingFailure: BufferedFailure | undefined;
   /** The last failure answer that came whole. */
-  #failure: KeptFailure | undefined;
+  #bufferedFailure: BufferedFailure | undefined;
   #runs = 0;
-  #offers = 0;
+  #attempts = 0;
   #isDone = false;
 
   /**
    * @param req the request
-   * @param parts what all exchanges share
+   * @param deps what all exchanges share
    * @param caller where the answer goes
    * @param onDone called once, after the final answer or the caller's leaving
    */
   constructor(
     req: AdmittedRequest,
-    parts: ExchangeParts,
+    deps: ExchangeDependencies,
     caller: CallerChannel,
     onDone: () => void,
   ) {
     this.#req = req;
-    this.#parts = parts;
+    this.#deps = deps;
     this.#caller = caller;
     this.#onDone = onDone;
     if (req.rule.forwarding.streaming) this.#events = new EventStream();
@@ -91,18 +91,18 @@
       },
       Math.max(0, left),
     );
-    this.#caller.onGone(() => {
-      this.#onCallerGone();
+    this.#caller.onDisconnected(() => {
+      this.#onCallerDisconnected();
     });
     this.#caller.onDrained(() => {
       this.#attempt?.resume();
     });
-    this.#parts.budget.noteRequest(this.#req.pool.name, now);
-    this.#offer();
+    this.#deps.budget.noteRequest(this.#req.pool.name, now);
+    this.#startAttempt();
   }
 
   /** Ends it, as servers crash while they run it. */
-  takeBack(): void {
+  abortQuarantined(): void {
     if (this.#isDone) return;
     if (this.#attempt?.isSent) this.#runs += 1;
     this.#attempt?.abort();
@@ -111,15 +111,15 @@
   }
 
   #now(): number {
-    return this.#parts.clock.now();
+    return this.#deps.clock.now();
   }
 
-  #offer(): void {
+  #startAttempt(): void {
     const now = this.#now();
     const {pool, facts, rule} = this.#req;
-    const {fleet, choice, names, connections, quarantine} = this.#parts;
+    const {fleet, choice, names, connections, quarantine} = this.#deps;
     if (quarantine.quarantinedForMs(this.#req.fingerprint, now)) {
-      this.takeBack();
+      this.abortQuarantined();
       return;
     }
     const chosen = choice.choose(
@@ -143,11 +143,11 @@
     const {sticky, targetLatencyMs} = rule.forwarding;
     this.#timing = sticky
       ? undefined
-      : new AnswerTiming(state, targetLatencyMs, now);
-    this.#offers += 1;
+      : new ResponseTiming(state, targetLatencyMs, now);
+    this.#attempts += 1;
     this.#tried.add(state.server.name);
-    const parts = this.#parts;
-    this.#account = new PromptAccount(state, facts.parts, fetch, parts, now);
+    const deps = this.#deps;
+    this.#prefill = new PrefillTracker(state, facts.parts, fetch, deps, now);
     state.inFlight += 1;
     const attempt = new Attempt(state, names, facts.requestId, {
       onHead: head => {
@@ -168,7 +168,7 @@
   #outgoing({state, fetch}: ServerChoice, now: number): OutgoingRequest {
     const {method, path, rawHeaders, body, workspace, priority} = this.#req;
     const lastId = this.#events?.lastId;
-    const headers = headersForServer(rawHeaders, this.#parts.names, {
+    const headers = headersForServer(rawHeaders, this.#deps.names, {
       deadlineMs: this.#req.deadlineAt - now,
       workspace,
       instance: state.server.incarnation,
@@ -184,20 +184,20 @@
   #endAttempt(): ServerState | undefined {
     const state = this.#attempt?.state;
     this.#attempt = undefined;
-    this.#arriving = undefined;
+    this.#incomingFailure = undefined;
     if (!state) return undefined;
-    this.#account?.close();
+    this.#prefill?.close();
     state.inFlight -= 1;
     return state;
   }
 
-  #onHead(head: AnswerHead): void {
+  #onHead(head: ResponseHead): void {
     const state = this.#attempt?.state;
     if (!state) return;
-    const load = readServerLoad(head.headers, this.#parts.names);
+    const load = readServerLoad(head.headers, this.#deps.names);
     if (load) state.noteLoad(load, this.#now());
     if (head.status >= FIRST_ERROR_STATUS) {
-      this.#arriving = new KeptFailure(head);
+      this.#incomingFailure = new BufferedFailure(head);
       return;
     }
     if (!this.#caller.headSent) this.#caller.sendHead(head);
@@ -206,9 +206,9 @@
   #onData(chunk: Buffer): boolean {
     const attempt = this.#attempt;
     if (!attempt) return true;
-    this.#account?.noteFirstToken(this.#now());
-    if (this.#arriving) {
-      this.#keepChunk(this.#arriving, chunk);
+    this.#prefill?.noteFirstToken(this.#now());
+    if (this.#incomingFailure) {
+      this.#bufferChunk(this.#incomingFailure, chunk);
       return true;
     }
     if (!this.#events) return this.#caller.write(chunk);
@@ -221,7 +221,7 @@
     return piece.bytes.length === 0 || this.#caller.write(piece.bytes);
   }
 
-  #keepChunk(failure: KeptFailure, chunk: Buffer): void {
+  #bufferChunk(failure: BufferedFailure, chunk: Buffer): void {
     if (failure.add(chunk)) return;
     this.#attempt?.abort();
     const reason = 'failure answer too large';
@@ -229,31 +229,31 @@
   }
 
   #onEnd(): void {
-    if (this.#arriving) {
-      this.#failure = this.#arriving;
-      this.#noteAnswered();
-      this.#endAttempt()?.noteErrorAnswer(this.#now());
+    if (this.#incomingFailure) {
+      this.#bufferedFailure = this.#incomingFailure;
+      this.#noteCompleteResponse();
+      this.#endAttempt()?.noteErrorResponse(this.#now());
       this.#runs += 1;
-      this.#follow({kind: 'failedAnswer'}, 'failure answer');
+      this.#handleOutcome({kind: 'failedAnswer'}, 'failure answer');
       return;
     }
-    if (this.#events && !this.#events.isWhole) {
+    if (this.#events && !this.#events.isAtEventBoundary) {
       const reason = 'half an event at the end';
       this.#onFailed({kind: 'broken', reason, isLost: true});
       return;
     }
-    this.#noteAnswered();
+    this.#noteCompleteResponse();
     const state = this.#endAttempt();
-    if (this.#timing) this.#timing.noteAnswer(this.#now());
+    if (this.#timing) this.#timing.noteResponse(this.#now());
     else state?.noteSuccess(this.#now());
     this.#caller.end();
     this.#finish('answered');
   }
 
   /** Without a length its end may be the server's. */
-  #noteAnswered(): void {
-    if (this.#attempt?.endsWithConnection) return;
-    const {quarantine} = this.#parts;
+  #noteCompleteResponse(): void {
+    if (this.#attempt?.isCloseDelimited) return;
+    const {quarantine} = this.#deps;
     quarantine.noteAnswered(this.#req.fingerprint, this.#now());
   }
 
@@ -262,49 +262,49 @@
     if (failure.kind === 'broken') this.#runs += 1;
     this.#noteFailure(state, failure);
     if (failure.kind === 'notRun') {
-      this.#follow({kind: 'notRun'}, `server refused ${failure.status}`);
+      this.#handleOutcome({kind: 'notRun'}, `server refused ${failure.status}`);
       return;
     }
-    this.#events?.beginRun();
-    this.#follow({kind: failure.kind}, failure.reason);
+    this.#events?.discardPartialEvent();
+    this.#handleOutcome({kind: failure.kind}, failure.reason);
   }
 
   #noteFailure(state: ServerState | undefined, failure: AttemptFailure): void {
     if (!state) return;
     const now = this.#now();
     const {kind} = failure;
-    if (kind !== 'notRun') state.noteBroken(now);
+    if (kind !== 'notRun') state.noteAttemptFailure(now);
     // With the right name in the request: another server lives there.
-    else if (failure.status === STATUS_MISDIRECTED) state.markGone();
-    const {quarantine} = this.#parts;
+    else if (failure.status === STATUS_MISDIRECTED) state.markReplaced();
+    const {quarantine} = this.#deps;
     quarantine.noteFailure(state, this.#req.fingerprint, failure, now);
   }
 
-  #follow(outcome: AttemptOutcome, reason: string): void {
+  #handleOutcome(outcome: AttemptOutcome, reason: string): void {
     if (this.#isDone) return;
     const now = this.#now();
     const {pool, rule, deadlineAt, fingerprint} = this.#req;
-    const {quarantine, budget} = this.#parts;
+    const {quarantine, budget} = this.#deps;
     const next = decideNext(outcome, {
       rule,
       runs: this.#runs,
-      offers: this.#offers,
+      attempts: this.#attempts,
       headSent: this.#caller.headSent,
-      hasFailure: this.#failure !== undefined,
+      hasFailure: this.#bufferedFailure !== undefined,
       lastEventId: this.#events?.lastId,
       timeLeftMs: deadlineAt - now,
       isSuspect: quarantine.isSuspect(fingerprint, now),
       trySpend: () => budget.trySpend(pool.name, now),
     });
-    this.#noteStep(outcome.kind, reason, next);
-    this.#take(next);
+    this.#recordFailedAttempt(outcome.kind, reason, next);
+    this.#performStep(next);
   }
 
-  #take(next: NextStep): void {
+  #performStep(next: NextStep): void {
     if (next.kind === 'retry' || next.kind === 'resume') {
-      this.#offer();
+      this.#startAttempt();
     } else if (next.kind === 'passFailure') {
-      this.#passFailure();
+      this.#sendBufferedFailure();
     } else if (next.kind === 'cut') {
       this.#caller.cut();
       this.#finish('cut');
@@ -313,41 +313,41 @@
     }
   }
 
-  #passFailure(): void {
-    const failure = this.#failure;
+  #sendBufferedFailure(): void {
+    const failure = this.#bufferedFailure;
     if (!failure) return;
     failure.sendTo(this.#caller);
     this.#finish('failed');
   }
 
-  /** @param unrun why it didn't run, if it didn't */
-  #giveUp(unrun: ErrorKind): void {
+  /** @param errorIfNotRun why it didn't run, if it didn't */
+  #giveUp(errorIfNotRun: ErrorKind): void {
     if (this.#caller.headSent) {
       this.#caller.cut();
       this.#finish('cut');
-    } else if (this.#failure) {
-      this.#passFailure();
+    } else if (this.#bufferedFailure) {
+      this.#sendBufferedFailure();
     } else {
-      this.#refuse(this.#runs > 0 ? 'backendFailed' : unrun);
+      this.#refuse(this.#runs > 0 ? 'backendFailed' : errorIfNotRun);
     }
   }
 
   #refuse(error: ErrorKind): void {
-    const {quarantine} = this.#parts;
+    const {quarantine} = this.#deps;
     const {fingerprint} = this.#req;
-    const comeBackMs = quarantine.quarantinedForMs(fingerprint, this.#now());
-    this.#caller.refuse(error, comeBackMs);
+    const notBeforeMs = quarantine.quarantinedForMs(fingerprint, this.#now());
+    this.#caller.refuse(error, notBeforeMs);
     this.#finish(error);
   }
 
   #onTimeout(): void {
     const sent = this.#attempt?.isSent ?? false;
     this.#attempt?.abort();
-    this.#endAttempt()?.noteBroken(this.#now());
-    this.#follow({kind: 'timedOut', sent}, 'no time left');
+    this.#endAttempt()?.noteAttemptFailure(this.#now());
+    this.#handleOutcome({kind: 'timedOut', sent}, 'no time left');
   }
 
-  #onCallerGone(): void {
+  #onCallerDisconnected(): void {
     if (this.#isDone) return;
     this.#attempt?.abort();
     this.#endAttempt();
@@ -358,9 +358,9 @@
     if (this.#isDone) return;
     this.#isDone = true;
     clearTimeout(this.#timer);
-    this.#parts.counters.noteEnded(outcome);
+    this.#deps.counters.noteEnded(outcome);
     const {facts, rule, pool, arrivedAt} = this.#req;
-    this.#parts.log.info('request ended', {
+    this.#deps.log.info('request ended', {
       request: facts.requestId,
       rule: rule.name,
       pool: pool.name,
@@ -372,10 +372,10 @@
     this.#onDone();
   }
 
-  #noteStep(outcome: string, reason: string, next: NextStep): void {
+  #recordFailedAttempt(outcome: string, reason: string, next: NextStep): void {
     const isFollowed = next.kind === 'retry' || next.kind === 'resume';
-    this.#parts.counters.noteFailedAttempt(outcome, isFollowed);
-    this.#parts.log.warn('attempt failed', {
+    this.#deps.counters.noteFailedAttempt(outcome, isFollowed);
+    this.#deps.log.warn('attempt failed', {
       request: this.#req.facts.requestId,
       fingerprint: this.#req.fingerprint,
       server: [...this.#tried].at(-1),
--- a/packages/lovagepond-gateway/src/gateway_exchange_types.ts
+++ b/packages/lovagepond-gateway/src/gateway_exchange_types.ts
@@ -7,13 +7,13 @@
 import {type GatewayCounters} from './gateway_counters.js';
 import {type GatewayFleet} from './gateway_fleet.js';
 import {type GatewayHeaderNames, type RequestFacts} from './gateway_headers.js';
-import {type AccountParts} from './gateway_prompt_account.js';
+import {type PrefillTrackerDependencies} from './gateway_prefill_tracker.js';
 import {type GatewayQuarantine} from './gateway_quarantine.js';
 import {type GatewayRetryBudget} from './gateway_retry_budget.js';
 import {type ForwardingRule} from './gateway_routes.js';
 
 /** What all exchanges share. */
-export interface ExchangeParts extends AccountParts {
+export interface ExchangeDependencies extends PrefillTrackerDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly names: GatewayHeaderNames;
--- a/packages/lovagepond-gateway/src/gateway_fleet.ts
+++ b/packages/lovagepond-gateway/src/gateway_fleet.ts
@@ -37,8 +37,8 @@
   }
 
   /** @param now present time, monotonic milliseconds; call it often */
-  forgetSilentRouters(now: number): void {
-    for (const state of this.#states.values()) state.forgetSilentRouters(now);
+  expireRemoteRequests(now: number): void {
+    for (const state of this.#states.values()) state.expireRemoteRequests(now);
   }
 
   /** @returns all servers of all pools */
@@ -60,7 +60,8 @@
    */
   ready(pool: string): readonly ServerState[] {
     return this.listed(pool).filter(
-      ({isGone, server}) => !isGone && server.state === SERVER_STATE.READY,
+      ({isReplaced: isGone, server}) =>
+        !isGone && server.state === SERVER_STATE.READY,
     );
   }
 
--- a/packages/lovagepond-gateway/src/gateway_readings.ts
+++ b/packages/lovagepond-gateway/src/gateway_load_reports.ts
@@ -25,35 +25,38 @@
 const RUNNING_MS_PER_SERVER = 4;
 
 /** The others forget a number that they haven't been told for 3 s. */
-const TELL_AGAIN_MS = 1_500;
+const REFRESH_INTERVAL_MS = 1_500;
 
-interface ToldRunning {
+interface ReportedRequests {
   readonly requests: number;
   readonly at: number;
 }
 
-const NOTHING_TOLD: ToldRunning = Object.freeze({requests: 0, at: -Infinity});
+const NEVER_REPORTED: ReportedRequests = Object.freeze({
+  requests: 0,
+  at: -Infinity,
+});
 
 /** Tokens of prefixes at one server, as far as is known here. */
-export interface NotedTokens {
+export interface PrefixTokens {
   /** What it didn't hold before. */
   readonly newTokens: number;
   /** What of that it has to read, as it can't take it over. */
-  readonly unreadTokens: number;
+  readonly prefillTokens: number;
 }
 
 /** Fewer tokens are read before the others could hear of it. */
-const MIN_TOLD_TOKENS = 64;
+const MIN_REPORTED_TOKENS = 64;
 
 /** Collects and applies readings. */
-export class GatewayReadings {
+export class GatewayLoadReports {
   readonly #node: string;
   readonly #fleet: GatewayFleet;
   readonly #rate: PrefillRate;
   readonly #peers: GatewayPeers;
-  #collected: WireReading[] = [];
-  #toldRunning: ReadonlyMap<string, ToldRunning> = new Map();
-  #runningToldAt = Number.NEGATIVE_INFINITY;
+  #pendingReadings: WireReading[] = [];
+  #lastReported: ReadonlyMap<string, ReportedRequests> = new Map();
+  #runningReportedAt = Number.NEGATIVE_INFINITY;
 
   /**
    * @param node this gateway's name, under which its own reports come back
@@ -78,15 +81,15 @@
    * @param sharedIds the prompt's parts that other requests share
    * @param tokens what of them is new there, and what it has to read
    */
-  note(
+  notePrefill(
     state: ServerState,
     sharedIds: readonly string[],
-    {newTokens, unreadTokens}: NotedTokens,
+    {newTokens, prefillTokens}: PrefixTokens,
   ): void {
-    if (sharedIds.length === 0 || newTokens < MIN_TOLD_TOKENS) return;
+    if (sharedIds.length === 0 || newTokens < MIN_REPORTED_TOKENS) return;
     const prefix = sharedIds.map(id => `/${id}`).join('');
     const backendServer = state.server.name;
-    this.#collected.push({backendServer, prefix, tokens: unreadTokens});
+    this.#pendingReadings.push({backendServer, prefix, tokens: prefillTokens});
   }
 
   /**
@@ -94,30 +97,34 @@
    * @returns what to report, if anything; it is then forgotten
    */
   takeReport(now: number): WireReport | undefined {
-    const readings = this.#collected;
-    this.#collected = [];
+    const readings = this.#pendingReadings;
+    this.#pendingReadings = [];
     const intervalMs = RUNNING_MS_PER_SERVER * this.#fleet.size;
-    const isDue = now - this.#runningToldAt >= intervalMs;
+    const isDue = now - this.#runningReportedAt >= intervalMs;
     const running = isDue || readings.length > 0 ? this.#takeRunning(now) : [];
     if (readings.length === 0 && running.length === 0) return undefined;
-    this.#runningToldAt = now;
+    this.#runningReportedAt = now;
     return {readings, running};
   }
 
   #takeRunning(now: number): WireRunning[] {
     const changed: WireRunning[] = [];
-    const told = new Map<string, ToldRunning>();
+    const reported = new Map<string, ReportedRequests>();
     for (const state of this.#fleet.all()) {
       const {inFlight: requests, server} = state;
-      const before = this.#toldRunning.get(server.name) ?? NOTHING_TOLD;
-      const isDue = requests > 0 && now - before.at >= TELL_AGAIN_MS;
-      const isNews = requests !== before.requests || state.hasUntoldFailure;
-      told.set(server.name, isNews || isDue ? {requests, at: now} : before);
-      if (!isNews && !isDue) continue;
-      const outcomes = state.takeUntold();
+      const before = this.#lastReported.get(server.name) ?? NEVER_REPORTED;
+      const isDue = requests > 0 && now - before.at >= REFRESH_INTERVAL_MS;
+      const hasChanged =
+        requests !== before.requests || state.hasUnreportedFailure;
+      reported.set(
+        server.name,
+        hasChanged || isDue ? {requests, at: now} : before,
+      );
+      if (!hasChanged && !isDue) continue;
+      const outcomes = state.takeUnreportedOutcomes();
       changed.push({backendServer: server.name, requests, ...outcomes});
     }
-    this.#toldRunning = told;
+    this.#lastReported = reported;
     return changed;
   }
 
@@ -130,27 +137,30 @@
     for (const {node, readings, running} of digest.reports ?? []) {
       if (node === this.#node) continue;
       if (node) this.#peers.note(node, now);
-      for (const reading of readings ?? []) this.#applyOne(reading, now);
+      for (const reading of readings ?? []) this.#applyReading(reading, now);
       for (const one of running ?? []) {
         this.#applyRunning(node ?? '', one, now);
       }
     }
   }
 
-  #applyRunning(router: string, told: WireRunning, now: number): void {
-    const {backendServer, requests, ended, failed} = told;
+  #applyRunning(router: string, reported: WireRunning, now: number): void {
+    const {backendServer, requests, ended, failed} = reported;
     const state = this.#fleet.find(backendServer ?? '');
-    state?.noteOthersRunning(router, requests ?? 0, now);
+    state?.noteRemoteRequests(router, requests ?? 0, now);
     if (!ended) return;
-    state?.noteOthersOutcomes({ended, failed: failed ?? 0}, now);
+    state?.noteRemoteOutcomes({ended, failed: failed ?? 0}, now);
   }
 
-  #applyOne({backendServer, prefix, tokens}: WireReading, now: number): void {
+  #applyReading(
+    {backendServer, prefix, tokens}: WireReading,
+    now: number,
+  ): void {
     const state = this.#fleet.find(backendServer ?? '');
     if (!state) return;
     const {tokensPerMs} = this.#rate;
-    state.noteOthersReading((tokens ?? 0) / tokensPerMs, now);
-    const readAt = now + state.readingMs(tokensPerMs, now);
+    state.noteRemotePrefill((tokens ?? 0) / tokensPerMs, now);
+    const readAt = now + state.prefillWaitMs(tokensPerMs, now);
     state.noteWarm((prefix ?? '').split('/').slice(1), readAt);
   }
 }
--- a/packages/lovagepond-gateway/src/gateway_outcome.ts
+++ b/packages/lovagepond-gateway/src/gateway_outcome.ts
@@ -23,7 +23,7 @@
   /** Attempts that ran or may have run, the ended one included. */
   readonly runs: number;
   /** Attempts of any kind, the ended one included. */
-  readonly offers: number;
+  readonly attempts: number;
   /** The answer's head has gone to the caller. */
   readonly headSent: boolean;
   /** A server's failure answer is kept and can still be passed on. */
@@ -50,7 +50,7 @@
   | {readonly kind: 'cut'};
 
 /** Servers offered one request before it is given up. */
-const MAX_OFFERS = 4;
+const MAX_ATTEMPTS = 4;
 
 /** With less time left another server can't answer either, milliseconds. */
 const MIN_TIME_LEFT_MS = 20;
@@ -64,19 +64,19 @@
   outcome: AttemptOutcome,
   progress: RequestProgress,
 ): NextStep {
-  if (mayTryAgain(outcome, progress)) {
+  if (canTryAgain(outcome, progress)) {
     return {kind: progress.headSent ? 'resume' : 'retry'};
   }
   return giveUp(outcome, progress);
 }
 
-function mayTryAgain(
+function canTryAgain(
   outcome: AttemptOutcome,
   progress: RequestProgress,
 ): boolean {
-  const {rule, runs, offers, headSent, timeLeftMs} = progress;
+  const {rule, runs, attempts, headSent, timeLeftMs} = progress;
   if (outcome.kind === 'timedOut') return false;
-  if (timeLeftMs < MIN_TIME_LEFT_MS || offers >= MAX_OFFERS) return false;
+  if (timeLeftMs < MIN_TIME_LEFT_MS || attempts >= MAX_ATTEMPTS) return false;
   const {resumable, maxAttempts} = rule.forwarding;
   if (headSent && !(resumable && progress.lastEventId !== undefined)) {
     return false;
--- a/packages/lovagepond-gateway/src/gateway_outcome_estimate.ts
+++ b/packages/lovagepond-gateway/src/gateway_outcome_estimate.ts
@@ -30,17 +30,17 @@
 export class OutcomeEstimate {
   #ended = 0;
   #failed = 0;
-  #countedAt = 0;
+  #updatedAt = 0;
 
   /**
    * @param outcomes what has ended since the last call
    * @param now present time, monotonic milliseconds
    */
   note({ended, failed}: Outcomes, now: number): void {
-    const kept = this.#keptAt(now);
-    this.#ended = this.#ended * kept + ended;
-    this.#failed = this.#failed * kept + failed;
-    this.#countedAt = now;
+    const decay = this.#decayAt(now);
+    this.#ended = this.#ended * decay + ended;
+    this.#failed = this.#failed * decay + failed;
+    this.#updatedAt = now;
   }
 
   /**
@@ -48,12 +48,12 @@
    * @returns the share of requests that it is expected to fail
    */
   failureShare(now: number): number {
-    const kept = this.#keptAt(now);
-    const failed = this.#failed * kept + PRIOR_SHARE * PRIOR_WEIGHT;
-    return failed / (this.#ended * kept + PRIOR_WEIGHT);
+    const decay = this.#decayAt(now);
+    const failed = this.#failed * decay + PRIOR_SHARE * PRIOR_WEIGHT;
+    return failed / (this.#ended * decay + PRIOR_WEIGHT);
   }
 
-  #keptAt(now: number): number {
-    return 0.5 ** (Math.max(0, now - this.#countedAt) / HALF_LIFE_MS);
+  #decayAt(now: number): number {
+    return 0.5 ** (Math.max(0, now - this.#updatedAt) / HALF_LIFE_MS);
   }
 }
--- a/packages/lovagepond-gateway/src/gateway_peers.ts
+++ b/packages/lovagepond-gateway/src/gateway_peers.ts
@@ -2,22 +2,22 @@
  * The other gateways, as far as they have been heard of.
  */
 
-interface ToldCount {
+interface ReportedCount {
   readonly count: number;
   readonly at: number;
 }
 
 /** Remembers when each other gateway was heard of last, and what control counts. */
 export class GatewayPeers {
-  readonly #heardAt = new Map<string, number>();
-  #told: ToldCount | undefined;
+  readonly #lastSeenAt = new Map<string, number>();
+  #reportedCount: ReportedCount | undefined;
 
   /**
    * @param name another gateway
    * @param now present time, monotonic milliseconds
    */
   note(name: string, now: number): void {
-    this.#heardAt.set(name, now);
+    this.#lastSeenAt.set(name, now);
   }
 
   /**
@@ -25,7 +25,7 @@
    * @param now present time, monotonic milliseconds
    */
   noteCount(count: number, now: number): void {
-    this.#told = {count, at: now};
+    this.#reportedCount = {count, at: now};
   }
 
   /**
@@ -33,10 +33,13 @@
    * @returns the other gateways heard of since then
    */
   count(since: number): number {
-    for (const [name, heardAt] of this.#heardAt) {
-      if (heardAt < since) this.#heardAt.delete(name);
+    for (const [name, lastSeenAt] of this.#lastSeenAt) {
+      if (lastSeenAt < since) this.#lastSeenAt.delete(name);
     }
-    const told = this.#told && this.#told.at >= since ? this.#told.count : 0;
-    return Math.max(told, this.#heardAt.size);
+    const reported =
+      this.#reportedCount && this.#reportedCount.at >= since
+        ? this.#reportedCount.count
+        : 0;
+    return Math.max(reported, this.#lastSeenAt.size);
   }
 }
--- a/packages/lovagepond-gateway/src/gateway_prefill_rate.ts
+++ b/packages/lovagepond-gateway/src/gateway_prefill_rate.ts
@@ -33,12 +33,12 @@
    */
   observe(tokens: number, durationMs: number): void {
     if (tokens < MIN_TOKENS || durationMs <= 0) return;
-    const seen = tokens / durationMs;
-    const believed = this.#tokensPerMs;
-    const likely = Math.min(
-      believed * MAX_FACTOR,
-      Math.max(believed / MAX_FACTOR, seen),
+    const observed = tokens / durationMs;
+    const current = this.#tokensPerMs;
+    const clamped = Math.min(
+      current * MAX_FACTOR,
+      Math.max(current / MAX_FACTOR, observed),
     );
-    this.#tokensPerMs += (likely - believed) * NEWEST_WEIGHT;
+    this.#tokensPerMs += (clamped - current) * NEWEST_WEIGHT;
   }
 }
--- a/packages/lovagepond-gateway/src/gateway_prompt_account.ts
+++ b/packages/lovagepond-gateway/src/gateway_prefill_tracker.ts
@@ -5,22 +5,22 @@
 import {type ContextFetch} from './gateway_context_source.js';
 import {type PromptPart} from './gateway_headers.js';
 import {type PrefillRate} from './gateway_prefill_rate.js';
-import {type GatewayReadings} from './gateway_readings.js';
+import {type GatewayLoadReports} from './gateway_load_reports.js';
 import {type ServerState} from './gateway_server_state.js';
 
 /** What the accounts of all requests share. */
-export interface AccountParts {
-  readonly readings: GatewayReadings;
+export interface PrefillTrackerDependencies {
+  readonly readings: GatewayLoadReports;
   readonly rate: PrefillRate;
 }
 
 /** One prompt at one server. */
-export class PromptAccount {
+export class PrefillTracker {
   readonly #state: ServerState;
   readonly #rate: PrefillRate;
-  #unreadTokens: number;
+  #prefillTokens: number;
   /** Set while the server has nothing else to read, as far as is known. */
-  #readsAloneSince: number | undefined;
+  #aloneSince: number | undefined;
 
   /**
    * Opens the account as the request leaves for the server.
@@ -35,7 +35,7 @@
     state: ServerState,
     parts: readonly PromptPart[],
     fetch: ContextFetch | undefined,
-    {rate, readings}: AccountParts,
+    {rate, readings}: PrefillTrackerDependencies,
     now: number,
   ) {
     this.#state = state;
@@ -43,31 +43,31 @@
     const ids = parts.map(({id}) => id);
     const coldTokens = state.coldTokens(parts);
     const ownTokens = parts.at(-1)?.tokens ?? 0;
-    this.#unreadTokens = coldTokens - (fetch?.tokens ?? 0);
-    const waitMs = state.readingMs(rate.tokensPerMs, now);
-    const readsAlone = waitMs === 0 && !fetch?.source;
-    this.#readsAloneSince = readsAlone ? now : undefined;
-    readings.note(state, ids.slice(0, -1), {
+    this.#prefillTokens = coldTokens - (fetch?.tokens ?? 0);
+    const waitMs = state.prefillWaitMs(rate.tokensPerMs, now);
+    const isAlone = waitMs === 0 && !fetch?.source;
+    this.#aloneSince = isAlone ? now : undefined;
+    readings.notePrefill(state, ids.slice(0, -1), {
       newTokens: coldTokens - ownTokens,
-      unreadTokens: Math.max(0, this.#unreadTokens - ownTokens),
+      prefillTokens: Math.max(0, this.#prefillTokens - ownTokens),
     });
-    state.readingTokens += this.#unreadTokens;
-    const readingMs = this.#unreadTokens / rate.tokensPerMs;
-    state.noteWarm(ids, now + waitMs + readingMs);
+    state.pendingPrefillTokens += this.#prefillTokens;
+    const prefillMs = this.#prefillTokens / rate.tokensPerMs;
+    state.noteWarm(ids, now + waitMs + prefillMs);
   }
 
   /** @param now present time, monotonic milliseconds */
   noteFirstToken(now: number): void {
-    if (this.#readsAloneSince !== undefined) {
-      this.#rate.observe(this.#unreadTokens, now - this.#readsAloneSince);
-      this.#readsAloneSince = undefined;
+    if (this.#aloneSince !== undefined) {
+      this.#rate.observe(this.#prefillTokens, now - this.#aloneSince);
+      this.#aloneSince = undefined;
     }
     this.close();
   }
 
   /** The server has nothing more to read of the prompt. */
   close(): void {
-    this.#state.readingTokens -= this.#unreadTokens;
-    this.#unreadTokens = 0;
+    this.#state.pendingPrefillTokens -= this.#prefillTokens;
+    this.#prefillTokens = 0;
   }
 }
--- a/packages/lovagepond-gateway/src/gateway_quarantine.ts
+++ b/packages/lovagepond-gateway/src/gateway_quarantine.ts
@@ -11,13 +11,16 @@
   SUSPECT_CRASHES,
 } from '@lovagepond/router/quarantine';
 import {type AttemptFailure} from './gateway_attempt.js';
-import {GatewayCrashWatch, type Reachability} from './gateway_crash_watch.js';
+import {
+  GatewayCrashDetector,
+  type Reachability,
+} from './gateway_crash_detector.js';
 import {type ServerState} from './gateway_server_state.js';
 
 type QuarantineUpdate = NonNullable<ControlUpdate['quarantine']>;
 
 /** What the class works with. */
-export interface QuarantineParts {
+export interface QuarantineDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   /** @param address `host:port` of a server that may have ended */
@@ -25,29 +28,29 @@
   /** @returns whether control has recorded the report */
   readonly report: (report: CrashReport) => Promise<boolean>;
   /** Ends requests under way that are quarantined. */
-  readonly takeBack: (fingerprint: string) => void;
+  readonly abortQuarantined: (fingerprint: string) => void;
 }
 
 /** One gateway's part in quarantines. */
 export class GatewayQuarantine {
-  readonly #parts: QuarantineParts;
+  readonly #deps: QuarantineDependencies;
   readonly #requests = new RequestQuarantine();
   readonly #reporter: CrashReporter;
-  readonly #watch = new GatewayCrashWatch((crash, now) => {
+  readonly #detector = new GatewayCrashDetector((crash, now) => {
     this.#noteCrash(crash, now);
   });
 
-  /** @param parts what it works with */
-  constructor(parts: QuarantineParts) {
-    this.#parts = parts;
-    const {clock, report} = parts;
+  /** @param deps what it works with */
+  constructor(deps: QuarantineDependencies) {
+    this.#deps = deps;
+    const {clock, report} = deps;
     const quarantine = this.#requests;
     this.#reporter = new CrashReporter({clock, quarantine, report});
   }
 
   /** Servers that crashed under requests of this gateway. */
   get crashedServers(): number {
-    return this.#watch.crashes;
+    return this.#detector.crashes;
   }
 
   /** Suspected requests that control tells of. */
@@ -67,8 +70,8 @@
    */
   useUpdate(update: QuarantineUpdate, now: number): void {
     for (const fingerprint of this.#requests.apply(update, now)) {
-      this.#parts.log.warn('request quarantined', {fingerprint});
-      this.#parts.takeBack(fingerprint);
+      this.#deps.log.warn('request quarantined', {fingerprint});
+      this.#deps.abortQuarantined(fingerprint);
     }
   }
 
@@ -77,7 +80,7 @@
    * @param now present time, monotonic milliseconds
    */
   useListed(listed: ReadonlySet<string>, now: number): void {
-    this.#watch.noteListed(listed, now);
+    this.#detector.noteListed(listed, now);
   }
 
   /**
@@ -96,7 +99,7 @@
    */
   isSuspect(fingerprint: string, now: number): boolean {
     const crashes = this.#requests.find(fingerprint, now)?.crashes ?? 0;
-    return crashes + this.#watch.undecided(fingerprint) >= SUSPECT_CRASHES;
+    return crashes + this.#detector.undecided(fingerprint) >= SUSPECT_CRASHES;
   }
 
   /**
@@ -112,12 +115,12 @@
     now: number,
   ): void {
     if (failure.kind === 'broken' && failure.isLost) {
-      this.#watch.noteBroken(state, fingerprint, now);
+      this.#detector.noteConnectionLost(state, fingerprint, now);
       this.#probe(now);
     } else if (failure.kind === 'unsent' && failure.isRefused) {
-      this.#watch.noteEnded(state.server.name, now);
-    } else if (state.isGone) {
-      this.#watch.noteEnded(state.server.name, now);
+      this.#detector.noteExited(state.server.name, now);
+    } else if (state.isReplaced) {
+      this.#detector.noteExited(state.server.name, now);
     }
   }
 
@@ -130,17 +133,17 @@
   }
 
   #probe(now: number): void {
-    for (const {server} of this.#watch.takeProbes(now)) {
-      void this.#parts.probe(server.address).then(reachability => {
-        const probedAt = this.#parts.clock.now();
-        this.#watch.noteProbe(server.name, reachability, probedAt);
+    for (const {server} of this.#detector.takeDueProbes(now)) {
+      void this.#deps.probe(server.address).then(reachability => {
+        const probedAt = this.#deps.clock.now();
+        this.#detector.noteProbe(server.name, reachability, probedAt);
       });
     }
   }
 
   #noteCrash(crash: ServerCrash, now: number): void {
     const {server, requests, crashedAt} = crash;
-    this.#parts.log.warn('backend server crashed', {
+    this.#deps.log.warn('backend server crashed', {
       backendServer: server,
       requests: requests.join(' '),
       brokeMsAgo: Math.round(now - crashedAt),
@@ -148,7 +151,7 @@
     this.#reporter.noteCrash(crash, now);
     for (const fingerprint of requests) {
       const leftMs = this.quarantinedForMs(fingerprint, now);
-      if (leftMs !== undefined) this.#parts.takeBack(fingerprint);
+      if (leftMs !== undefined) this.#deps.abortQuarantined(fingerprint);
     }
   }
 }
--- a/packages/lovagepond-gateway/src/gateway_request_body.ts
+++ b/packages/lovagepond-gateway/src/gateway_request_body.ts
@@ -10,7 +10,7 @@
   onWhole(body: Buffer): void;
   onRefused(error: ErrorKind): void;
   /** The caller left; nobody is there to be answered. */
-  onGone(): void;
+  onDisconnected(): void;
 }
 
 /**
@@ -28,11 +28,11 @@
   const chunks: Buffer[] = [];
   let size = 0;
   let isOver = false;
-  const end = (tell: () => void): void => {
+  const end = (notify: () => void): void => {
     if (isOver) return;
     isOver = true;
     clearTimeout(timer);
-    tell();
+    notify();
   };
   const refuse = (error: ErrorKind): void => {
     end(() => {
@@ -58,12 +58,12 @@
   });
   req.on('close', () => {
     end(() => {
-      listener.onGone();
+      listener.onDisconnected();
     });
   });
   req.on('error', () => {
     end(() => {
-      listener.onGone();
+      listener.onDisconnected();
     });
   });
 }
--- a/packages/lovagepond-gateway/src/gateway_answer_timing.ts
+++ b/packages/lovagepond-gateway/src/gateway_response_timing.ts
@@ -8,11 +8,11 @@
 import {type ServerState} from './gateway_server_state.js';
 
 /** One request at a plain service. */
-export class AnswerTiming {
+export class ResponseTiming {
   readonly #state: ServerState;
   readonly #sentAt: number;
   readonly #targetLatencyMs: number;
-  readonly #hadRoom: boolean;
+  readonly #hadFreeSlot: boolean;
 
   /**
    * Begins before the request counts as the server's.
@@ -26,13 +26,13 @@
     this.#sentAt = now;
     this.#targetLatencyMs = targetLatencyMs;
     // Where it had to wait, a late answer says nothing of the server.
-    this.#hadRoom = state.load(now) < state.slots;
+    this.#hadFreeSlot = state.load(now) < state.slots;
   }
 
   /** @param now present time, monotonic milliseconds; the answer is whole */
-  noteAnswer(now: number): void {
+  noteResponse(now: number): void {
     const isLate = now - this.#sentAt > this.#targetLatencyMs;
-    if (isLate && this.#hadRoom) this.#state.noteLateAnswer(now);
+    if (isLate && this.#hadFreeSlot) this.#state.noteLateResponse(now);
     else this.#state.noteSuccess(now);
   }
 }
--- a/packages/lovagepond-gateway/src/gateway_retry_budget.ts
+++ b/packages/lovagepond-gateway/src/gateway_retry_budget.ts
@@ -43,8 +43,8 @@
 export class GatewayRetryBudget {
   readonly #settings: GatewayBudgetSettings;
   readonly #peers: GatewayPeers;
-  readonly #first = new Map<string, SlidingCount>();
-  readonly #second = new Map<string, SlidingCount>();
+  readonly #requests = new Map<string, SlidingCount>();
+  readonly #retries = new Map<string, SlidingCount>();
 
   /**
    * @param settings fraction and slack
@@ -60,7 +60,7 @@
    * @param now present time, monotonic milliseconds
    */
   noteRequest(pool: string, now: number): void {
-    countOf(this.#first, pool).add(now);
+    countOf(this.#requests, pool).add(now);
   }
 
   /**
@@ -72,11 +72,11 @@
     const {retryFraction, retryWindowMs} = this.#settings;
     const since = now - retryWindowMs;
     const allowed =
-      countOf(this.#first, pool).count(since) * retryFraction +
+      countOf(this.#requests, pool).count(since) * retryFraction +
       this.#slackShare(since);
-    const second = countOf(this.#second, pool);
-    if (second.count(since) + 1 > allowed) return false;
-    second.add(now);
+    const retries = countOf(this.#retries, pool);
+    if (retries.count(since) + 1 > allowed) return false;
+    retries.add(now);
     return true;
   }
 
@@ -92,9 +92,9 @@
   counts: Map<string, SlidingCount>,
   pool: string,
 ): SlidingCount {
-  const known = counts.get(pool);
-  if (known) return known;
-  const made = new SlidingCount();
-  counts.set(pool, made);
-  return made;
+  const existing = counts.get(pool);
+  if (existing) return existing;
+  const created = new SlidingCount();
+  counts.set(pool, created);
+  return created;
 }
--- a/packages/lovagepond-gateway/src/gateway_role.ts
+++ b/packages/lovagepond-gateway/src/gateway_role.ts
@@ -27,14 +27,14 @@
 import {GatewayPeers} from './gateway_peers.js';
 import {PrefillRate} from './gateway_prefill_rate.js';
 import {GatewayQuarantine} from './gateway_quarantine.js';
-import {GatewayReadings} from './gateway_readings.js';
+import {GatewayLoadReports} from './gateway_load_reports.js';
 import {GatewayRetryBudget} from './gateway_retry_budget.js';
 import {GatewayServer} from './gateway_server.js';
 import {probeServer} from './gateway_server_probe.js';
 import {type GatewaySettings} from './gateway_settings.js';
 
 /** What a gateway needs besides its settings. */
-export interface GatewayParts {
+export interface GatewayDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly random: Random;
@@ -49,16 +49,16 @@
  * way, milliseconds. When all gateways start, each one's word waits for the leader;
  * asked ten times a second by each of them, it was busy with the questions.
  */
-const UNANSWERED_MS = 400;
+const CONFIRMATION_TIMEOUT_MS = 400;
 
 /**
  * Time in which readings are collected for one report: short against the 200
  * milliseconds that a large prompt takes to read.
  */
-const READINGS_INTERVAL_MS = 20;
+const REPORT_INTERVAL_MS = 20;
 
 /** Largest head of a server's answer, bytes. */
-const MAX_ANSWER_HEAD_BYTES = 64 * 1024;
+const MAX_RESPONSE_HEAD_BYTES = 64 * 1024;
 
 type UpdateKind = NonNullable<ControlUpdate['kind']>;
 type UpdateHandler = (update: ControlUpdate, now: number) => void;
@@ -66,12 +66,12 @@
 /** One gateway. */
 export class GatewayRole implements Role {
   readonly #settings: GatewaySettings;
-  readonly #parts: GatewayParts;
+  readonly #deps: GatewayDependencies;
   readonly #admission: GatewayAdmission;
   readonly #fleet = new GatewayFleet();
   readonly #peers = new GatewayPeers();
   readonly #rate: PrefillRate;
-  readonly #readings: GatewayReadings;
+  readonly #loadReports: GatewayLoadReports;
   readonly #connections: GatewayConnections;
   readonly #quarantine: GatewayQuarantine;
   readonly #counters = new GatewayCounters();
@@ -79,13 +79,13 @@
   #membership = EMPTY_MEMBERSHIP;
   #server: GatewayServer | undefined;
   #timer: NodeJS.Timeout | undefined;
-  #readingsTimer: NodeJS.Timeout | undefined;
-  #askedAt = Number.NEGATIVE_INFINITY;
+  #reportTimer: NodeJS.Timeout | undefined;
+  #confirmationSentAt = Number.NEGATIVE_INFINITY;
   /** Questions for the newest revision that are under way. */
-  #unanswered = 0;
+  #pendingConfirmations = 0;
   #draining = false;
   /** It has known enough to decide on requests. */
-  #serves = false;
+  #isServing = false;
 
   readonly #updateHandlers: Readonly<Record<UpdateKind, UpdateHandler>> = {
     configuration: ({configuration}) => {
@@ -94,7 +94,7 @@
       if (delta && delta.length > 0) this.#installDelta(delta);
       // The configuration that a new subscription brings is soon confirmed.
       const at = this.#readClock();
-      if (this.#admission.isStarting(at)) this.#askForNewest(at);
+      if (this.#admission.isStarting(at)) this.#confirmRevision(at);
     },
     quarantine: ({quarantine}, now) => {
       if (quarantine) this.#quarantine.useUpdate(quarantine, now);
@@ -106,30 +106,30 @@
       const listed = this.#fleet.useMembership(this.#membership);
       this.#quarantine.useListed(listed, now);
       this.#connections.keepOnly(listed);
-      this.#parts.log.info('backend servers changed', {
+      this.#deps.log.info('backend servers changed', {
         version: this.#membership.version,
         servers: this.#fleet.size,
       });
-      this.#decideOnWaiting();
+      this.#retryQueued();
     },
     load: () => {},
     readings: ({readings}, now) => {
-      if (readings) this.#readings.apply(readings, now);
+      if (readings) this.#loadReports.apply(readings, now);
     },
     // The link keeps them.
     controlMembers: () => {},
     heartbeat: () => {},
   };
 
-  constructor(settings: GatewaySettings, parts: GatewayParts) {
+  constructor(settings: GatewaySettings, deps: GatewayDependencies) {
     this.#settings = settings;
-    this.#parts = parts;
+    this.#deps = deps;
     this.#admission = new GatewayAdmission(
       settings.revocationBoundMs,
-      parts.random,
+      deps.random,
     );
     this.#rate = new PrefillRate(settings.prefillTokensPerMs);
-    this.#readings = new GatewayReadings(
+    this.#loadReports = new GatewayLoadReports(
       settings.name,
       this.#fleet,
       this.#rate,
@@ -137,15 +137,15 @@
     );
     this.#connections = new GatewayConnections({
       connectTimeoutMs: settings.connectTimeoutMs,
-      maxHeadBytes: MAX_ANSWER_HEAD_BYTES,
+      maxHeadBytes: MAX_RESPONSE_HEAD_BYTES,
     });
     this.#quarantine = new GatewayQuarantine({
-      clock: parts.clock,
-      log: parts.log,
+      clock: deps.clock,
+      log: deps.log,
       probe: address => probeServer(address, settings.connectTimeoutMs),
       report: report => this.#link.reportCrashes(report),
-      takeBack: fingerprint => {
-        this.#server?.takeBack(fingerprint);
+      abortQuarantined: fingerprint => {
+        this.#server?.abortQuarantined(fingerprint);
       },
     });
     const {name: node, region} = settings;
@@ -156,7 +156,7 @@
         this.#updateHandlers[update.kind ?? 'heartbeat'](update, now);
       },
     };
-    this.#link = new ControlLink(settings, facts, {...parts, listener});
+    this.#link = new ControlLink(settings, facts, {...deps, listener});
   }
 
   /** @returns the port for callers, once started */
@@ -166,7 +166,7 @@
 
   /** See {@link Role.start}. */
   async start(): Promise<void> {
-    const {clock, log, random, names} = this.#parts;
+    const {clock, log, random, names} = this.#deps;
     const hasher = await loadKeyHasher();
     const {availabilityZone} = this.#settings;
     const choiceSettings = {availabilityZone, rate: this.#rate};
@@ -182,7 +182,7 @@
       connections: this.#connections,
       quarantine: this.#quarantine,
       counters: this.#counters,
-      readings: this.#readings,
+      readings: this.#loadReports,
       rate: this.#rate,
     });
     await this.#server.start();
@@ -190,10 +190,10 @@
     this.#timer = setInterval(() => {
       this.#tick();
     }, TICK_MS);
-    this.#readingsTimer = setInterval(() => {
-      const report = this.#readings.takeReport(clock.now());
+    this.#reportTimer = setInterval(() => {
+      const report = this.#loadReports.takeReport(clock.now());
       if (report) this.#link.reportReadings(report);
-    }, READINGS_INTERVAL_MS);
+    }, REPORT_INTERVAL_MS);
   }
 
   /** See {@link Role.isReady}. */
@@ -207,7 +207,7 @@
    */
   async drain(limitMs: number): Promise<void> {
     this.#draining = true;
-    this.#server?.beginClosing(this.#parts.clock.now() + limitMs);
+    this.#server?.beginDraining(this.#deps.clock.now() + limitMs);
     const lingerMs = Math.min(this.#settings.drainLingerMs, limitMs);
     await new Promise(resolve => setTimeout(resolve, lingerMs));
     const limit = new Promise<void>(resolve => {
@@ -220,7 +220,7 @@
   stop(): Promise<void> {
     this.#draining = true;
     clearInterval(this.#timer);
-    clearInterval(this.#readingsTimer);
+    clearInterval(this.#reportTimer);
     this.#link.stop();
     this.#server?.stop();
     this.#connections.close();
@@ -236,7 +236,7 @@
       draining: this.#draining,
       control: this.#link.address,
       revision: this.#admission.configuration.revision,
-      sureOfConfiguration: this.#admission.authority.isSure(at),
+      sureOfConfiguration: this.#admission.authority.canDeny(at),
       membershipVersion: this.#membership.version,
       prefillTokensPerMs: this.#rate.tokensPerMs,
       backendServers: this.#fleet.describe(at.now),
@@ -251,58 +251,58 @@
   }
 
   #readClock(): ClockReading {
-    const {clock} = this.#parts;
+    const {clock} = this.#deps;
     return {now: clock.now(), wallTime: clock.wallTime()};
   }
 
   #tick(): void {
     const at = this.#readClock();
     this.#link.tick(at.now);
-    if (this.#admission.authority.takeBehind(at.now)) {
+    if (this.#admission.authority.shouldSwitchMember(at.now)) {
       this.#link.restart('it is behind a confirmed change');
     }
-    this.#fleet.forgetSilentRouters(at.now);
+    this.#fleet.expireRemoteRequests(at.now);
     this.#quarantine.tick(at.now);
-    if (at.now - this.#askedAt < this.#askIntervalMs(at)) return;
-    this.#askForNewest(at);
+    if (at.now - this.#confirmationSentAt < this.#confirmIntervalMs(at)) return;
+    this.#confirmRevision(at);
   }
 
-  #askIntervalMs(at: ClockReading): number {
+  #confirmIntervalMs(at: ClockReading): number {
     if (!this.#admission.isStarting(at)) {
       return this.#settings.authorityIntervalMs;
     }
-    return this.#unanswered > 0 ? UNANSWERED_MS : TICK_MS;
+    return this.#pendingConfirmations > 0 ? CONFIRMATION_TIMEOUT_MS : TICK_MS;
   }
 
-  #askForNewest(at: ClockReading): void {
-    this.#askedAt = at.now;
-    this.#unanswered += 1;
+  #confirmRevision(at: ClockReading): void {
+    this.#confirmationSentAt = at.now;
+    this.#pendingConfirmations += 1;
     const {revision} = this.#admission.configuration;
     const isStarting = this.#admission.isStarting(at);
     void this.#link.confirmRevision(revision, isStarting).then(confirmed => {
-      this.#unanswered -= 1;
+      this.#pendingConfirmations -= 1;
       if (confirmed !== undefined) {
         this.#admission.authority.confirm(
           confirmed,
           at,
-          this.#parts.clock.now(),
+          this.#deps.clock.now(),
         );
-        this.#decideOnWaiting();
+        this.#retryQueued();
       }
     });
   }
 
-  #decideOnWaiting(): void {
-    if (!this.#server?.retryWaiting() || this.#serves) return;
-    this.#serves = true;
-    const {clock, log} = this.#parts;
+  #retryQueued(): void {
+    if (!this.#server?.retryQueued() || this.#isServing) return;
+    this.#isServing = true;
+    const {clock, log} = this.#deps;
     log.info('serves requests', {sinceStartMs: Math.round(clock.now())});
   }
 
   #installWhole(bytes: Uint8Array): void {
     const configuration = decodeConfiguration(bytes);
     if (configuration) this.#install(configuration);
-    else this.#parts.log.error('a configuration could not be read');
+    else this.#deps.log.error('a configuration could not be read');
   }
 
   #installDelta(bytes: Uint8Array): void {
@@ -315,7 +315,7 @@
     }
     // Without the change this process would serve by what it holds until the
     // next one; a new subscription says what that is, and gets what it lacks.
-    this.#parts.log.error('a change could not be applied', {
+    this.#deps.log.error('a change could not be applied', {
       held: held.revision,
       base: delta?.baseRevision,
     });
@@ -325,8 +325,8 @@
   #install(configuration: Configuration): void {
     this.#admission.install(configuration);
     this.#server?.useLimits(configuration.content.callerLimits);
-    this.#decideOnWaiting();
-    this.#parts.log.info('configuration installed', {
+    this.#retryQueued();
+    this.#deps.log.info('configuration installed', {
       revision: configuration.revision,
       documentVersion: configuration.content.documentVersion,
     });
--- a/packages/lovagepond-gateway/src/gateway_server.ts
+++ b/packages/lovagepond-gateway/src/gateway_server.ts
@@ -22,16 +22,16 @@
 import {type ClockReading} from './gateway_authority.js';
 import {CallerChannel} from './gateway_caller_channel.js';
 import {Exchange} from './gateway_exchange.js';
-import {type ExchangeParts} from './gateway_exchange_types.js';
-import {GatewayDeparture} from './gateway_departure.js';
+import {type ExchangeDependencies} from './gateway_exchange_types.js';
+import {GatewayDrainAdmission} from './gateway_drain_admission.js';
 import {readFacts, type RequestFacts} from './gateway_headers.js';
 import {type GatewaySettings} from './gateway_settings.js';
 import {fingerprintOf} from '@lovagepond/router/quarantine';
-import {WaitingRoom} from './gateway_waiting_room.js';
+import {StartupQueue} from './gateway_startup_queue.js';
 import {readBody} from './gateway_request_body.js';
 
 /** Limits until the configuration says them. */
-const FIRST_LIMITS: CallerLimits = {
+const DEFAULT_LIMITS: CallerLimits = {
   maxHeaderBytes: 16 * 1024,
   maxBodyBytes: 4 * 1024 * 1024,
   headerTimeoutMs: 3_000,
@@ -64,36 +64,36 @@
 };
 
 /** What the front works with. */
-export interface GatewayServerParts extends ExchangeParts {
+export interface GatewayServerDependencies extends ExchangeDependencies {
   readonly admission: GatewayAdmission;
   readonly random: Random;
 }
 
-type FrontSettings = Pick<GatewaySettings, 'host' | 'port' | 'maxHeldBytes'>;
+type ListenerSettings = Pick<GatewaySettings, 'host' | 'port' | 'maxHeldBytes'>;
 
 /** Serves callers. */
 export class GatewayServer {
-  readonly #settings: FrontSettings;
-  readonly #parts: GatewayServerParts;
+  readonly #settings: ListenerSettings;
+  readonly #deps: GatewayServerDependencies;
   readonly #clock: Clock;
   readonly #log: Logger;
   readonly #server: Server;
-  readonly #waiting = new WaitingRoom();
-  #limits = FIRST_LIMITS;
+  readonly #startupQueue = new StartupQueue();
+  #limits = DEFAULT_LIMITS;
   /** Answers that aren't delivered whole yet. */
-  #open = 0;
-  #heldBytes = 0;
+  #openResponses = 0;
+  #bufferedBytes = 0;
   /** Requests under way, by their fingerprints. */
   readonly #exchanges = new Map<string, Set<Exchange>>();
-  readonly #departure = new GatewayDeparture();
+  readonly #drainAdmission = new GatewayDrainAdmission();
   #idleSweep: NodeJS.Timeout | undefined;
-  #idleListener: (() => void) | undefined;
+  #onAllDelivered: (() => void) | undefined;
 
-  constructor(settings: FrontSettings, parts: GatewayServerParts) {
+  constructor(settings: ListenerSettings, deps: GatewayServerDependencies) {
     this.#settings = settings;
-    this.#parts = parts;
-    this.#clock = parts.clock;
-    this.#log = parts.log;
+    this.#deps = deps;
+    this.#clock = deps.clock;
+    this.#log = deps.log;
     this.#server = createServer({
       maxHeaderSize: PARSER_HEAD_BYTES,
       connectionsCheckingInterval: SLOW_SENDER_CHECK_MS,
@@ -104,14 +104,14 @@
       this.#serve(req, res);
     });
     this.#server.on('clientError', (err: Error & {code?: string}, socket) => {
-      this.#answerBrokenRequest(err, socket as Socket);
+      this.#rejectUnparsable(err, socket as Socket);
     });
     this.useLimits(undefined);
   }
 
   /** Requests whose answer isn't delivered yet. */
   get inFlight(): number {
-    return this.#open;
+    return this.#openResponses;
   }
 
   get port(): number {
@@ -121,7 +121,7 @@
 
   /** @param limits the limits in force; the defaults when undefined */
   useLimits(limits: CallerLimits | undefined): void {
-    this.#limits = limits ?? FIRST_LIMITS;
+    this.#limits = limits ?? DEFAULT_LIMITS;
     const {headerTimeoutMs, idleTimeoutMs} = this.#limits;
     this.#server.headersTimeout = headerTimeoutMs;
     this.#server.keepAliveTimeout = idleTimeoutMs + IDLE_MARGIN_MS;
@@ -142,10 +142,10 @@
    *
    * @param endsAt when the process ends at the latest, monotonic milliseconds
    */
-  beginClosing(endsAt: number): void {
-    this.#departure.begin(endsAt);
+  beginDraining(endsAt: number): void {
+    this.#drainAdmission.begin(endsAt);
     // It may never know enough to decide on them.
-    this.#waiting.refuseAll();
+    this.#startupQueue.refuseAll();
     this.#idleSweep = setInterval(() => {
       this.#server.closeIdleConnections();
     }, IDLE_SWEEP_MS);
@@ -155,9 +155,9 @@
   async finish(): Promise<void> {
     this.#server.close();
     this.#server.closeIdleConnections();
-    if (this.#open === 0) return;
+    if (this.#openResponses === 0) return;
     await new Promise<void>(resolve => {
-      this.#idleListener = resolve;
+      this.#onAllDelivered = resolve;
     });
   }
 
@@ -173,16 +173,16 @@
    *
    * @returns true when there is
    */
-  retryWaiting(): boolean {
-    if (this.#parts.admission.isStarting(this.#readClock())) return false;
-    this.#waiting.retryAll();
+  retryQueued(): boolean {
+    if (this.#deps.admission.isStarting(this.#readClock())) return false;
+    this.#startupQueue.retryAll();
     return true;
   }
 
   /** @param fingerprint of requests that must not run any longer */
-  takeBack(fingerprint: string): void {
+  abortQuarantined(fingerprint: string): void {
     const copies = [...(this.#exchanges.get(fingerprint) ?? [])];
-    for (const exchange of copies) exchange.takeBack();
+    for (const exchange of copies) exchange.abortQuarantined();
   }
 
   #readClock(): ClockReading {
@@ -192,30 +192,30 @@
   #serve(req: IncomingMessage, res: ServerResponse): void {
     const caller = new CallerChannel(
       res,
-      this.#parts.random,
-      () => this.#departure.isClosing,
+      this.#deps.random,
+      () => this.#drainAdmission.isDraining,
     );
-    this.#open += 1;
+    this.#openResponses += 1;
     res.once('close', () => {
-      this.#open -= 1;
-      if (this.#open === 0) this.#idleListener?.();
+      this.#openResponses -= 1;
+      if (this.#openResponses === 0) this.#onAllDelivered?.();
     });
-    const facts = readFacts(req.headers, this.#parts.names);
+    const facts = readFacts(req.headers, this.#deps.names);
     const fault = this.#findFault(req);
     if (fault) {
       this.#refuse(caller, facts, fault);
       return;
     }
     const at = this.#readClock();
-    if (!this.#parts.admission.isStarting(at)) {
+    if (!this.#deps.admission.isStarting(at)) {
       this.#admit(req, facts, caller, at.now);
       return;
     }
-    if (this.#departure.isClosing) {
+    if (this.#drainAdmission.isDraining) {
       this.#refuse(caller, facts, 'notReady');
       return;
     }
-    this.#waiting.add(
+    this.#startupQueue.add(
       facts.deadlineMs ?? DEFAULT_DEADLINE_MS,
       () => {
         this.#admit(req, facts, caller, at.now);
@@ -235,7 +235,7 @@
     if (req.destroyed) return;
     const at = this.#readClock();
     const head = {host: req.headers.host ?? '', path: req.url ?? '', facts};
-    const admission = this.#parts.admission.admit(head, arrivedAt, at);
+    const admission = this.#deps.admission.admit(head, arrivedAt, at);
     if (!admission.ok) {
       this.#refuse(caller, facts, admission.error);
       return;
@@ -243,12 +243,12 @@
     const {admitted} = admission;
     const {name} = admitted.rule;
     const limitMs = admitted.deadlineAt - at.now;
-    if (!this.#departure.mayTake(name, limitMs, at.now)) {
+    if (!this.#drainAdmission.admits(name, limitMs, at.now)) {
       this.#refuse(caller, facts, 'notReady');
       return;
     }
     const done = (): void => {
-      this.#departure.noteEnded(name, this.#clock.now() - arrivedAt);
+      this.#drainAdmission.noteDuration(name, this.#clock.now() - arrivedAt);
     };
     readBody(req, this.#limits.maxBodyBytes, limitMs, {
       onWhole: body => {
@@ -258,7 +258,7 @@
         this.#refuse(caller, facts, error);
         done();
       },
-      onGone: done,
+      onDisconnected: done,
     });
   }
 
@@ -273,22 +273,22 @@
     caller: CallerChannel,
     done: () => void,
   ): void {
-    if (this.#heldBytes + body.length > this.#settings.maxHeldBytes) {
+    if (this.#bufferedBytes + body.length > this.#settings.maxHeldBytes) {
       this.#refuse(caller, facts, 'overloaded');
       done();
       return;
     }
-    this.#heldBytes += body.length;
+    this.#bufferedBytes += body.length;
     const {method = 'GET', url: path = '/', rawHeaders} = req;
     const workspace = admitted.workspace ?? '';
     const fingerprint = fingerprintOf({method, path, workspace, body});
     const exchange = new Exchange(
       {...admitted, method, path, rawHeaders, body, fingerprint, facts},
-      this.#parts,
+      this.#deps,
       caller,
       () => {
-        this.#heldBytes -= body.length;
-        this.#forget(fingerprint, exchange);
+        this.#bufferedBytes -= body.length;
+        this.#removeExchange(fingerprint, exchange);
         done();
       },
     );
@@ -297,7 +297,7 @@
     exchange.start();
   }
 
-  #forget(fingerprint: string, exchange: Exchange): void {
+  #removeExchange(fingerprint: string, exchange: Exchange): void {
     const copies = this.#exchanges.get(fingerprint);
     copies?.delete(exchange);
     if (copies?.size === 0) this.#exchanges.delete(fingerprint);
@@ -315,17 +315,17 @@
 
   #refuse(caller: CallerChannel, facts: RequestFacts, error: ErrorKind): void {
     caller.refuse(error);
-    this.#parts.counters.noteRefused(error);
+    this.#deps.counters.noteRefused(error);
     this.#log.info('request refused', {
       request: facts.requestId,
       reason: error,
       status: answerFor(error).status,
-      revision: this.#parts.admission.configuration.revision,
+      revision: this.#deps.admission.configuration.revision,
     });
   }
 
   /** No request could be read, so no handler will answer. */
-  #answerBrokenRequest(err: Error & {code?: string}, socket: Socket): void {
+  #rejectUnparsable(err: Error & {code?: string}, socket: Socket): void {
     const kind = PARSER_ERRORS[err.code ?? ''] ?? 'badRequest';
     this.#log.info('request unreadable', {reason: err.code ?? err.message});
     if (!socket.writable || err.code === 'ECONNRESET') {
--- a/packages/lovagepond-gateway/src/gateway_server_probe.ts
+++ b/packages/lovagepond-gateway/src/gateway_server_probe.ts
@@ -2,7 +2,7 @@
  * Tries whether anything listens at a server's address.
  */
 import {connect} from 'node:net';
-import {REACHABILITY, type Reachability} from './gateway_crash_watch.js';
+import {REACHABILITY, type Reachability} from './gateway_crash_detector.js';
 
 /**
  * @param address `host:port`
--- a/packages/lovagepond-gateway/src/gateway_server_state.ts
+++ b/packages/lovagepond-gateway/src/gateway_server_state.ts
@@ -10,7 +10,7 @@
  * Time in which what other routers have at a server is half forgotten: about
  * as long as one of the longer requests lasts, milliseconds.
  */
-const OTHERS_HALF_LIFE_MS = 700;
+const REMOTE_LOAD_HALF_LIFE_MS = 700;
 
 /** First pause after a failure, doubled up to the longest; milliseconds. */
 const FIRST_PAUSE_MS = 250;
@@ -20,7 +20,7 @@
  * Servers that are well fail this part of the requests of some kinds. Below it
  * differences say little, and would move prompts away from where they are warm.
  */
-const USUAL_FAILURE_SHARE = 0.1;
+const BASELINE_FAILURE_SHARE = 0.1;
 
 /** Parts of prompts remembered for a server; the oldest go first. */
 const MAX_WARM_PARTS = 4_096;
@@ -29,11 +29,11 @@
  * Time for which another router's number of requests counts without a new word,
  * milliseconds: nearly all requests are over by then.
  */
-const RUNNING_VALID_MS = 3_000;
+const REMOTE_TTL_MS = 3_000;
 
-interface ToldRequests {
+interface RemoteRequests {
   readonly requests: number;
-  readonly toldAt: number;
+  readonly reportedAt: number;
 }
 
 /** One backend server as this router sees it. */
@@ -42,19 +42,19 @@
   /** This router's requests there. */
   inFlight = 0;
   /** Tokens that the server still has to read for this router's requests. */
-  readingTokens = 0;
-  #othersAtReport = 0;
-  #othersRunning = 0;
+  pendingPrefillTokens = 0;
+  #remoteAtReport = 0;
+  #remoteRequests = 0;
   /** Requests of other routers, as they told. */
-  readonly #running = new Map<string, ToldRequests>();
+  readonly #byRouter = new Map<string, RemoteRequests>();
   #reportedAt = Number.NEGATIVE_INFINITY;
-  #othersReadUntil = Number.NEGATIVE_INFINITY;
+  #remotePrefillUntil = Number.NEGATIVE_INFINITY;
   #failures = 0;
   readonly #outcomes = new OutcomeEstimate();
   /** Own outcomes that the other routers haven't been told of. */
-  #untold = {ended: 0, failed: 0};
+  #unreported = {ended: 0, failed: 0};
   #pausedUntil = Number.NEGATIVE_INFINITY;
-  #isGone = false;
+  #isReplaced = false;
   /** When each part has been read; the least recently used first. */
   readonly #readAt = new Map<string, number>();
 
@@ -68,13 +68,13 @@
   }
 
   /** Another incarnation answers at its address. */
-  get isGone(): boolean {
-    return this.#isGone;
+  get isReplaced(): boolean {
+    return this.#isReplaced;
   }
 
   /** Called when another incarnation answered at its address. */
-  markGone(): void {
-    this.#isGone = true;
+  markReplaced(): void {
+    this.#isReplaced = true;
   }
 
   /**
@@ -84,8 +84,9 @@
    * @param durationMs how long it reads what another router gave it
    * @param now present time, monotonic milliseconds
    */
-  noteOthersReading(durationMs: number, now: number): void {
-    this.#othersReadUntil = Math.max(now, this.#othersReadUntil) + durationMs;
+  noteRemotePrefill(durationMs: number, now: number): void {
+    this.#remotePrefillUntil =
+      Math.max(now, this.#remotePrefillUntil) + durationMs;
   }
 
   /**
@@ -93,9 +94,9 @@
    * @param now present time, monotonic milliseconds
    * @returns time until it has read what it was given, milliseconds
    */
-  readingMs(prefillTokensPerMs: number, now: number): number {
-    const others = Math.max(0, this.#othersReadUntil - now);
-    return others + this.readingTokens / prefillTokensPerMs;
+  prefillWaitMs(prefillTokensPerMs: number, now: number): number {
+    const remoteMs = Math.max(0, this.#remotePrefillUntil - now);
+    return remoteMs + this.pendingPrefillTokens / prefillTokensPerMs;
   }
 
   /**
@@ -104,8 +105,9 @@
    */
   load(now: number): number {
     const age = now - this.#reportedAt;
-    const others = this.#othersAtReport * 0.5 ** (age / OTHERS_HALF_LIFE_MS);
-    return this.inFlight + Math.max(others, this.#othersRunning);
+    const remote =
+      this.#remoteAtReport * 0.5 ** (age / REMOTE_LOAD_HALF_LIFE_MS);
+    return this.inFlight + Math.max(remote, this.#remoteRequests);
   }
 
   /**
@@ -113,14 +115,14 @@
    * @param requests how many of its requests are here
    * @param now present time, monotonic milliseconds
    */
-  noteOthersRunning(router: string, requests: number, now: number): void {
+  noteRemoteRequests(router: string, requests: number, now: number): void {
     // Members of the release before tell of each router. One that goes on from one
     // to the other would count the same requests twice.
-    if (router === '') this.#running.clear();
-    else this.#running.delete('');
-    if (requests === 0) this.#running.delete(router);
-    else this.#running.set(router, {requests, toldAt: now});
-    this.#sumRunning();
+    if (router === '') this.#byRouter.clear();
+    else this.#byRouter.delete('');
+    if (requests === 0) this.#byRouter.delete(router);
+    else this.#byRouter.set(router, {requests, reportedAt: now});
+    this.#sumRemoteRequests();
   }
 
   /**
@@ -128,17 +130,17 @@
    *
    * @param now present time, monotonic milliseconds
    */
-  forgetSilentRouters(now: number): void {
-    for (const [router, {toldAt}] of this.#running) {
-      if (now - toldAt > RUNNING_VALID_MS) this.#running.delete(router);
+  expireRemoteRequests(now: number): void {
+    for (const [router, {reportedAt}] of this.#byRouter) {
+      if (now - reportedAt > REMOTE_TTL_MS) this.#byRouter.delete(router);
     }
-    this.#sumRunning();
+    this.#sumRemoteRequests();
   }
 
-  #sumRunning(): void {
-    this.#othersRunning = 0;
-    for (const {requests} of this.#running.values()) {
-      this.#othersRunning += requests;
+  #sumRemoteRequests(): void {
+    this.#remoteRequests = 0;
+    for (const {requests} of this.#byRouter.values()) {
+      this.#remoteRequests += requests;
     }
   }
 
@@ -147,7 +149,7 @@
    * @param now present time, monotonic milliseconds
    */
   noteLoad({running, waiting}: ServerLoad, now: number): void {
-    this.#othersAtReport = Math.max(0, running + waiting - this.inFlight);
+    this.#remoteAtReport = Math.max(0, running + waiting - this.inFlight);
     this.#reportedAt = now;
   }
 
@@ -167,7 +169,7 @@
    *
    * @param now present time, monotonic milliseconds
    */
-  noteLateAnswer(now: number): void {
+  noteLateResponse(now: number): void {
     this.#endPause();
     this.#noteOutcome({ended: 1, failed: 1}, now);
   }
@@ -182,15 +184,15 @@
    *
    * @param now present time, monotonic milliseconds
    */
-  noteErrorAnswer(now: number): void {
+  noteErrorResponse(now: number): void {
     this.#noteOutcome({ended: 1, failed: 1}, now);
   }
 
   #noteOutcome(outcome: Outcomes, now: number): void {
     this.#outcomes.note(outcome, now);
-    this.#untold = {
-      ended: this.#untold.ended + outcome.ended,
-      failed: this.#untold.failed + outcome.failed,
+    this.#unreported = {
+      ended: this.#unreported.ended + outcome.ended,
+      failed: this.#unreported.failed + outcome.failed,
     };
   }
 
@@ -198,20 +200,20 @@
    * @param outcomes of another router's requests here, as it told
    * @param now present time, monotonic milliseconds
    */
-  noteOthersOutcomes(outcomes: Outcomes, now: number): void {
+  noteRemoteOutcomes(outcomes: Outcomes, now: number): void {
     this.#outcomes.note(outcomes, now);
   }
 
   /** An own request failed here that the other routers don't know of. */
-  get hasUntoldFailure(): boolean {
-    return this.#untold.failed > 0;
+  get hasUnreportedFailure(): boolean {
+    return this.#unreported.failed > 0;
   }
 
   /** @returns own outcomes since the last call */
-  takeUntold(): Outcomes {
-    const untold = this.#untold;
-    this.#untold = {ended: 0, failed: 0};
-    return untold;
+  takeUnreportedOutcomes(): Outcomes {
+    const unreported = this.#unreported;
+    this.#unreported = {ended: 0, failed: 0};
+    return unreported;
   }
 
   /**
@@ -220,7 +222,10 @@
    *     server that is well fails
    */
   failureRisk(now: number): number {
-    return Math.max(0, this.#outcomes.failureShare(now) - USUAL_FAILURE_SHARE);
+    return Math.max(
+      0,
+      this.#outcomes.failureShare(now) - BASELINE_FAILURE_SHARE,
+    );
   }
 
   /**
@@ -229,8 +234,8 @@
    *
    * @param now present time, monotonic milliseconds
    */
-  noteBroken(now: number): void {
-    this.noteErrorAnswer(now);
+  noteAttemptFailure(now: number): void {
+    this.noteErrorResponse(now);
     const pause = FIRST_PAUSE_MS * 2 ** this.#failures;
     this.#failures += 1;
     this.#pausedUntil = now + Math.min(pause, LONGEST_PAUSE_MS);
--- a/packages/lovagepond-gateway/src/gateway_waiting_room.ts
+++ b/packages/lovagepond-gateway/src/gateway_startup_queue.ts
@@ -10,20 +10,20 @@
 const MAX_WAIT_MS = 600;
 
 /** Part of its time that a request may wait here. */
-const WAIT_PART = 0.2;
+const MAX_WAIT_FRACTION = 0.2;
 
 /** Requests that may wait at once; further ones are refused. */
-const MAX_WAITING = 2_000;
+const MAX_QUEUED = 2_000;
 
-interface Waiting {
+interface QueuedRequest {
   readonly timer: NodeJS.Timeout;
   readonly retry: () => void;
   readonly refuse: () => void;
 }
 
 /** Holds requests for a short time. */
-export class WaitingRoom {
-  readonly #waiting = new Set<Waiting>();
+export class StartupQueue {
+  readonly #queued = new Set<QueuedRequest>();
 
   /**
    * @param timeLeftMs the request's time
@@ -31,17 +31,17 @@
    * @param refuse answers the request when its wait has been in vain
    */
   add(timeLeftMs: number, retry: () => void, refuse: () => void): void {
-    if (this.#waiting.size >= MAX_WAITING) {
+    if (this.#queued.size >= MAX_QUEUED) {
       refuse();
       return;
     }
-    const waitMs = Math.min(MAX_WAIT_MS, timeLeftMs * WAIT_PART);
+    const waitMs = Math.min(MAX_WAIT_MS, timeLeftMs * MAX_WAIT_FRACTION);
     const timer = setTimeout(() => {
-      this.#waiting.delete(waiting);
+      this.#queued.delete(queued);
       refuse();
     }, waitMs);
-    const waiting = {timer, retry, refuse};
-    this.#waiting.add(waiting);
+    const queued = {timer, retry, refuse};
+    this.#queued.add(queued);
   }
 
   /** Decides on all that wait, in the order of their arrival. */
@@ -54,10 +54,10 @@
     for (const {refuse} of this.#takeAll()) refuse();
   }
 
-  #takeAll(): readonly Waiting[] {
-    const waiting = [...this.#waiting];
-    this.#waiting.clear();
-    for (const {timer} of waiting) clearTimeout(timer);
-    return waiting;
+  #takeAll(): readonly QueuedRequest[] {
+    const queued = [...this.#queued];
+    this.#queued.clear();
+    for (const {timer} of queued) clearTimeout(timer);
+    return queued;
   }
 }
--- a/packages/lovagepond-measure/src/crash_play.ts
+++ b/packages/lovagepond-measure/src/crash_play.ts
@@ -10,7 +10,7 @@
   SERVER_STATE,
 } from '@lovagepond/core';
 import {
-  GatewayCrashWatch,
+  GatewayCrashDetector,
   REACHABILITY,
   ServerState,
 } from '@lovagepond/gateway/deciders';
@@ -104,7 +104,7 @@
 
 interface Gateway {
   readonly quarantine: RequestQuarantine;
-  readonly watch: GatewayCrashWatch;
+  readonly watch: GatewayCrashDetector;
 }
 
 /** Runs one play. */
@@ -190,7 +190,7 @@
 
   #makeGateway(): Gateway {
     const quarantine = new RequestQuarantine();
-    const watch = new GatewayCrashWatch((crash, now) => {
+    const watch = new GatewayCrashDetector((crash, now) => {
       if (this.#play.knowledge === KNOWLEDGE.NONE) return;
       quarantine.noteCrash(crash, now);
       this.#report(quarantine);
@@ -305,7 +305,7 @@
   #break({state}: Server, {request, gateway, isSecond}: Run): void {
     const {now} = this.#time;
     const {fingerprint} = request;
-    gateway.watch.noteBroken(state, fingerprint, now);
+    gateway.watch.noteConnectionLost(state, fingerprint, now);
     this.#probe(gateway.watch);
     const crashes = gateway.quarantine.find(fingerprint, now)?.crashes ?? 0;
     const isSuspect =
@@ -334,9 +334,9 @@
     }
   }
 
-  #probe(watch: GatewayCrashWatch): void {
+  #probe(watch: GatewayCrashDetector): void {
     const {now} = this.#time;
-    for (const {server} of watch.takeProbes(now)) {
+    for (const {server} of watch.takeDueProbes(now)) {
       this.#time.after(PROBE_MS, () => {
         const isUp = this.#servers.some(
           one => one.isUp && one.state.server.name === server.name,
--- a/packages/lovagepond-measure/src/play_fleet.ts
+++ b/packages/lovagepond-measure/src/play_fleet.ts
@@ -302,7 +302,7 @@
       this.#table.openPlaces(now);
       this.#publish();
     }
-    for (const {fleet} of this.#gateways) fleet.forgetSilentRouters(now);
+    for (const {fleet} of this.#gateways) fleet.expireRemoteRequests(now);
   }
 
   #tell(): void {
--- a/packages/lovagepond-measure/src/play_gateway.ts
+++ b/packages/lovagepond-measure/src/play_gateway.ts
@@ -9,14 +9,14 @@
   decideNext,
   ENGINE_WEIGHTS,
   type ForwardingRule,
-  AnswerTiming,
+  ResponseTiming,
   GatewayChoice,
   GatewayFleet,
   GatewayPeers,
-  GatewayReadings,
+  GatewayLoadReports,
   GatewayRetryBudget,
   PrefillRate,
-  PromptAccount,
+  PrefillTracker,
   type PromptPart,
   type ServerState,
 } from '@lovagepond/gateway/deciders';
@@ -74,7 +74,7 @@
 export class PlayGateway {
   readonly #parts: PlayGatewayParts;
   fleet = new GatewayFleet();
-  readings!: GatewayReadings;
+  readings!: GatewayLoadReports;
   #choice!: GatewayChoice;
   #rate!: PrefillRate;
   #peers = new GatewayPeers();
@@ -93,7 +93,7 @@
     const {name, zone, variant, hasher, random} = this.#parts;
     this.fleet = new GatewayFleet();
     this.#rate = new PrefillRate(FIRST_RATE);
-    this.readings = new GatewayReadings(
+    this.readings = new GatewayLoadReports(
       name,
       this.fleet,
       this.#rate,
@@ -192,7 +192,7 @@
     const {time, servers} = this.#parts;
     const {readings, rate} = this.#gateway;
     const {kind, parts, events} = this.#req;
-    const account = new PromptAccount(
+    const account = new PrefillTracker(
       state,
       parts,
       fetch,
@@ -241,7 +241,7 @@
     const {kind, workMs} = this.#req;
     const timing = variant.noTiming
       ? undefined
-      : new AnswerTiming(state, kind.targetLatencyMs, this.#now);
+      : new ResponseTiming(state, kind.targetLatencyMs, this.#now);
     state.inFlight += 1;
     const close = this.#guard(() => {
       state.inFlight -= 1;
@@ -257,7 +257,7 @@
         if (outcome === 'ok') {
           if (!close()) return;
           this.#firstMs = this.#now - this.#req.at + HOP_MS;
-          if (timing) timing.noteAnswer(this.#now);
+          if (timing) timing.noteResponse(this.#now);
           else state.noteSuccess(this.#now);
           this.#served();
         } else if (outcome === 'failed') {
@@ -304,9 +304,9 @@
   ): void {
     const isCurrent = close();
     if (outcome.kind === 'failedAnswer') {
-      state.noteErrorAnswer(this.#now);
+      state.noteErrorResponse(this.#now);
       this.#hasFailure = true;
-    } else if (outcome.kind !== 'notRun') state.noteBroken(this.#now);
+    } else if (outcome.kind !== 'notRun') state.noteAttemptFailure(this.#now);
     if (!isCurrent) return;
     if (outcome.kind === 'failedAnswer' || outcome.kind === 'broken') {
       this.#runs += 1;
@@ -318,7 +318,7 @@
     const next = decideNext(outcome, {
       rule: ruleOf(kind),
       runs: this.#runs,
-      offers: this.#offers,
+      attempts: this.#offers,
       headSent: this.#firstMs !== undefined,
       hasFailure: this.#hasFailure,
       lastEventId: this.#firstMs === undefined ? undefined : 1,
