--- a/packages/lovagepond-gateway/src/deciders.ts
+++ b/packages/lovagepond-gateway/src/deciders.ts
@@ -1,5 +1,6 @@
 /**
- * The deciding classes of gateways, without I/O, for plays in virtual time.
+ * The decision logic of a gateway, free of I/O, for simulations in virtual
+ * time.
  */
 export {ResponseTiming} from './gateway_response_timing.js';
 export {GatewayChoice} from './gateway_choice.js';
--- a/packages/lovagepond-gateway/src/gateway_admission.ts
+++ b/packages/lovagepond-gateway/src/gateway_admission.ts
@@ -1,5 +1,6 @@
 /**
- * Decides whether a forwarded request may run, from its head alone.
+ * Admission control: decides from a request's head alone whether it may be
+ * forwarded.
  */
 import {
   type Configuration,
@@ -15,14 +16,14 @@
 import {drawPool, ForwardingRules} from './gateway_routes.js';
 import {type AdmittedRequest} from './gateway_exchange_types.js';
 
-/** A request's head. */
+/** The parts of a request's head that admission depends on. */
 export interface RequestHead {
   readonly host: string;
   readonly path: string;
   readonly facts: RequestFacts;
 }
 
-/** What is decided from a head. */
+/** The result of admission control. */
 export type Admission =
   | {
       readonly ok: true;
@@ -41,7 +42,7 @@
     }
   | {readonly ok: false; readonly error: ErrorKind};
 
-/** Holds the configuration in force and what may be said by it. */
+/** Admits or rejects requests by the installed configuration. */
 export class GatewayAdmission {
   readonly authority: ConfigurationAuthority;
   readonly #random: Random;
@@ -50,7 +51,8 @@
   #rules = new ForwardingRules(EMPTY_CONFIGURATION);
 
   /**
-   * @param boundMs a removed key's longest use after its removal
+   * @param boundMs longest time for which a removed API key may still be
+   *     accepted, milliseconds
    * @param random draws pools by their weights
    */
   constructor(boundMs: number, random: Random) {
@@ -58,12 +60,12 @@
     this.#random = random;
   }
 
-  /** The configuration in force here. */
+  /** The installed configuration. */
   get configuration(): Configuration {
     return this.#configuration;
   }
 
-  /** @param configuration a newer configuration */
+  /** @param configuration installed if it is newer than the current one */
   install(configuration: Configuration): void {
     if (configuration.revision <= this.#configuration.revision) return;
     this.#configuration = configuration;
@@ -77,8 +79,9 @@
   }
 
   /**
-   * @param at present time
-   * @returns true while this process knows too little to decide on requests
+   * @param at current time
+   * @returns true while the list of servers is missing or the configuration is
+   *     unconfirmed, so that requests can't be decided on
    */
   isStarting(at: ClockReading): boolean {
     return !this.#serversKnown || !this.authority.trustsKeys(at);
@@ -87,13 +90,14 @@
   /**
    * @param head a request's head
    * @param arrivedAt when it arrived, monotonic milliseconds
-   * @param at present time
-   * @returns the rule it runs under, or why it can't run
+   * @param at current time
+   * @returns the matching rule with pool, workspace and deadline, or the reason
+   *     for the rejection
    */
   admit(head: RequestHead, arrivedAt: number, at: ClockReading): Admission {
     const {host, path, facts} = head;
     const rule = this.#rules.find(host, path);
-    // What isn't known here may have been added where this process can't see.
+    // The route may exist in a newer configuration than the installed one.
     if (!rule) return this.#deny('notFound', at);
     const key = this.#checkKey(rule.isPublic, facts.apiKey, at);
     if (!key.ok) return key;
--- a/packages/lovagepond-gateway/src/gateway_attempt.ts
+++ b/packages/lovagepond-gateway/src/gateway_attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt at one backend server: sends the request and checks that what
- * comes back is this request's answer.
+ * One attempt at one backend server: sends the request and verifies that the
+ * response belongs to it.
  */
 import {type Dispatcher} from 'undici';
 import {type GatewayConnections} from './gateway_connections.js';
@@ -15,39 +15,39 @@
   readonly body: Buffer;
 }
 
-/** An answer's head. */
+/** A response's status and headers. */
 export interface ResponseHead {
   readonly status: number;
   readonly rawHeaders: readonly string[];
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
 }
 
-/** Why an attempt brought no whole answer. */
+/** Why an attempt did not yield a complete response. */
 export type AttemptFailure =
   | {
       readonly kind: 'unsent';
       readonly reason: string;
-      /** Nothing listens at the server's address. */
+      /** The server's address refused the connection. */
       readonly isRefused: boolean;
     }
   | {readonly kind: 'notRun'; readonly status: number}
   | {
       readonly kind: 'broken';
       readonly reason: string;
-      /** The server's end of the connection is gone. */
+      /** The connection was lost, so the server's process may have ended. */
       readonly isLost: boolean;
     };
 
-/** Hears how the attempt goes; after `failed` or `ended` nothing more. */
+/** Receives an attempt's events; `onEnd` or `onFailed` is the last one. */
 export interface AttemptListener {
   onHead(head: ResponseHead): void;
-  /** @returns false to stop reading until `resume` */
+  /** @returns false to pause reading until `resume` is called */
   onData(chunk: Buffer): boolean;
   onEnd(): void;
   onFailed(failure: AttemptFailure): void;
 }
 
-/** Another server than the one named in the request lives at the address. */
+/** The server at the address is not the instance that the request names. */
 export const STATUS_MISDIRECTED = 421;
 const FIRST_FINAL_STATUS = 200;
 const FIRST_REDIRECT_STATUS = 300;
@@ -59,7 +59,7 @@
   return raw.map(item => item.toString('latin1' as never));
 }
 
-/** Runs until the answer is whole, broken or no longer wanted. */
+/** Runs until the response is complete, has failed, or is aborted. */
 export class Attempt {
   readonly state: ServerState;
   readonly #names: GatewayHeaderNames;
@@ -67,7 +67,7 @@
   readonly #requestId: string;
   #controller: Controller | undefined;
   #notRunStatus: number | undefined;
-  /** The answer has no length: the end of its connection ends it. */
+  /** The response has no length; closing its connection marks its end. */
   #isCloseDelimited = false;
   #isSent = false;
   #isOver = false;
@@ -78,8 +78,8 @@
   /**
    * @param state the server
    * @param names the header names in use
-   * @param requestId what the answer must echo
-   * @param listener hears how it goes
+   * @param requestId id that the response must echo
+   * @param listener receives the attempt's events
    */
   constructor(
     state: ServerState,
@@ -93,7 +93,10 @@
     this.#listener = listener;
   }
 
-  /** True when the answer's end can't be told from its server's. */
+  /**
+   * True when the response ends with its connection, so that a complete one
+   * looks like one cut off by the server's exit.
+   */
   get isCloseDelimited(): boolean {
     return this.#isCloseDelimited;
   }
@@ -104,8 +107,8 @@
   }
 
   /**
-   * @param req what to send
-   * @param connections where to take the connection from
+   * @param req the request to send
+   * @param connections the connection pool
    */
   start(req: OutgoingRequest, connections: GatewayConnections): void {
     const connection = connections.acquire(this.state.server);
@@ -127,12 +130,12 @@
     );
   }
 
-  /** Goes on reading. */
+  /** Resumes reading the response. */
   resume(): void {
     this.#controller?.resume();
   }
 
-  /** Ends the attempt and its connection; the listener hears nothing more. */
+  /** Closes the connection; the listener receives no further events. */
   abort(): void {
     if (this.#isOver) return;
     this.#isOver = true;
@@ -174,11 +177,12 @@
     this.#isCloseDelimited =
       headers['content-length'] === undefined &&
       headers['transfer-encoding'] === undefined;
-    // A second answer to an earlier request may arrive where this one's is due.
+    // A stray second response to an earlier request may arrive on a reused
+    // connection.
     if (headers[this.#names.requestId] !== this.#requestId) {
       this.#fail({
         kind: 'broken',
-        reason: 'answer to another request',
+        reason: 'response carries the id of another request',
         isLost: false,
       });
       return;
@@ -190,7 +194,11 @@
     }
     const isSuccess = status < FIRST_REDIRECT_STATUS;
     if (isSuccess && headers[this.#names.signature] === undefined) {
-      this.#fail({kind: 'broken', reason: 'no signature', isLost: false});
+      this.#fail({
+        kind: 'broken',
+        reason: 'response has no signature header',
+        isLost: false,
+      });
       return;
     }
     this.#listener.onHead(head);
@@ -199,7 +207,7 @@
   #onEnd(): void {
     if (this.#isOver) return;
     if (this.#isCloseDelimited && this.#wasReset()) {
-      const reason = 'reset before the end';
+      const reason = 'connection was reset before the response ended';
       this.#fail({kind: 'broken', reason, isLost: true});
       return;
     }
--- a/packages/lovagepond-gateway/src/gateway_authority.ts
+++ b/packages/lovagepond-gateway/src/gateway_authority.ts
@@ -1,57 +1,66 @@
 /**
- * How surely this gateway's configuration is the newest.
+ * Bounds how stale a gateway's configuration may be.
  *
- * A gateway that is cut off, frozen or behind a stale member must not let a
- * removed key in. It asks again and again for the newest revision, confirmed
- * by a majority; the time of the last question whose answer it holds counts.
+ * A gateway that is partitioned, suspended or subscribed to a lagging member of
+ * control must not accept a removed API key. It keeps asking for the newest
+ * revision confirmed by a majority. The age of the configuration counts from
+ * the sending of the last such query whose revision is installed.
  */
 
-/** A present time by two clocks. */
+/** The current time by two clocks. */
 export interface ClockReading {
-  /** Monotonic milliseconds; stands still while the machine is suspended. */
+  /** Monotonic milliseconds; stopped while the machine is suspended. */
   readonly now: number;
-  /** Wall-clock milliseconds; may jump either way. */
+  /** Wall-clock milliseconds; may jump in either direction. */
   readonly wallTime: number;
 }
 
 /**
- * Part of the bound after which keys are no longer believed. The rest covers
- * a request's way through this process and what clocks may differ.
+ * Fraction of the bound for which API keys are trusted. The rest allows for a
+ * request's processing time and for clock drift.
  */
 const KEY_TRUST_FRACTION = 0.85;
 
-/** Control counts as out of touch after this part of the bound. */
+/**
+ * Fraction of the bound for which contact with control counts as current, so
+ * that an unknown route or key can be rejected for good.
+ */
 const DENIAL_FRACTION = 0.4;
 
 /**
- * A member of control pushes a change once it has it, so it is with a gateway a
- * few hundredths of a second after the leader confirmed it. A member can lag and
- * look well: it hears the leader on one connection and gets the log on another, and
- * may be off the group, or be sent all of the log anew. Its gateways would serve by
- * the former configuration for as long. Asking every half second, a gateway goes
- * on 1.2 s after the change at the latest; operators count on two.
+ * Time for which the subscribed member may lag behind a confirmed revision
+ * before the gateway switches to another member. Normally a member pushes a
+ * change within a few hundredths of a second after the leader confirmed it. A
+ * member can lag and still look healthy: heartbeats and log entries use
+ * separate connections, it may have been removed from the group, or it may be
+ * receiving the whole log again. Its gateways would serve the previous
+ * configuration for that long. With a query every half second, a gateway
+ * switches at most 1.2 s after the change; operators rely on 2 s.
  */
 const MAX_LAG_MS = 500;
 
-/** Follows what was confirmed, and when it was asked. */
+/** Tracks the confirmed and the installed revision, and their age. */
 export class ConfigurationAuthority {
   readonly #boundMs: number;
   #freshAt: ClockReading | undefined;
   #pending:
     {readonly revision: number; readonly askedAt: ClockReading} | undefined;
   #installedRevision = 0;
-  /** Since when something newer than what is held is known to be in force. */
+  /** When a revision newer than the installed one was first confirmed. */
   #behindSince: number | undefined;
 
-  /** @param boundMs a removed key's longest use after its removal */
+  /**
+   * @param boundMs longest time for which a removed API key may still be
+   *     accepted, milliseconds
+   */
   constructor(boundMs: number) {
     this.#boundMs = boundMs;
   }
 
   /**
    * @param revision the newest revision, confirmed by a majority
-   * @param askedAt when the question was sent
-   * @param now present time, monotonic milliseconds
+   * @param askedAt when the query was sent
+   * @param now current time, monotonic milliseconds
    */
   confirm(revision: number, askedAt: ClockReading, now: number): void {
     if (revision <= this.#installedRevision) {
@@ -59,12 +68,12 @@
       return;
     }
     this.#pending = {revision, askedAt};
-    // Not from the question on: a process that was slow itself has the change
-    // waiting beside the answer.
+    // Counts from the response, not from the query: a process that was itself
+    // stalled receives the change together with the response.
     this.#behindSince ??= now;
   }
 
-  /** @param revision the revision that is in force here by now */
+  /** @param revision the revision that is now installed */
   noteInstalled(revision: number): void {
     this.#installedRevision = revision;
     if (!this.#pending || this.#pending.revision > revision) return;
@@ -74,11 +83,11 @@
   }
 
   /**
-   * Asks whether the member that this process hears is behind the others. Each
-   * member that is gone on to has the same time again.
+   * Reports whether the subscribed member of control has lagged for too long.
+   * When it returns true, the time limit starts again for the next member.
    *
-   * @param now monotonic milliseconds
-   * @returns true when it is time to go on to another member
+   * @param now current time, monotonic milliseconds
+   * @returns true when the subscription should move to another member
    */
   shouldSwitchMember(now: number): boolean {
     const since = this.#behindSince;
@@ -88,24 +97,25 @@
   }
 
   /**
-   * @param at present time
-   * @returns true while API keys may be believed
+   * @param at current time
+   * @returns true while API keys of the installed configuration may be accepted
    */
   trustsKeys(at: ClockReading): boolean {
     return this.#age(at) < this.#boundMs * KEY_TRUST_FRACTION;
   }
 
   /**
-   * @param at present time
-   * @returns true while "there is no such route or key" can be said
+   * @param at current time
+   * @returns true while the configuration is recent enough to reject an unknown
+   *     route or key for good
    */
   canDeny(at: ClockReading): boolean {
     return this.#age(at) < this.#boundMs * DENIAL_FRACTION;
   }
 
   /**
-   * The monotonic clock doesn't count a suspension, the wall clock may be set
-   * back: whichever saw more time pass is believed.
+   * The monotonic clock does not count a suspension and the wall clock may be
+   * set back, so the larger of the two intervals is used.
    */
   #age({now, wallTime}: ClockReading): number {
     if (!this.#freshAt) return Infinity;
--- a/packages/lovagepond-gateway/src/gateway_buffered_failure.ts
+++ b/packages/lovagepond-gateway/src/gateway_buffered_failure.ts
@@ -1,26 +1,26 @@
 /**
- * A server's failure answer, kept while another server is tried.
+ * A server's error response, buffered while another server is tried.
  */
 import {type ResponseHead} from './gateway_attempt.js';
 import {type CallerChannel} from './gateway_caller_channel.js';
 
-/** A larger one isn't kept. */
+/** Size limit of a buffered body, bytes. */
 const MAX_BUFFERED_BYTES = 64 * 1024;
 
-/** Head and body as they came. */
+/** Holds the head and body as received. */
 export class BufferedFailure {
   readonly #head: ResponseHead;
   readonly #chunks: Buffer[] = [];
   #size = 0;
 
-  /** @param head its status and headers */
+  /** @param head the response's status and headers */
   constructor(head: ResponseHead) {
     this.#head = head;
   }
 
   /**
-   * @param chunk of the body
-   * @returns false when the answer is too large to keep
+   * @param chunk a part of the body
+   * @returns false when the body exceeds the size limit
    */
   add(chunk: Buffer): boolean {
     this.#size += chunk.length;
@@ -29,7 +29,7 @@
     return true;
   }
 
-  /** @param caller who gets the whole answer */
+  /** @param caller the channel that the complete response is sent to */
   sendTo(caller: CallerChannel): void {
     caller.sendHead(this.#head);
     for (const chunk of this.#chunks) caller.write(chunk);
--- a/packages/lovagepond-gateway/src/gateway_choice.ts
+++ b/packages/lovagepond-gateway/src/gateway_choice.ts
@@ -1,7 +1,7 @@
 /**
- * Chooses the backend server for one attempt: an engine by the prompt, and a
- * plain service by load, in the own availability zone when that makes no
- * difference.
+ * Selects the backend server for one attempt: an engine by its cached prompts
+ * and load; a plain service by load and failures, preferring the gateway's
+ * availability zone among equally loaded ones.
  */
 import {type Pool, type Random} from '@lovagepond/core';
 import {type KeyHasher} from '@lovagepond/router/rendezvous_hash';
@@ -15,56 +15,57 @@
 import {type PrefillRate} from './gateway_prefill_rate.js';
 import {type ServerState} from './gateway_server_state.js';
 
-/** What a choice is made for. */
+/** The request and the servers to select from. */
 export interface ChoiceRequest {
   readonly pool: Pool;
-  /** Those that take new work. */
+  /** Servers that accept new requests. */
   readonly servers: readonly ServerState[];
-  /** Those that may hold prompts, draining ones too. */
+  /** Servers that may hold prompts in cache, draining ones included. */
   readonly holders: readonly ServerState[];
   readonly parts: readonly PromptPart[];
-  /** Place by the prompt's parts. */
+  /** Select by cached prompt parts. */
   readonly sticky: boolean;
   readonly targetLatencyMs: number;
-  /** A failure costs a second try; else it costs the caller its answer. */
+  /** A failed request may be retried; otherwise its response is lost. */
   readonly repeatable: boolean;
-  /** Servers that this request was given to before. */
+  /** Names of the servers that earlier attempts of this request used. */
   readonly tried: ReadonlySet<string>;
 }
 
-/** The server, and where it takes the prompt's context over from. */
+/** The selected server, and the server it fetches the prompt's context from. */
 export interface ServerChoice {
   readonly state: ServerState;
-  /** Absent when nothing is taken over. */
+  /** Absent for plain services. */
   readonly fetch?: ContextFetch;
 }
 
 /** Settings of {@link GatewayChoice}. */
 export interface ChoiceSettings {
   readonly availabilityZone: string;
-  /** How fast engines read prompts. */
+  /** The engines' estimated prefill rate. */
   readonly rate: PrefillRate;
-  /** Other weights than those in use, to measure what each is worth. */
+  /** Replaces {@link ENGINE_WEIGHTS}, for experiments. */
   readonly weights?: EngineWeights;
 }
 
 /**
- * Requests beyond the bounded multiple of the mean that a server may have:
- * with a few requests a server, one more is no imbalance.
+ * Requests that a server may have beyond the bounded multiple of the mean:
+ * with few requests per server, one more is not an imbalance.
  */
 const BOUND_SLACK = 2;
 
-/** Requests that count as no difference between two services. */
+/** Load difference, in requests, below which two services count as equal. */
 const SAME_LOAD = 0.5;
 
 /**
- * What a certain failure counts against load, in times of all slots: a request
- * at a service with a free slot loses nothing, one that must not run twice and
- * fails is lost. A repeatable one is tried again while the budget lasts.
+ * Cost of a certain failure in units of load, where 1 is a server with all
+ * slots taken. Load costs nothing while a slot is free, but a failed request
+ * that must not run twice is lost. A repeatable one is retried while the retry
+ * budget lasts.
  */
 const FAILURE_LOAD = {REPEATABLE: 1.5, LOST: 4} as const;
 
-/** Chooses servers. */
+/** Selects servers for attempts. */
 export class GatewayChoice {
   readonly #settings: ChoiceSettings;
   readonly #hasher: KeyHasher;
@@ -78,15 +79,15 @@
 
   /**
    * @param req the request and its pool's servers
-   * @param now present time, monotonic milliseconds
-   * @returns the server, or undefined when there is none left to try
+   * @param now current time, monotonic milliseconds
+   * @returns the server, or undefined when no untried one is left
    */
   choose(req: ChoiceRequest, now: number): ServerChoice | undefined {
     const untried = req.servers.filter(
       ({server}) => !req.tried.has(server.name),
     );
     const healthy = untried.filter(state => !state.isAvoided(now));
-    // When all look ill, the fault is as likely on this side.
+    // If every server has failed, the cause may be on the gateway's side.
     const candidates = healthy.length > 0 ? healthy : untried;
     if (candidates.length === 0) return undefined;
     const within = this.#withinBound(candidates, req.pool, now);
--- a/packages/lovagepond-gateway/src/gateway_connections.ts
+++ b/packages/lovagepond-gateway/src/gateway_connections.ts
@@ -1,6 +1,7 @@
 /**
- * Connections to backend servers: one request at a time on each, and the one
- * used last is used first, so that as few as possible are opened.
+ * Connection pool for backend servers. Each connection carries one request at a
+ * time, and the most recently used one is reused first, which keeps the number
+ * of open connections low.
  */
 import {type Socket} from 'node:net';
 import {type Client} from 'undici';
@@ -9,44 +10,45 @@
 /** Settings of {@link GatewayConnections}. */
 export interface ConnectionSettings {
   readonly connectTimeoutMs: number;
-  /** Largest head of an answer, bytes. */
+  /** Largest head of a response, bytes. */
   readonly maxHeadBytes: number;
 }
 
 /**
- * Idle time after which the operating system asks whether the other end is
- * still there: something between the two may have lost track of a connection,
- * and a request on it would wait for an answer that can't come.
+ * Idle time after which the operating system sends TCP keep-alive probes,
+ * milliseconds. A device on the path may have dropped the connection's state,
+ * and a request sent on it would never get a response.
  */
 const KEEP_ALIVE_PROBE_MS = 1_000;
 
-/** Used when a server doesn't say how long it keeps an idle connection, ms. */
+/** Idle timeout for servers that do not announce one, milliseconds. */
 const DEFAULT_IDLE_MS = 60_000;
 
-/** A server's stated idle time is used up to so long before it ends, ms. */
+/** Subtracted from the idle timeout that a server announces, milliseconds. */
 const IDLE_MARGIN_MS = 1_000;
 
-/** Where a connection leads. */
+/** The server that a connection is opened to. */
 export interface ConnectionTarget {
-  /** Names one life of the server: its successor is another one. */
+  /** Identifies one run of the server; a restarted server has another name. */
   readonly name: string;
   /** `host:port` of the server. */
   readonly address: string;
 }
 
-/** One connection, with the server that it leads to. */
+/** One pooled connection. */
 export interface ServerConnection {
+  /** Name of the server. */
   readonly server: string;
   readonly client: Client;
-  /** It ended by an error, not by the server's closing it. */
+  /** True if the connection ended with a reset or another error. */
   wasReset: boolean;
 }
 
 /**
- * Notes when a server resets its connection. A reset that comes together with
- * the bytes before it is told as an orderly end; only the operating system
- * still knows, as a reset socket has no peer any more. Node keeps a peer's
- * address once it was read, so it must not be read earlier.
+ * Detects that a server reset the connection. Node reports a reset that arrives
+ * together with the preceding bytes as an orderly end. The operating system
+ * still shows the difference: a reset socket has no peer address. Node caches
+ * the address once it was read, so it must not be read earlier.
  */
 function watchForReset(socket: Socket, connection: ServerConnection): void {
   socket.on('error', () => {
@@ -57,7 +59,7 @@
   });
 }
 
-/** All connections of this router. */
+/** The gateway's connection pool. */
 export class GatewayConnections {
   readonly #settings: ConnectionSettings;
   readonly #idle = new Map<string, ServerConnection[]>();
@@ -67,12 +69,12 @@
     this.#settings = settings;
   }
 
-  /** Connections made since the start. */
+  /** Connections opened since the start. */
   get opened(): number {
     return this.#opened;
   }
 
-  /** Connections that wait for a request. */
+  /** Idle connections in the pool. */
   get idle(): number {
     let count = 0;
     for (const connections of this.#idle.values()) count += connections.length;
@@ -87,7 +89,7 @@
     return this.#idle.get(target.name)?.pop() ?? this.#open(target);
   }
 
-  /** @param connection one whose request has ended with a whole answer */
+  /** @param connection one whose last response was complete */
   release(connection: ServerConnection): void {
     if (connection.client.destroyed || connection.client.closed) return;
     const idle = this.#idle.get(connection.server) ?? [];
@@ -95,12 +97,16 @@
     this.#idle.set(connection.server, idle);
   }
 
-  /** @param connection one that must not be used again */
+  /** @param connection one that must not be reused */
   discard(connection: ServerConnection): void {
     connection.client.destroy().catch(() => undefined);
   }
 
-  /** @param servers names of the servers that are still listed */
+  /**
+   * Closes the idle connections to all other servers.
+   *
+   * @param servers names of the servers that control lists
+   */
   keepOnly(servers: ReadonlySet<string>): void {
     for (const [server, idle] of this.#idle) {
       if (servers.has(server)) continue;
@@ -109,7 +115,7 @@
     }
   }
 
-  /** Ends all idle connections. */
+  /** Closes all idle connections. */
   close(): void {
     this.keepOnly(new Set());
   }
@@ -131,8 +137,8 @@
       keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
       connect: (options, callback) => {
         connect(options, (...result) => {
-          // Before the client's own listeners, which take a reset for the end
-          // of an answer that has no length.
+          // Must run before undici's listeners, which take a reset for the end
+          // of a response without a length.
           if (result[1]) watchForReset(result[1], connection);
           callback(...result);
         });
@@ -146,7 +152,7 @@
     return connection;
   }
 
-  /** An idle connection that ended would only cost its next request time. */
+  /** Removes a closed idle connection, which would delay its next request. */
   #removeIdle(connection: ServerConnection): void {
     const idle = this.#idle.get(connection.server);
     const at = idle?.indexOf(connection) ?? -1;
--- a/packages/lovagepond-gateway/src/gateway_context_source.ts
+++ b/packages/lovagepond-gateway/src/gateway_context_source.ts
@@ -1,20 +1,21 @@
 /**
- * Which server a prompt's context can be taken over from.
+ * Finds the server from which another one can fetch a prompt's context.
  *
- * Where servers can, taking over is many times faster than reading: 8,600
- * tokens in 6 ms rather than 200. A busy server's prompts then need not wait
- * for it, and a new server needn't read what others hold.
+ * Where servers support it, fetching cached context is many times faster than
+ * prefill: 8,600 tokens in 6 ms instead of 200 ms. Prompts cached at a busy
+ * server can then run elsewhere, and a new server need not compute what others
+ * hold.
  */
 import {type PromptPart} from './gateway_headers.js';
 import {type ServerState} from './gateway_server_state.js';
 
-/** Fewer tokens are read sooner than a transfer has begun. */
+/** Prefill of fewer tokens is done before a transfer has begun. */
 const MIN_FETCH_TOKENS = 128;
 
-/** What a server would take over, and where from. */
+/** How many tokens of context a server would fetch, and from which server. */
 export interface ContextFetch {
   readonly source: ServerState | undefined;
-  /** 0 when there is no source that is worth it. */
+  /** 0 if no source would save enough prefill. */
   readonly tokens: number;
 }
 
@@ -25,15 +26,15 @@
   readonly lackingTokens: number;
 }
 
-/** The servers that hold the most of one prompt. */
+/** The servers that hold most of one prompt in cache. */
 export class ContextSources {
-  /** The best two: a server is no source for itself. */
+  /** The two best ones, as a server can't be its own source. */
   readonly #holders: readonly Holder[];
 
   /**
-   * @param states servers that answer, draining ones too
+   * @param states servers to consider, draining ones included
    * @param parts the prompt's parts, in order
-   * @param now present time, monotonic milliseconds
+   * @param now current time, monotonic milliseconds
    */
   constructor(
     states: readonly ServerState[],
@@ -52,8 +53,8 @@
 
   /**
    * @param state a server
-   * @param coldTokens what it lacks of the prompt
-   * @returns what it can take over
+   * @param coldTokens tokens of the prompt that it does not hold
+   * @returns the context that it can fetch
    */
   fetchFor(state: ServerState, coldTokens: number): ContextFetch {
     const holder = this.#holders.find(one => one.state !== state);
--- a/packages/lovagepond-gateway/src/gateway_counters.ts
+++ b/packages/lovagepond-gateway/src/gateway_counters.ts
@@ -1,17 +1,20 @@
 /**
- * What a gateway counts, for metrics and its dump.
+ * Counters of a gateway, for metrics and the state dump.
  */
 import {type ErrorKind} from '@lovagepond/core';
 
 /** Counts since the start. */
 export interface GatewayCounts {
-  /** Requests that ended, by how: `answered`, `failed`, `cut` or an error kind. */
+  /**
+   * Finished requests by outcome: `answered`, `failed`, `cut`, `callerGone` or
+   * an error kind.
+   */
   readonly endedByOutcome: Readonly<Record<string, number>>;
-  /** Requests refused before a server was chosen, by kind. */
+  /** Requests rejected before a server was selected, by error kind. */
   readonly refusedByKind: Readonly<Record<string, number>>;
-  /** Attempts that brought no whole answer, by how they ended. */
+  /** Attempts without a successful response, by outcome. */
   readonly failedAttemptsByOutcome: Readonly<Record<string, number>>;
-  /** Attempts after a request's first one. */
+  /** Retries and resumed streams: attempts after a request's first one. */
   readonly secondTries: number;
 }
 
@@ -19,7 +22,7 @@
   counts.set(name, (counts.get(name) ?? 0) + 1);
 }
 
-/** Counts up; never forgets. */
+/** Monotonic counters. */
 export class GatewayCounters {
   readonly #ended = new Map<string, number>();
   readonly #refused = new Map<string, number>();
@@ -36,19 +39,19 @@
     };
   }
 
-  /** @param outcome how a request ended that had an exchange */
+  /** @param outcome how a request with an exchange ended */
   noteEnded(outcome: string): void {
     countUp(this.#ended, outcome);
   }
 
-  /** @param kind why a request got no exchange */
+  /** @param kind why a request was rejected before its exchange began */
   noteRefused(kind: ErrorKind): void {
     countUp(this.#refused, kind);
   }
 
   /**
    * @param outcome how an attempt ended
-   * @param isFollowed another attempt comes after it
+   * @param isFollowed true when another attempt follows
    */
   noteFailedAttempt(outcome: string, isFollowed: boolean): void {
     countUp(this.#failedAttempts, outcome);
--- a/packages/lovagepond-gateway/src/gateway_crash_detector.ts
+++ b/packages/lovagepond-gateway/src/gateway_crash_detector.ts
@@ -1,35 +1,36 @@
 /**
- * Tells servers that crashed from connections that broke for another reason.
+ * Distinguishes crashed servers from connections lost for other reasons.
  *
- * A connection may also break by the network, by a proxy or with an answer that got
- * lost. The server has ended when its address refuses connections, another life
- * answers there, or control lists it no more though it hadn't said that it leaves.
+ * The network, a proxy or a lost response can also break a connection. A server
+ * counts as crashed when its address refuses connections, when another instance
+ * responds there, or when control removes it from the list although it had not
+ * announced that it is leaving.
  */
 import {SERVER_STATE, type ServerCrash} from '@lovagepond/core';
 import {type ServerState} from './gateway_server_state.js';
 
-/** What a try to connect shows. */
+/** The result of a connection probe. */
 export const REACHABILITY = {
-  /** Something listens at the address. */
+  /** The address accepts connections. */
   ACCEPTS: 'accepts',
   REFUSES: 'refuses',
-  /** No answer in time: the host or the network may be gone. */
+  /** No result in time: the host or the network may be down. */
   SILENT: 'silent',
 } as const;
 
 /** One of the values of {@link REACHABILITY}. */
 export type Reachability = (typeof REACHABILITY)[keyof typeof REACHABILITY];
 
-/** Time within which a server that broke connections shows whether it ended, ms. */
+/** Time limit for deciding whether a server crashed, milliseconds. */
 const UNDECIDED_MS = 6_000;
 
-/** Time between two tries to connect, milliseconds. */
+/** Time between two connection probes, milliseconds. */
 const PROBE_INTERVAL_MS = 100;
 
-/** A server that accepts so many of them in a row is alive. */
+/** Probes of one server; if it accepts the last one, it has not crashed. */
 const MAX_PROBES = 5;
 
-/** Requests that are kept for one server. */
+/** Fingerprints stored for one server. */
 const MAX_REQUESTS = 512;
 
 interface TrackedServer {
@@ -41,32 +42,32 @@
   hasCrashed: boolean;
 }
 
-/** Follows servers that broke connections. */
+/** Tracks servers that lost a connection while a request ran. */
 export class GatewayCrashDetector {
   readonly #tracked = new Map<string, TrackedServer>();
   #crashes = 0;
   readonly #onCrash: (crash: ServerCrash, now: number) => void;
 
   /**
-   * @param onCrash called with each server that has ended and the requests that it
-   *     ran here; again when there are more of them
+   * @param onCrash called with each crashed server and the requests of this
+   *     gateway that it ran; called again when further requests fail
    */
   constructor(onCrash: (crash: ServerCrash, now: number) => void) {
     this.#onCrash = onCrash;
   }
 
-  /** Servers that have ended since the start. */
+  /** Servers that have crashed since the start. */
   get crashes(): number {
     return this.#crashes;
   }
 
   /**
    * @param state the server
-   * @param request fingerprint of the request whose answer broke off
-   * @param now present time, monotonic milliseconds
+   * @param request fingerprint of the request whose connection was lost
+   * @param now current time, monotonic milliseconds
    */
   noteConnectionLost(state: ServerState, request: string, now: number): void {
-    // A server that leaves ends soon, and breaks off what isn't done by then.
+    // A draining server exits soon and closes its remaining connections.
     if (state.server.state !== SERVER_STATE.READY) return;
     const {name} = state.server;
     const tracked = this.#tracked.get(name) ?? {
@@ -84,9 +85,9 @@
   }
 
   /**
-   * @param name a server whose address refuses connections, or where another life
-   *     answers
-   * @param now present time, monotonic milliseconds
+   * @param name a server whose address refuses connections or is in use by
+   *     another instance
+   * @param now current time, monotonic milliseconds
    */
   noteExited(name: string, now: number): void {
     const tracked = this.#tracked.get(name);
@@ -97,9 +98,9 @@
   }
 
   /**
-   * @param name a server that was tried
-   * @param reachability what the try showed
-   * @param now present time, monotonic milliseconds
+   * @param name the server that was probed
+   * @param reachability the probe's result
+   * @param now current time, monotonic milliseconds
    */
   noteProbe(name: string, reachability: Reachability, now: number): void {
     const tracked = this.#tracked.get(name);
@@ -112,7 +113,7 @@
 
   /**
    * @param listed names of the servers that control lists
-   * @param now present time, monotonic milliseconds
+   * @param now current time, monotonic milliseconds
    */
   noteListed(listed: ReadonlySet<string>, now: number): void {
     for (const [name, {state}] of this.#tracked) {
@@ -123,8 +124,8 @@
   }
 
   /**
-   * @param now present time, monotonic milliseconds
-   * @returns servers to try to connect to now
+   * @param now current time, monotonic milliseconds
+   * @returns the servers to probe now
    */
   takeDueProbes(now: number): readonly ServerState[] {
     const due: ServerState[] = [];
@@ -141,7 +142,8 @@
 
   /**
    * @param request a fingerprint
-   * @returns servers that broke it off and aren't known to have ended
+   * @returns the number of servers that lost their connection while they ran
+   *     it and are not known to have crashed
    */
   undecided(request: string): number {
     let count = 0;
--- a/packages/lovagepond-gateway/src/gateway_drain_admission.ts
+++ b/packages/lovagepond-gateway/src/gateway_drain_admission.ts
@@ -1,43 +1,48 @@
 /**
- * Decides what a gateway that is stopping still takes on.
+ * Admission control of a draining gateway.
  *
- * Callers go on using the connections they have. A stream that is taken late in
- * the grace period is cut when the process ends, and its caller has lost it,
+ * Callers keep using their open connections. A stream that is admitted late in
+ * the grace period is cut off when the process exits and is lost to its caller,
  * although another gateway would have served it.
  */
 
-/** Weight of a request that took longer than expected, and of a shorter one. */
+/**
+ * Weights of an observed duration in the estimate: longer or shorter than it.
+ */
 const LONGER_WEIGHT = 0.5;
 const SHORTER_WEIGHT = 0.01;
 
 /**
- * What the expectation is multiplied by: it follows the longest of some hundred
- * requests, and a server may be slower than it was.
+ * Multiplies the estimate, which follows the longest of some hundred requests:
+ * a server may have become slower.
  */
 const SAFETY_FACTOR = 1.5;
 
-/** Time kept free before the process ends, milliseconds. */
+/** Reserve before the process exits, milliseconds. */
 const END_MARGIN_MS = 300;
 
-/** Learns how long requests take, and refuses those that can't end in time. */
+/**
+ * Estimates how long requests take, and rejects those that can't finish before
+ * the process exits.
+ */
 export class GatewayDrainAdmission {
-  /** Long durations, milliseconds, by the rule that requests run under. */
+  /** Estimated long duration by rule name, milliseconds. */
   readonly #longDurations = new Map<string, number>();
   #endsAt: number | undefined;
 
-  /** True once the process is stopping. */
+  /** True once draining has begun. */
   get isDraining(): boolean {
     return this.#endsAt !== undefined;
   }
 
-  /** @param endsAt when the process ends at the latest, monotonic ms */
+  /** @param endsAt when the process exits at the latest, monotonic ms */
   begin(endsAt: number): void {
     this.#endsAt = endsAt;
   }
 
   /**
-   * @param rule the rule that a request ran under
-   * @param durationMs time from its arrival to the end of its answer
+   * @param rule name of the rule that matched the request
+   * @param durationMs time from the request's arrival to its end, milliseconds
    */
   noteDuration(rule: string, durationMs: number): void {
     const long = this.#longDurations.get(rule) ?? 0;
@@ -46,10 +51,10 @@
   }
 
   /**
-   * @param rule the rule that a request would run under
-   * @param limitMs the longest that its caller waits
-   * @param now present time, monotonic milliseconds
-   * @returns false when its answer would be cut by the end of the process
+   * @param rule name of the rule that matches the request
+   * @param limitMs time left until the request's deadline, milliseconds
+   * @param now current time, monotonic milliseconds
+   * @returns false when the process is likely to exit before the response ends
    */
   admits(rule: string, limitMs: number, now: number): boolean {
     if (this.#endsAt === undefined) return true;
--- a/packages/lovagepond-gateway/src/gateway_engine_choice.ts
+++ b/packages/lovagepond-gateway/src/gateway_engine_choice.ts
@@ -1,84 +1,87 @@
 /**
- * Chooses the engine for a prompt: where it is warm, unless the wait there
- * would make the first token late and another engine has it in time.
+ * Selects the engine for a prompt: one that holds it in cache, unless the wait
+ * there would make the first token late and another engine is in time.
  *
- * A prompt that is warm nowhere has the same home for every router by
- * rendezvous hashing, so that it is read once in the fleet and not once a
- * router.
+ * For a prompt that no engine holds, rendezvous hashing gives all gateways the
+ * same home engine, so that the fleet computes it once and not once for each
+ * gateway.
  */
 import {type KeyHasher} from '@lovagepond/router/rendezvous_hash';
 import {type ContextFetch, ContextSources} from './gateway_context_source.js';
 import {type PromptPart} from './gateway_headers.js';
 import {type ServerState} from './gateway_server_state.js';
 
-/** What an engine is chosen for. */
+/** The prompt and the engines to select from. */
 export interface EngineRequest {
-  /** The engines that may be chosen, one at least. */
+  /** The engines that may be selected, at least one. */
   readonly candidates: readonly ServerState[];
-  /** The engines that may hold the prompt, draining ones too. */
+  /** The engines that may hold the prompt in cache, draining ones included. */
   readonly holders: readonly ServerState[];
   readonly parts: readonly PromptPart[];
   readonly targetLatencyMs: number;
-  /** A failure costs a second run; else it costs the caller its answer. */
+  /** A failed request may be retried; otherwise its response is lost. */
   readonly repeatable: boolean;
-  /** Prompt tokens that an engine reads in a millisecond. */
+  /** Prefill rate of an engine, prompt tokens per millisecond. */
   readonly readTokensPerMs: number;
-  /** Tokens taken over in a millisecond; undefined where that can't be. */
+  /** Context tokens fetched per millisecond; undefined if unsupported. */
   readonly fetchTokensPerMs: number | undefined;
   readonly weights: EngineWeights;
 }
 
-/** The engine, and where it takes the prompt's context over from. */
+/** The selected engine, and where it fetches the prompt's context from. */
 export interface EngineChoice {
   readonly state: ServerState;
   readonly fetch: ContextFetch;
 }
 
 interface EngineOption extends EngineChoice {
-  /** Tokens that it has to read itself. */
+  /** Tokens that it has to compute itself. */
   readonly prefillTokens: number;
 }
 
-/** What counts how much in the choice of an engine. */
+/** Cost weights for the selection of an engine. */
 export interface EngineWeights {
   /**
-   * A millisecond of reading anew at another server, which also delays that
-   * server's other streams and pushes out what it held: more than its own time.
+   * A millisecond of repeated prefill at another server. It costs more than its
+   * own time, as it delays that server's other streams and evicts other
+   * prompts from its cache.
    */
   readonly reread: number;
   /**
-   * Taking a token over against reading it anew: it takes memory at both ends
-   * and a share of the links, but no time of the engine.
+   * Fetching a token, relative to computing it again. A fetch uses memory at
+   * both ends and network bandwidth, but no time of the engine.
    */
   readonly fetch: number;
   /**
-   * Part of a cold prompt's reading that its home has as an advantage, so that
-   * gateways which meet a new prompt at the same time send it to one server.
+   * Advantage of the home engine, as a fraction of the prefill that every
+   * engine would have to do, so that gateways which receive a new prompt at the
+   * same time send it to the same server.
    */
   readonly home: number;
   /**
-   * Part of the target latency up to which a wait costs the caller nothing: the
-   * rest covers what other routers have sent to the server, unseen from here, and
-   * what the prompts after it will have to wait for.
+   * Fraction of the target latency within which a wait costs nothing. The rest
+   * allows for requests of other gateways that are not visible here, and for
+   * the delay of the prompts that follow.
    */
   readonly freeWaitPart: number;
-  /** A millisecond beyond that against one of reading anew. */
+  /** A millisecond beyond that wait, relative to one of prefill. */
   readonly late: number;
   /**
-   * A millisecond of a wait that brings no lateness, and one more request at a
-   * server, in milliseconds: they decide between servers that are equal else.
+   * A millisecond of a wait within that fraction, and one more request at a
+   * server, in milliseconds: these decide between otherwise equal servers.
    */
   readonly early: number;
   readonly runningRequestMs: number;
   /**
-   * A certain failure, in times of the target latency: a caller whose stream can
-   * be resumed waits about as long once more, another one has lost its answer.
+   * A certain failure, in multiples of the target latency: a caller whose
+   * request can be repeated waits about that long again; otherwise the response
+   * is lost.
    */
   readonly repeatableFailure: number;
   readonly lostFailure: number;
 }
 
-/** The weights in use; docs/design/new_customer.md says what they are worth. */
+/** The default weights; docs/design/new_customer.md shows their effects. */
 export const ENGINE_WEIGHTS: EngineWeights = Object.freeze({
   reread: 1.5,
   fetch: 0.12,
@@ -93,9 +96,9 @@
 
 /**
  * @param req the prompt and the engines
- * @param hasher finds homes
- * @param now present time, monotonic milliseconds
- * @returns the engine with the least cost for the caller and the others
+ * @param hasher ranks engines for rendezvous hashing
+ * @param now current time, monotonic milliseconds
+ * @returns the engine with the lowest total cost
  */
 export function chooseEngine(
   req: EngineRequest,
@@ -133,7 +136,7 @@
   });
 }
 
-/** What the choice costs this caller and others, in milliseconds. */
+/** Cost of an option for this and other callers, in milliseconds. */
 function costOf(
   {state, fetch, prefillTokens: prefillTokens}: EngineOption,
   extraTokens: number,
@@ -160,8 +163,9 @@
 }
 
 /**
- * The last part belongs to the request alone; what it shares with others ends
- * with the part before it.
+ * Finds the home engine of the prefix that other requests share. The last part
+ * belongs to this request alone, so the shared prefix ends with the part
+ * before it.
  */
 function findHome(
   {candidates, parts}: EngineRequest,
--- a/packages/lovagepond-gateway/src/gateway_event_stream.ts
+++ b/packages/lovagepond-gateway/src/gateway_event_stream.ts
@@ -1,44 +1,46 @@
 /**
- * Cuts a stream of events into whole events and checks their numbers.
+ * Splits a server-sent event stream into complete events and checks that their
+ * ids are consecutive.
  *
- * A server may stop in the middle of an event. Passed on, the half event and
- * the next run's first one would read as one event that nobody made.
+ * A server may stop in the middle of an event. If the partial event were
+ * forwarded, the caller would read it and the first event of the resumed stream
+ * as one corrupt event.
  */
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 const ID_LINE = /^id:\s*(\d+)\s*$/m;
 
-/** What became of a piece of a stream. */
+/** The result of parsing a chunk. */
 export type ParsedChunk =
-  /** Whole events, as they came; may be empty. */
+  /** The bytes of the events completed by the chunk; may be empty. */
   | {readonly kind: 'events'; readonly bytes: Buffer}
-  /** An event is missing or comes twice. */
+  /** An event is missing or repeated. */
   | {readonly kind: 'broken'; readonly reason: string};
 
-/** Follows one answer's stream, over all of its runs. */
+/** Parses the event stream of one response across all of its attempts. */
 export class EventStream {
   #pending: Buffer = Buffer.alloc(0);
   #lastId: number | undefined;
 
-  /** Number of the last whole event; undefined before one. */
+  /** Id of the last complete event; undefined before the first one. */
   get lastId(): number | undefined {
     return this.#lastId;
   }
 
-  /** True between events. */
+  /** True when no partial event is pending. */
   get isAtEventBoundary(): boolean {
     return this.#pending.length === 0;
   }
 
-  /** Forgets the half event of a run that broke off. */
+  /** Drops the partial event of a failed attempt. */
   discardPartialEvent(): void {
     this.#pending = Buffer.alloc(0);
   }
 
   /**
-   * @param chunk bytes as they came
-   * @returns the events that are whole by now
+   * @param chunk bytes as received
+   * @returns the events that the chunk completes
    */
   take(chunk: Buffer): ParsedChunk {
     this.#pending =
@@ -63,13 +65,13 @@
     if (id === undefined) return undefined;
     const number = Number(id);
     const expected = this.#lastId === undefined ? number : this.#lastId + 1;
-    if (number !== expected) return `event ${number} after ${this.#lastId}`;
+    if (number !== expected) return `event ${number} follows ${this.#lastId}`;
     this.#lastId = number;
     return undefined;
   }
 }
 
-/** @returns the index behind the blank line that ends an event, or -1 */
+/** @returns the index after the blank line that ends an event, or -1 */
 function findEventEnd(bytes: Buffer): number {
   let at = bytes.indexOf(LINE_FEED);
   while (at >= 0) {
--- a/packages/lovagepond-gateway/src/gateway_exchange.ts
+++ b/packages/lovagepond-gateway/src/gateway_exchange.ts
@@ -1,8 +1,8 @@
 /**
- * One request from its arrival to its final answer.
+ * Handles one admitted request until its final response.
  *
- * Joins the deciders: it asks for a server, runs attempts one after the other,
- * passes the answer on as it comes and gives the one final answer.
+ * Selects servers, runs attempts one after the other, streams the response to
+ * the caller, and sends exactly one final response.
  */
 import {type ErrorKind} from '@lovagepond/core';
 import {
@@ -31,8 +31,8 @@
 import {type ServerState} from './gateway_server_state.js';
 
 /**
- * Time that a server's own answer at its deadline gets to arrive before this
- * router answers itself, milliseconds.
+ * Time after the deadline in which the server's own deadline response may still
+ * arrive before the gateway responds itself, milliseconds.
  */
 const DEADLINE_SLACK_MS = 40;
 
@@ -49,14 +49,14 @@
   readonly #events: EventStream | undefined;
   readonly #tried = new Set<string>();
   #attempt: Attempt | undefined;
-  /** The prompt at the server of the attempt under way. */
+  /** The current attempt's prefill. */
   #prefill: PrefillTracker | undefined;
-  /** Of the attempt under way, at a plain service. */
+  /** The current attempt's response timing; unset at engines. */
   #timing: ResponseTiming | undefined;
   #timer: NodeJS.Timeout | undefined;
-  /** The failure answer that the attempt under way brings. */
+  /** The error response that the current attempt is receiving. */
   #incomingFailure: BufferedFailure | undefined;
-  /** The last failure answer that came whole. */
+  /** The last complete error response. */
   #bufferedFailure: BufferedFailure | undefined;
   #runs = 0;
   #attempts = 0;
@@ -64,9 +64,10 @@
 
   /**
    * @param req the request
-   * @param deps what all exchanges share
-   * @param caller where the answer goes
-   * @param onDone called once, after the final answer or the caller's leaving
+   * @param deps dependencies shared by all exchanges
+   * @param caller the channel to the caller
+   * @param onDone called once, after the final response or when the caller has
+   *     disconnected
    */
   constructor(
     req: AdmittedRequest,
@@ -101,7 +102,7 @@
     this.#startAttempt();
   }
 
-  /** Ends it, as servers crash while they run it. */
+  /** Aborts the request, as it is quarantined for crashing servers. */
   abortQuarantined(): void {
     if (this.#isDone) return;
     if (this.#attempt?.isSent) this.#runs += 1;
@@ -224,7 +225,7 @@
   #bufferChunk(failure: BufferedFailure, chunk: Buffer): void {
     if (failure.add(chunk)) return;
     this.#attempt?.abort();
-    const reason = 'failure answer too large';
+    const reason = 'error response is too large to buffer';
     this.#onFailed({kind: 'broken', reason, isLost: false});
   }
 
@@ -234,11 +235,11 @@
       this.#noteCompleteResponse();
       this.#endAttempt()?.noteErrorResponse(this.#now());
       this.#runs += 1;
-      this.#handleOutcome({kind: 'failedAnswer'}, 'failure answer');
+      this.#handleOutcome({kind: 'failedAnswer'}, 'server returned an error');
       return;
     }
     if (this.#events && !this.#events.isAtEventBoundary) {
-      const reason = 'half an event at the end';
+      const reason = 'event stream ended within an event';
       this.#onFailed({kind: 'broken', reason, isLost: true});
       return;
     }
@@ -250,7 +251,10 @@
     this.#finish('answered');
   }
 
-  /** Without a length its end may be the server's. */
+  /**
+   * Clears the request's suspicion. A close-delimited response proves nothing,
+   * as the server's crash may have ended it.
+   */
   #noteCompleteResponse(): void {
     if (this.#attempt?.isCloseDelimited) return;
     const {quarantine} = this.#deps;
@@ -274,7 +278,7 @@
     const now = this.#now();
     const {kind} = failure;
     if (kind !== 'notRun') state.noteAttemptFailure(now);
-    // With the right name in the request: another server lives there.
+    // The request named this instance, so another one has taken its address.
     else if (failure.status === STATUS_MISDIRECTED) state.markReplaced();
     const {quarantine} = this.#deps;
     quarantine.noteFailure(state, this.#req.fingerprint, failure, now);
@@ -320,7 +324,7 @@
     this.#finish('failed');
   }
 
-  /** @param errorIfNotRun why it didn't run, if it didn't */
+  /** @param errorIfNotRun the error to send when no attempt may have run */
   #giveUp(errorIfNotRun: ErrorKind): void {
     if (this.#caller.headSent) {
       this.#caller.cut();
@@ -344,7 +348,7 @@
     const sent = this.#attempt?.isSent ?? false;
     this.#attempt?.abort();
     this.#endAttempt()?.noteAttemptFailure(this.#now());
-    this.#handleOutcome({kind: 'timedOut', sent}, 'no time left');
+    this.#handleOutcome({kind: 'timedOut', sent}, 'deadline exceeded');
   }
 
   #onCallerDisconnected(): void {
--- a/packages/lovagepond-gateway/src/gateway_exchange_types.ts
+++ b/packages/lovagepond-gateway/src/gateway_exchange_types.ts
@@ -1,5 +1,5 @@
 /**
- * What one request's exchange is given.
+ * The inputs of an exchange.
  */
 import {type Clock, type Logger, type Pool} from '@lovagepond/core';
 import {type GatewayChoice} from './gateway_choice.js';
@@ -12,7 +12,7 @@
 import {type GatewayRetryBudget} from './gateway_retry_budget.js';
 import {type ForwardingRule} from './gateway_routes.js';
 
-/** What all exchanges share. */
+/** Dependencies shared by all exchanges. */
 export interface ExchangeDependencies extends PrefillTrackerDependencies {
   readonly clock: Clock;
   readonly log: Logger;
@@ -25,13 +25,13 @@
   readonly counters: GatewayCounters;
 }
 
-/** A request that was read whole and may run. */
+/** A request that was read completely and admitted. */
 export interface AdmittedRequest {
   readonly method: string;
   readonly path: string;
   readonly rawHeaders: readonly string[];
   readonly body: Buffer;
-  /** The same for each repeat. */
+  /** Identical for each repetition of the request. */
   readonly fingerprint: string;
   readonly facts: RequestFacts;
   readonly rule: ForwardingRule;
@@ -42,6 +42,6 @@
   readonly priority: number;
   /** When the request arrived, monotonic milliseconds. */
   readonly arrivedAt: number;
-  /** When the caller or the operators stop waiting. */
+  /** When the request's time is up, monotonic milliseconds. */
   readonly deadlineAt: number;
 }
--- a/packages/lovagepond-gateway/src/gateway_fleet.ts
+++ b/packages/lovagepond-gateway/src/gateway_fleet.ts
@@ -1,15 +1,15 @@
 /**
- * The backend servers that this router may send to, by pool.
+ * The backend servers that this gateway may forward to, by pool.
  */
 import {type Membership, SERVER_STATE} from '@lovagepond/core';
 import {ServerState} from './gateway_server_state.js';
 
-/** Live states of all direct servers, kept over membership changes. */
+/** States of all servers without a sidecar, kept across membership changes. */
 export class GatewayFleet {
   readonly #states = new Map<string, ServerState>();
   #byPool = new Map<string, readonly ServerState[]>();
 
-  /** Servers known. */
+  /** Number of listed servers. */
   get size(): number {
     return this.#states.size;
   }
@@ -36,7 +36,11 @@
     return listed;
   }
 
-  /** @param now present time, monotonic milliseconds; call it often */
+  /**
+   * Must be called periodically.
+   *
+   * @param now current time, monotonic milliseconds
+   */
   expireRemoteRequests(now: number): void {
     for (const state of this.#states.values()) state.expireRemoteRequests(now);
   }
@@ -56,7 +60,7 @@
 
   /**
    * @param pool a pool's name
-   * @returns its servers that take new work
+   * @returns its servers that accept new requests
    */
   ready(pool: string): readonly ServerState[] {
     return this.listed(pool).filter(
@@ -67,7 +71,7 @@
 
   /**
    * @param pool a pool's name
-   * @returns all its servers, draining ones too
+   * @returns all its servers, draining ones included
    */
   listed(pool: string): readonly ServerState[] {
     return this.#byPool.get(pool) ?? [];
--- a/packages/lovagepond-gateway/src/gateway_headers.ts
+++ b/packages/lovagepond-gateway/src/gateway_headers.ts
@@ -1,40 +1,40 @@
 /**
- * What a forwarded request says in its headers, and which headers go on.
+ * Decodes the headers of forwarded requests and selects those to forward.
  *
- * The names are data: another system's callers and backend servers may use
- * their own, while every decision here works on the decoded facts.
+ * Header names are configurable, so that another system's callers and backend
+ * servers can keep their own. All decisions use the decoded values.
  */
 
 /** Header names, in lower case. */
 export interface GatewayHeaderNames {
-  /** Identifies one request of a caller; servers echo it. */
+  /** Identifies one request; servers echo it. */
   readonly requestId: string;
-  /** Milliseconds that the caller or this router will wait. */
+  /** Milliseconds that the caller or the gateway will wait. */
   readonly deadlineMs: string;
   readonly apiKey: string;
-  /** The workspace that holds the key, told to the server. */
+  /** The workspace that the API key belongs to, sent to the server. */
   readonly workspace: string;
-  /** `prompt tokens,most answer tokens`. */
+  /** `prompt tokens,maximum output tokens`. */
   readonly tokenUsage: string;
   /** `id:tokens` for each part of the prompt, in order. */
   readonly promptParts: string;
-  /** Stands in every answer that a server made. */
+  /** Present in every response that a server generated. */
   readonly signature: string;
-  /** The server says that it did not run the request. */
+  /** Present when the server did not run the request. */
   readonly notRun: string;
-  /** `running,waiting,slots` of the server that answers. */
+  /** `running,waiting,slots` of the responding server. */
   readonly serverLoad: string;
-  /** The incarnation that a request is meant for; others refuse it. */
+  /** The incarnation that a request is meant for; others reject it. */
   readonly expectedInstance: string;
   /** 0 (most urgent) to 9, for the engine's own queue. */
   readonly enginePriority: string;
-  /** Address of a server whose context of the prompt is to be taken over. */
+  /** Address of the server to fetch the prompt's context from. */
   readonly contextSource: string;
-  /** Headers that only a router may set: dropped when a caller sends them. */
+  /** Headers reserved for gateways: removed from callers' requests. */
   readonly routerOnly: readonly string[];
 }
 
-/** The product's own names. */
+/** The default header names. */
 export const DEFAULT_HEADER_NAMES: GatewayHeaderNames = Object.freeze({
   requestId: 'x-lovagepond-request-id',
   deadlineMs: 'x-lovagepond-deadline',
@@ -51,13 +51,13 @@
   routerOnly: [],
 });
 
-/** One part of a prompt; requests that begin alike share their first parts. */
+/** One part of a prompt; requests with a common prefix share its parts. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** A request's headers, decoded. */
+/** The decoded headers of a request. */
 export interface RequestFacts {
   readonly requestId: string;
   readonly deadlineMs: number | undefined;
@@ -67,7 +67,7 @@
   readonly parts: readonly PromptPart[];
 }
 
-/** What a server says of its load. */
+/** The load that a server reports. */
 export interface ServerLoad {
   readonly running: number;
   readonly waiting: number;
@@ -76,7 +76,7 @@
 
 type Headers = Readonly<Record<string, string | readonly string[] | undefined>>;
 
-/** Headers that concern one connection only. */
+/** Headers that apply to a single connection and are not forwarded. */
 const HOP_BY_HOP: ReadonlySet<string> = new Set([
   'connection',
   'expect',
@@ -111,9 +111,9 @@
 }
 
 /**
- * @param headers a request's headers as Node gives them
+ * @param headers a request's headers as parsed by Node
  * @param names the header names in use
- * @returns what they say; absent or unreadable counts are 0 or undefined
+ * @returns the decoded values; missing or malformed counts are 0 or undefined
  */
 export function readFacts(
   headers: Headers,
@@ -131,9 +131,9 @@
 }
 
 /**
- * @param headers an answer's headers
+ * @param headers a response's headers
  * @param names the header names in use
- * @returns the server's load, when it says it
+ * @returns the server's load, if the response reports it
  */
 export function readServerLoad(
   headers: Headers,
@@ -146,26 +146,26 @@
   return slots ? {running, waiting, slots} : undefined;
 }
 
-/** What a router adds to a request. */
+/** Headers that the gateway sets on a request. */
 export interface AddedHeaders {
   readonly deadlineMs: number;
   /** Absent on public routes. */
   readonly workspace: string | undefined;
   readonly instance: string;
   readonly enginePriority: number | undefined;
-  /** Absent where the server holds the context, or none does. */
+  /** Absent when no context is to be fetched. */
   readonly contextSource: string | undefined;
-  /** Where a broken stream goes on; absent on a first attempt. */
+  /** Event id after which a stream resumes; absent on a first attempt. */
   readonly lastEventId: string | undefined;
 }
 
 const LAST_EVENT_ID = 'last-event-id';
 
 /**
- * @param rawHeaders names and values in turn, as they came
+ * @param rawHeaders alternating names and values, as received
  * @param names the header names in use
- * @param added what the router sets, whatever the caller sent
- * @returns names and values in turn for the server
+ * @param added headers that the gateway sets, replacing the caller's values
+ * @returns alternating names and values for the server
  */
 export function headersForServer(
   rawHeaders: readonly string[],
@@ -184,7 +184,7 @@
     ...names.routerOnly,
     ...connectionNames(rawHeaders),
   ]);
-  // Without its id no answer can be told from another request's.
+  // Without the id, responses can't be matched to requests.
   dropped.delete(names.requestId);
   if (added.lastEventId !== undefined) dropped.add(LAST_EVENT_ID);
   const headers = copyEndToEnd(rawHeaders, dropped);
@@ -201,14 +201,14 @@
 }
 
 /**
- * @param rawHeaders names and values of an answer in turn
- * @returns those that go on to the caller
+ * @param rawHeaders alternating names and values of a response
+ * @returns the end-to-end headers to forward to the caller
  */
 export function headersForCaller(rawHeaders: readonly string[]): string[] {
   return copyEndToEnd(rawHeaders, new Set(connectionNames(rawHeaders)));
 }
 
-/** A sender lists in Connection what else concerns that connection only. */
+/** Lists the further hop-by-hop headers that a Connection header names. */
 function connectionNames(rawHeaders: readonly string[]): string[] {
   const named: string[] = [];
   for (let at = 0; at + 1 < rawHeaders.length; at += 2) {
@@ -216,7 +216,7 @@
     const value = rawHeaders[at + 1] ?? '';
     named.push(...value.split(',').map(name => name.trim().toLowerCase()));
   }
-  // The body's length isn't a property of the connection, whatever is said.
+  // Content-Length is end-to-end even if a Connection header names it.
   return named.filter(name => name !== 'content-length');
 }
 
--- a/packages/lovagepond-gateway/src/gateway_load_reports.ts
+++ b/packages/lovagepond-gateway/src/gateway_load_reports.ts
@@ -1,6 +1,6 @@
 /**
- * Tells the other gateways what servers do for this one: its requests there and
- * the prompts that they read; and takes in what the others tell.
+ * Exchanges load reports with the other gateways: the requests of each gateway
+ * at the servers, their outcomes, and the prompts to be computed there.
  */
 import {type lovagepond} from '@lovagepond/protocol';
 import {type GatewayFleet} from './gateway_fleet.js';
@@ -17,14 +17,17 @@
 type WireDigest = lovagepond.v1.ReadingDigest.$Properties;
 
 /**
- * Time between two reports of the numbers of requests for each server there is,
- * milliseconds. Each report goes to all routers; with a fixed time, what one of
- * them receives would grow with the fleet in two ways. At 44 servers a number is
- * 0.2 s old, of requests that last 0.05 to 2 s.
+ * Interval between reports of request counts, per listed server, milliseconds.
+ * Each report goes to all gateways. With a fixed interval, the traffic that a
+ * gateway receives would grow with the number of servers and of gateways. At 44
+ * servers a count is 0.2 s old, while requests last 0.05 to 2 s.
  */
 const RUNNING_MS_PER_SERVER = 4;
 
-/** The others forget a number that they haven't been told for 3 s. */
+/**
+ * Interval after which an unchanged count is reported again, milliseconds. The
+ * other gateways discard a count that is not refreshed for 3 s.
+ */
 const REFRESH_INTERVAL_MS = 1_500;
 
 interface ReportedRequests {
@@ -37,18 +40,18 @@
   at: -Infinity,
 });
 
-/** Tokens of prefixes at one server, as far as is known here. */
+/** Tokens of a shared prefix at one server, as far as this gateway knows. */
 export interface PrefixTokens {
-  /** What it didn't hold before. */
+  /** Tokens that the server did not hold before. */
   readonly newTokens: number;
-  /** What of that it has to read, as it can't take it over. */
+  /** The part of them that it has to compute, as it can't fetch it. */
   readonly prefillTokens: number;
 }
 
-/** Fewer tokens are read before the others could hear of it. */
+/** Fewer tokens are computed before a report could reach the others. */
 const MIN_REPORTED_TOKENS = 64;
 
-/** Collects and applies readings. */
+/** Collects this gateway's load reports and applies those of the others. */
 export class GatewayLoadReports {
   readonly #node: string;
   readonly #fleet: GatewayFleet;
@@ -59,10 +62,10 @@
   #runningReportedAt = Number.NEGATIVE_INFINITY;
 
   /**
-   * @param node this gateway's name, under which its own reports come back
+   * @param node this gateway's name, which marks its own reports in a digest
    * @param fleet the servers
-   * @param rate how fast engines read
-   * @param peers told of each other gateway that reports
+   * @param rate the engines' prefill rate
+   * @param peers records each other gateway that reports
    */
   constructor(
     node: string,
@@ -77,9 +80,11 @@
   }
 
   /**
-   * @param state the server that a prompt goes to
-   * @param sharedIds the prompt's parts that other requests share
-   * @param tokens what of them is new there, and what it has to read
+   * Adds a prompt's shared prefix to the next report.
+   *
+   * @param state the server that the prompt is sent to
+   * @param sharedIds ids of the prompt's parts that other requests share
+   * @param tokens the prefix's tokens that are new there and to be computed
    */
   notePrefill(
     state: ServerState,
@@ -93,8 +98,9 @@
   }
 
   /**
-   * @param now present time, monotonic milliseconds
-   * @returns what to report, if anything; it is then forgotten
+   * @param now current time, monotonic milliseconds
+   * @returns the report to send now, if any; its contents are not returned
+   *     again
    */
   takeReport(now: number): WireReport | undefined {
     const readings = this.#pendingReadings;
@@ -129,8 +135,8 @@
   }
 
   /**
-   * @param digest what control passes on
-   * @param now present time, monotonic milliseconds
+   * @param digest reports of several gateways, as distributed by control
+   * @param now current time, monotonic milliseconds
    */
   apply(digest: WireDigest, now: number): void {
     if (digest.routers) this.#peers.noteCount(digest.routers, now);
--- a/packages/lovagepond-gateway/src/gateway_outcome_estimate.ts
+++ b/packages/lovagepond-gateway/src/gateway_outcome_estimate.ts
@@ -1,40 +1,40 @@
 /**
- * Estimates how likely a backend server fails the next request.
+ * Estimates the probability that a backend server fails the next request.
  *
- * A server that fails two requests in five answers its status check well, and
- * no single router sees enough of its answers to tell that from chance. So
- * outcomes are told, and all routers' outcomes count.
+ * A server that fails two requests in five may still pass its health check, and
+ * a single gateway sees too few responses to distinguish this from chance.
+ * Gateways therefore exchange outcomes, and the outcomes of all of them count.
  */
 
 /**
- * Time in which an outcome is half forgotten, milliseconds: servers that fail
- * part of their requests do so for some seconds.
+ * Half-life of an outcome's weight, milliseconds: servers that fail part of
+ * their requests do so for some seconds.
  */
 const HALF_LIFE_MS = 2_000;
 
 /**
- * What is believed without outcomes, and how many outcomes that weighs: a
- * server that failed its first request isn't avoided for it alone.
+ * The prior failure share, and its weight in outcomes. They keep a server from
+ * being avoided for one failure of its first request.
  */
 const PRIOR_SHARE = 0.05;
 const PRIOR_WEIGHT = 6;
 
-/** Outcomes of requests at one server. */
+/** Counts of finished requests at one server. */
 export interface Outcomes {
-  /** Requests that ended, failed ones too. */
+  /** Finished requests, failed ones included. */
   readonly ended: number;
   readonly failed: number;
 }
 
-/** Decaying counts of the outcomes at one server. */
+/** Exponentially decaying counts of the outcomes at one server. */
 export class OutcomeEstimate {
   #ended = 0;
   #failed = 0;
   #updatedAt = 0;
 
   /**
-   * @param outcomes what has ended since the last call
-   * @param now present time, monotonic milliseconds
+   * @param outcomes requests that finished since the last call
+   * @param now current time, monotonic milliseconds
    */
   note({ended, failed}: Outcomes, now: number): void {
     const decay = this.#decayAt(now);
@@ -44,8 +44,8 @@
   }
 
   /**
-   * @param now present time, monotonic milliseconds
-   * @returns the share of requests that it is expected to fail
+   * @param now current time, monotonic milliseconds
+   * @returns the expected share of failing requests, 0 to 1
    */
   failureShare(now: number): number {
     const decay = this.#decayAt(now);
--- a/packages/lovagepond-gateway/src/gateway_peers.ts
+++ b/packages/lovagepond-gateway/src/gateway_peers.ts
@@ -1,5 +1,5 @@
 /**
- * The other gateways, as far as they have been heard of.
+ * Estimates the number of other gateways.
  */
 
 interface ReportedCount {
@@ -7,30 +7,33 @@
   readonly at: number;
 }
 
-/** Remembers when each other gateway was heard of last, and what control counts. */
+/**
+ * Tracks when each other gateway was last seen, and the number of them that
+ * control reports.
+ */
 export class GatewayPeers {
   readonly #lastSeenAt = new Map<string, number>();
   #reportedCount: ReportedCount | undefined;
 
   /**
-   * @param name another gateway
-   * @param now present time, monotonic milliseconds
+   * @param name another gateway whose report has arrived
+   * @param now current time, monotonic milliseconds
    */
   note(name: string, now: number): void {
     this.#lastSeenAt.set(name, now);
   }
 
   /**
-   * @param count other gateways, as control tells
-   * @param now present time, monotonic milliseconds
+   * @param count number of other gateways, as reported by control
+   * @param now current time, monotonic milliseconds
    */
   noteCount(count: number, now: number): void {
     this.#reportedCount = {count, at: now};
   }
 
   /**
-   * @param since monotonic milliseconds; what was heard before is forgotten
-   * @returns the other gateways heard of since then
+   * @param since monotonic milliseconds; gateways last seen before are dropped
+   * @returns the number of other gateways seen or reported since then
    */
   count(since: number): number {
     for (const [name, lastSeenAt] of this.#lastSeenAt) {
--- a/packages/lovagepond-gateway/src/gateway_prefill_rate.ts
+++ b/packages/lovagepond-gateway/src/gateway_prefill_rate.ts
@@ -1,24 +1,24 @@
 /**
- * How fast engines read prompts, learned from first tokens.
+ * Estimates the engines' prefill rate from the time to the first token.
  */
 
-/** Shorter prompts say more about the way there than about reading. */
+/** For shorter prompts, network latency dominates the measured time. */
 const MIN_TOKENS = 1_000;
 
 /** Weight of the newest observation. */
 const NEWEST_WEIGHT = 0.1;
 
 /**
- * An observation counts for at most so many times what is believed: a server
- * that stood still says nothing of the rate at which it reads.
+ * Limits an observation to this factor above or below the estimate: the time of
+ * a stalled server does not reflect its prefill rate.
  */
 const MAX_FACTOR = 2;
 
-/** A rate in tokens a millisecond. */
+/** The estimated rate, in tokens per millisecond. */
 export class PrefillRate {
   #tokensPerMs: number;
 
-  /** @param tokensPerMs what is believed until engines have been observed */
+  /** @param tokensPerMs the initial estimate */
   constructor(tokensPerMs: number) {
     this.#tokensPerMs = tokensPerMs;
   }
@@ -28,8 +28,8 @@
   }
 
   /**
-   * @param tokens what an engine with nothing else to read had to read
-   * @param durationMs time until its first token
+   * @param tokens tokens that an otherwise idle engine had to compute
+   * @param durationMs time to its first token, milliseconds
    */
   observe(tokens: number, durationMs: number): void {
     if (tokens < MIN_TOKENS || durationMs <= 0) return;
--- a/packages/lovagepond-gateway/src/gateway_prefill_tracker.ts
+++ b/packages/lovagepond-gateway/src/gateway_prefill_tracker.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps account of one request's prompt at the server that reads it: what the
- * server has to read, when it has read it, and how fast it did.
+ * Tracks the prefill of one request's prompt at a server: the tokens to be
+ * computed, when they will be done, and the observed rate.
  */
 import {type ContextFetch} from './gateway_context_source.js';
 import {type PromptPart} from './gateway_headers.js';
@@ -8,28 +8,31 @@
 import {type GatewayLoadReports} from './gateway_load_reports.js';
 import {type ServerState} from './gateway_server_state.js';
 
-/** What the accounts of all requests share. */
+/** Dependencies shared by all trackers. */
 export interface PrefillTrackerDependencies {
   readonly readings: GatewayLoadReports;
   readonly rate: PrefillRate;
 }
 
-/** One prompt at one server. */
+/** The prefill of one prompt at one server. */
 export class PrefillTracker {
   readonly #state: ServerState;
   readonly #rate: PrefillRate;
   #prefillTokens: number;
-  /** Set while the server has nothing else to read, as far as is known. */
+  /**
+   * Start of the prefill. Unset when the server has other prompts to compute or
+   * fetches context, as its time then does not reflect the prefill rate.
+   */
   #aloneSince: number | undefined;
 
   /**
-   * Opens the account as the request leaves for the server.
+   * Must be created when the request is sent to the server.
    *
    * @param state the server
    * @param parts the prompt's parts
-   * @param fetch what the server takes over from another one
-   * @param shared what all accounts share
-   * @param now present time, monotonic milliseconds
+   * @param fetch the context that the server fetches from another one
+   * @param shared dependencies shared by all trackers
+   * @param now current time, monotonic milliseconds
    */
   constructor(
     state: ServerState,
@@ -56,7 +59,7 @@
     state.noteWarm(ids, now + waitMs + prefillMs);
   }
 
-  /** @param now present time, monotonic milliseconds */
+  /** @param now current time, monotonic milliseconds */
   noteFirstToken(now: number): void {
     if (this.#aloneSince !== undefined) {
       this.#rate.observe(this.#prefillTokens, now - this.#aloneSince);
@@ -65,7 +68,7 @@
     this.close();
   }
 
-  /** The server has nothing more to read of the prompt. */
+  /** Ends the prefill: the server has nothing of the prompt left to compute. */
   close(): void {
     this.#state.pendingPrefillTokens -= this.#prefillTokens;
     this.#prefillTokens = 0;
--- a/packages/lovagepond-gateway/src/gateway_quarantine.ts
+++ b/packages/lovagepond-gateway/src/gateway_quarantine.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps requests that crash servers away from them: finds out which servers
- * crashed, tells control, and knows which requests control quarantines.
+ * Keeps requests that crash servers from running: detects crashed servers,
+ * reports them to control, and applies the quarantines that control decides on.
  */
 import {type Clock, type Logger, type ServerCrash} from '@lovagepond/core';
 import {type ControlUpdate} from '@lovagepond/router/control_link';
@@ -19,19 +19,19 @@
 
 type QuarantineUpdate = NonNullable<ControlUpdate['quarantine']>;
 
-/** What the class works with. */
+/** Dependencies of {@link GatewayQuarantine}. */
 export interface QuarantineDependencies {
   readonly clock: Clock;
   readonly log: Logger;
-  /** @param address `host:port` of a server that may have ended */
+  /** @param address `host:port` of a server that may have crashed */
   readonly probe: (address: string) => Promise<Reachability>;
-  /** @returns whether control has recorded the report */
+  /** @returns true once control has recorded the report */
   readonly report: (report: CrashReport) => Promise<boolean>;
-  /** Ends requests under way that are quarantined. */
+  /** Aborts the requests in flight with the fingerprint. */
   readonly abortQuarantined: (fingerprint: string) => void;
 }
 
-/** One gateway's part in quarantines. */
+/** Applies and reports on quarantines in one gateway. */
 export class GatewayQuarantine {
   readonly #deps: QuarantineDependencies;
   readonly #requests = new RequestQuarantine();
@@ -40,7 +40,7 @@
     this.#noteCrash(crash, now);
   });
 
-  /** @param deps what it works with */
+  /** @param deps its dependencies */
   constructor(deps: QuarantineDependencies) {
     this.#deps = deps;
     const {clock, report} = deps;
@@ -48,25 +48,29 @@
     this.#reporter = new CrashReporter({clock, quarantine, report});
   }
 
-  /** Servers that crashed under requests of this gateway. */
+  /** Servers that crashed while they ran requests of this gateway. */
   get crashedServers(): number {
     return this.#detector.crashes;
   }
 
-  /** Suspected requests that control tells of. */
+  /** Number of suspected requests that control lists. */
   get size(): number {
     return this.#requests.size;
   }
 
-  /** @param now present time, monotonic milliseconds; call it often */
+  /**
+   * Must be called periodically.
+   *
+   * @param now current time, monotonic milliseconds
+   */
   tick(now: number): void {
     this.#probe(now);
     this.#reporter.tick(now);
   }
 
   /**
-   * @param update all suspected requests
-   * @param now present time, monotonic milliseconds
+   * @param update the complete list of suspected requests
+   * @param now current time, monotonic milliseconds
    */
   useUpdate(update: QuarantineUpdate, now: number): void {
     for (const fingerprint of this.#requests.apply(update, now)) {
@@ -77,7 +81,7 @@
 
   /**
    * @param listed names of the servers that control lists
-   * @param now present time, monotonic milliseconds
+   * @param now current time, monotonic milliseconds
    */
   useListed(listed: ReadonlySet<string>, now: number): void {
     this.#detector.noteListed(listed, now);
@@ -85,8 +89,8 @@
 
   /**
    * @param fingerprint of a request
-   * @param now present time, monotonic milliseconds
-   * @returns time until it may run, milliseconds; undefined when it may now
+   * @param now current time, monotonic milliseconds
+   * @returns time until it may run, milliseconds; undefined if it may run now
    */
   quarantinedForMs(fingerprint: string, now: number): number | undefined {
     return this.#requests.quarantinedForMs(fingerprint, now);
@@ -94,8 +98,8 @@
 
   /**
    * @param fingerprint of a request
-   * @param now present time, monotonic milliseconds
-   * @returns true when a second try would put another server at risk
+   * @param now current time, monotonic milliseconds
+   * @returns true when a retry might crash another server
    */
   isSuspect(fingerprint: string, now: number): boolean {
     const crashes = this.#requests.find(fingerprint, now)?.crashes ?? 0;
@@ -104,9 +108,9 @@
 
   /**
    * @param state a server
-   * @param fingerprint of the request that it failed
-   * @param failure how
-   * @param now present time, monotonic milliseconds
+   * @param fingerprint of the request that failed there
+   * @param failure how the attempt failed
+   * @param now current time, monotonic milliseconds
    */
   noteFailure(
     state: ServerState,
@@ -125,8 +129,8 @@
   }
 
   /**
-   * @param fingerprint of a request that a server answered whole
-   * @param now present time, monotonic milliseconds
+   * @param fingerprint of a request that got a complete response
+   * @param now current time, monotonic milliseconds
    */
   noteAnswered(fingerprint: string, now: number): void {
     this.#requests.noteAnswered(fingerprint, now);
--- a/packages/lovagepond-gateway/src/gateway_request_body.ts
+++ b/packages/lovagepond-gateway/src/gateway_request_body.ts
@@ -1,23 +1,23 @@
 /**
- * Reads a request's body whole before anything of it goes on: a request that
- * stops half way has then not run, and one that runs can be tried again.
+ * Buffers a request's body before anything of it is forwarded. An incomplete
+ * request then never runs at a server, and a forwarded one can be retried.
  */
 import {type IncomingMessage} from 'node:http';
 import {type ErrorKind} from '@lovagepond/core';
 
-/** Hears once how the reading ended. */
+/** Receives the result of reading a body; exactly one method is called. */
 export interface BodyListener {
   onWhole(body: Buffer): void;
   onRefused(error: ErrorKind): void;
-  /** The caller left; nobody is there to be answered. */
+  /** The caller disconnected, so that no response is needed. */
   onDisconnected(): void;
 }
 
 /**
  * @param req the request
- * @param maxBytes largest body taken
- * @param limitMs longest time for the body, milliseconds
- * @param listener hears how it ended
+ * @param maxBytes largest accepted body, bytes
+ * @param limitMs time limit for the whole body, milliseconds
+ * @param listener receives the result
  */
 export function readBody(
   req: IncomingMessage,
--- a/packages/lovagepond-gateway/src/gateway_response_timing.ts
+++ b/packages/lovagepond-gateway/src/gateway_response_timing.ts
@@ -1,13 +1,13 @@
 /**
- * Tells a slow server from a busy one.
+ * Distinguishes a slow server from a busy one.
  *
- * A plain service that works several times as long as the others answers its status
- * check, fails nothing, and has few requests under way, as few end there. Chosen by
- * its load it gets its full part, and each caller's answer is late.
+ * A plain service that takes several times as long as its peers passes its
+ * health check, fails no request and has few requests in flight. Load balancing
+ * by load alone sends it a full share, and each of those responses is late.
  */
 import {type ServerState} from './gateway_server_state.js';
 
-/** One request at a plain service. */
+/** Times one request at a plain service. */
 export class ResponseTiming {
   readonly #state: ServerState;
   readonly #sentAt: number;
@@ -15,21 +15,25 @@
   readonly #hadFreeSlot: boolean;
 
   /**
-   * Begins before the request counts as the server's.
+   * Must be called before the request is added to the server's load.
    *
    * @param state the server
-   * @param targetLatencyMs within which its caller wants the answer
-   * @param now present time, monotonic milliseconds
+   * @param targetLatencyMs latency above which a response counts as late
+   * @param now current time, monotonic milliseconds
    */
   constructor(state: ServerState, targetLatencyMs: number, now: number) {
     this.#state = state;
     this.#sentAt = now;
     this.#targetLatencyMs = targetLatencyMs;
-    // Where it had to wait, a late answer says nothing of the server.
+    // A request that queued for a slot may be late at a healthy server.
     this.#hadFreeSlot = state.load(now) < state.slots;
   }
 
-  /** @param now present time, monotonic milliseconds; the answer is whole */
+  /**
+   * Records the complete response.
+   *
+   * @param now current time, monotonic milliseconds
+   */
   noteResponse(now: number): void {
     const isLate = now - this.#sentAt > this.#targetLatencyMs;
     if (isLate && this.#hadFreeSlot) this.#state.noteLateResponse(now);
--- a/packages/lovagepond-gateway/src/gateway_retry_budget.ts
+++ b/packages/lovagepond-gateway/src/gateway_retry_budget.ts
@@ -1,26 +1,27 @@
 /**
- * One budget of second tries for all routers together.
+ * A retry budget shared by all gateways.
  *
- * A pool that fails under load gets each request several times over, which
- * keeps it failing. Each router spends a share of its own requests and an
- * equal part of the common slack: among as many as it has heard of, and no fewer
- * than the settings say, so that the sum holds also while few are heard of.
+ * Without a budget, retries multiply the load of a pool that fails under load,
+ * and keep it failing. Each gateway may spend a fraction of its own requests
+ * and an equal share of the common slack. The slack is divided among the
+ * gateways seen, but at least among the configured number, so that the total
+ * holds while few have been seen.
  */
 import {type GatewayPeers} from './gateway_peers.js';
 
 /** Settings of {@link GatewayRetryBudget}. */
 export interface GatewayBudgetSettings {
-  /** Second tries as a fraction of requests. */
+  /** Retries as a fraction of requests. */
   readonly retryFraction: number;
-  /** Sliding time in which both are counted, milliseconds. */
+  /** Sliding window in which both are counted, milliseconds. */
   readonly retryWindowMs: number;
-  /** Second tries that all routers together may make beside the fraction. */
+  /** Retries that all gateways together may make beyond the fraction. */
   readonly retrySlack: number;
-  /** Routers that are taken to share the slack, at least. */
+  /** Smallest number of gateways assumed to share the slack. */
   readonly retryShares: number;
 }
 
-/** Times of the events of one pool within the window. */
+/** Times of one pool's events within the window. */
 class SlidingCount {
   readonly #times: number[] = [];
   #start = 0;
@@ -39,7 +40,7 @@
   }
 }
 
-/** Counts first tries and second tries by pool. */
+/** Counts requests and retries by pool. */
 export class GatewayRetryBudget {
   readonly #settings: GatewayBudgetSettings;
   readonly #peers: GatewayPeers;
@@ -47,8 +48,8 @@
   readonly #retries = new Map<string, SlidingCount>();
 
   /**
-   * @param settings fraction and slack
-   * @param peers the other routers
+   * @param settings the budget's size and window
+   * @param peers the other gateways
    */
   constructor(settings: GatewayBudgetSettings, peers: GatewayPeers) {
     this.#settings = settings;
@@ -56,17 +57,18 @@
   }
 
   /**
-   * @param pool the pool that a request goes to
-   * @param now present time, monotonic milliseconds
+   * @param pool the pool that a request is sent to
+   * @param now current time, monotonic milliseconds
    */
   noteRequest(pool: string, now: number): void {
     countOf(this.#requests, pool).add(now);
   }
 
   /**
-   * @param pool the pool of a second try
-   * @param now present time, monotonic milliseconds
-   * @returns false when the budget is spent; true spends one try
+   * @param pool the pool to retry in
+   * @param now current time, monotonic milliseconds
+   * @returns true if one retry was taken from the budget, false if it is
+   *     exhausted
    */
   trySpend(pool: string, now: number): boolean {
     const {retryFraction, retryWindowMs} = this.#settings;
@@ -80,7 +82,7 @@
     return true;
   }
 
-  /** Who was heard of within the window may have spent its share in it. */
+  /** Counts the gateways that may have spent their share within the window. */
   #slackShare(since: number): number {
     const {retrySlack, retryShares} = this.#settings;
     const routers = this.#peers.count(since) + 1;
--- a/packages/lovagepond-gateway/src/gateway_role.ts
+++ b/packages/lovagepond-gateway/src/gateway_role.ts
@@ -1,6 +1,7 @@
 /**
  * The gateway role: forwards requests of any method to backend servers that
- * have no sidecar, by the configuration and the list that control pushes.
+ * have no sidecar, using the configuration and the server list that control
+ * pushes.
  */
 import {
   applyDelta,
@@ -33,7 +34,7 @@
 import {probeServer} from './gateway_server_probe.js';
 import {type GatewaySettings} from './gateway_settings.js';
 
-/** What a gateway needs besides its settings. */
+/** Dependencies of {@link GatewayRole}. */
 export interface GatewayDependencies {
   readonly clock: Clock;
   readonly log: Logger;
@@ -45,25 +46,26 @@
 const TICK_MS = 100;
 
 /**
- * Time after which a starting gateway asks again though its last question is under
- * way, milliseconds. When all gateways start, each one's word waits for the leader;
- * asked ten times a second by each of them, it was busy with the questions.
+ * Time after which a starting gateway queries the newest revision again while
+ * its last query is still pending, milliseconds. When all gateways start
+ * together, their queries wait for the leader; ten queries a second from each
+ * of them would overload it.
  */
 const CONFIRMATION_TIMEOUT_MS = 400;
 
 /**
- * Time in which readings are collected for one report: short against the 200
- * milliseconds that a large prompt takes to read.
+ * Interval between load reports, milliseconds; short compared with the 200 ms
+ * that the prefill of a large prompt takes.
  */
 const REPORT_INTERVAL_MS = 20;
 
-/** Largest head of a server's answer, bytes. */
+/** Largest head of a server's response, bytes. */
 const MAX_RESPONSE_HEAD_BYTES = 64 * 1024;
 
 type UpdateKind = NonNullable<ControlUpdate['kind']>;
 type UpdateHandler = (update: ControlUpdate, now: number) => void;
 
-/** One gateway. */
+/** The role of a gateway process. */
 export class GatewayRole implements Role {
   readonly #settings: GatewaySettings;
   readonly #deps: GatewayDependencies;
@@ -81,10 +83,10 @@
   #timer: NodeJS.Timeout | undefined;
   #reportTimer: NodeJS.Timeout | undefined;
   #confirmationSentAt = Number.NEGATIVE_INFINITY;
-  /** Questions for the newest revision that are under way. */
+  /** Pending queries for the newest revision. */
   #pendingConfirmations = 0;
   #draining = false;
-  /** It has known enough to decide on requests. */
+  /** True once the gateway has been able to decide on requests. */
   #isServing = false;
 
   readonly #updateHandlers: Readonly<Record<UpdateKind, UpdateHandler>> = {
@@ -92,7 +94,7 @@
       const {configuration: whole, delta} = configuration ?? {};
       if (whole && whole.length > 0) this.#installWhole(whole);
       if (delta && delta.length > 0) this.#installDelta(delta);
-      // The configuration that a new subscription brings is soon confirmed.
+      // A query sent now confirms the first configuration without a delay.
       const at = this.#readClock();
       if (this.#admission.isStarting(at)) this.#confirmRevision(at);
     },
@@ -116,7 +118,7 @@
     readings: ({readings}, now) => {
       if (readings) this.#loadReports.apply(readings, now);
     },
-    // The link keeps them.
+    // ControlLink handles the two kinds below.
     controlMembers: () => {},
     heartbeat: () => {},
   };
@@ -159,7 +161,7 @@
     this.#link = new ControlLink(settings, facts, {...deps, listener});
   }
 
-  /** @returns the port for callers, once started */
+  /** The port that callers connect to; 0 before the start. */
   get port(): number {
     return this.#server?.port ?? 0;
   }
@@ -202,8 +204,9 @@
   }
 
   /**
-   * See {@link Role.drain}. Balancers take seconds to see that readiness is
-   * gone; connections that come meanwhile are still served, one request each.
+   * See {@link Role.drain}. Load balancers take seconds to notice that the
+   * gateway is no longer ready. Until then new connections are served, with one
+   * request each.
    */
   async drain(limitMs: number): Promise<void> {
     this.#draining = true;
@@ -259,7 +262,7 @@
     const at = this.#readClock();
     this.#link.tick(at.now);
     if (this.#admission.authority.shouldSwitchMember(at.now)) {
-      this.#link.restart('it is behind a confirmed change');
+      this.#link.restart('member lags behind the confirmed revision');
     }
     this.#fleet.expireRemoteRequests(at.now);
     this.#quarantine.tick(at.now);
@@ -313,13 +316,14 @@
       this.#install(configuration);
       return;
     }
-    // Without the change this process would serve by what it holds until the
-    // next one; a new subscription says what that is, and gets what it lacks.
-    this.#deps.log.error('a change could not be applied', {
+    // Without the delta, the gateway would use the old configuration until the
+    // next change. A new subscription sends the installed revision to control
+    // and receives the missing changes.
+    this.#deps.log.error('configuration delta could not be applied', {
       held: held.revision,
       base: delta?.baseRevision,
     });
-    this.#link.restart('a change could not be applied');
+    this.#link.restart('configuration delta could not be applied');
   }
 
   #install(configuration: Configuration): void {
--- a/packages/lovagepond-gateway/src/gateway_routes.ts
+++ b/packages/lovagepond-gateway/src/gateway_routes.ts
@@ -1,5 +1,5 @@
 /**
- * Which rule a forwarded request falls under: host and path decide.
+ * Route matching: finds the forwarding rule for a request by host and path.
  */
 import {
   type Configuration,
@@ -15,7 +15,7 @@
   readonly weight: number;
 }
 
-/** One selector of forwarded requests, joined with what it names. */
+/** A selector of forwarded requests, joined with its request kind and pools. */
 export interface ForwardingRule {
   readonly name: string;
   readonly pathPrefix: string;
@@ -26,22 +26,22 @@
   readonly pools: readonly WeightedPool[];
 }
 
-/** The rules of one host by their path prefixes. */
+/** The rules of one host, by path prefix. */
 interface HostRules {
   readonly byPrefix: Map<string, ForwardingRule>;
-  /** Characters of the longest prefix. */
+  /** Length of the longest prefix, characters. */
   longest: number;
 }
 
-/** The rules and keys of one configuration. Immutable. */
+/** The forwarding rules and API keys of one configuration. Immutable. */
 export class ForwardingRules {
   readonly #byHost = new Map<string, HostRules>();
   readonly #byKey = new Map<string, Workspace>();
   readonly pools: ReadonlyMap<string, Pool>;
-  /** Without any key in the configuration, requests need none. */
+  /** False when no workspace has an API key; requests then need none. */
   readonly needsKeys: boolean;
 
-  /** @param configuration the configuration in force */
+  /** @param configuration the installed configuration */
   constructor({content}: Configuration) {
     this.pools = new Map(content.pools.map(pool => [pool.name, pool]));
     this.needsKeys = content.workspaces.some(({apiKeys}) => apiKeys);
@@ -68,16 +68,16 @@
 
   /**
    * @param host the Host header
-   * @param path the request's path, with its query
-   * @returns the rule with the longest prefix that begins the path
+   * @param path the request's path, including its query
+   * @returns the rule with the longest matching path prefix
    */
   find(host: string, path: string): ForwardingRule | undefined {
     const rules = this.#byHost.get(normalizeHost(host));
     if (!rules) return undefined;
     const query = path.indexOf('?');
     const plain = query < 0 ? path : path.slice(0, query);
-    // Only what ends with a slash can be a prefix. With 1,900 rules, a list that is
-    // kept in order would be searched from its start for each request.
+    // Prefixes end with a slash, so one lookup for each slash is enough. With
+    // 1,900 rules, a linear search of a sorted list for each request is slower.
     let end = plain.lastIndexOf('/', rules.longest - 1);
     while (end >= 0) {
       const rule = rules.byPrefix.get(plain.slice(0, end + 1));
@@ -89,7 +89,7 @@
 
   /**
    * @param key an API key
-   * @returns the workspace that holds it
+   * @returns the workspace that it belongs to
    */
   workspaceOf(key: string): Workspace | undefined {
     return this.#byKey.get(key);
@@ -113,16 +113,16 @@
   }
 }
 
-/** Host names compare without case, and callers may add the port. */
+/** Host names are case-insensitive, and callers may append the port. */
 function normalizeHost(host: string): string {
   const name = host.toLowerCase();
   return name.includes(':') ? name.replace(/:\d+$/, '') : name;
 }
 
 /**
- * @param pools pools with their shares
+ * @param pools pools with their weights
  * @param random draws the pool
- * @returns one of them, in proportion to their shares
+ * @returns a random pool, in proportion to the weights
  */
 export function drawPool(
   pools: readonly WeightedPool[],
--- a/packages/lovagepond-gateway/src/gateway_server.ts
+++ b/packages/lovagepond-gateway/src/gateway_server.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP front of a gateway: takes requests apart as far as they must be
- * understood, and refuses what can't be a proper request.
+ * The HTTP listener of a gateway: decodes requests as far as needed, and
+ * rejects malformed ones.
  */
 import {
   createServer,
@@ -30,7 +30,7 @@
 import {StartupQueue} from './gateway_startup_queue.js';
 import {readBody} from './gateway_request_body.js';
 
-/** Limits until the configuration says them. */
+/** Limits used until the configuration sets them. */
 const DEFAULT_LIMITS: CallerLimits = {
   maxHeaderBytes: 16 * 1024,
   maxBodyBytes: 4 * 1024 * 1024,
@@ -38,32 +38,35 @@
   idleTimeoutMs: 15_000,
 };
 
-/** Node's own limit on heads: above any that a configuration may set. */
+/** Node's limit on request heads; above any limit of a configuration, bytes. */
 const PARSER_HEAD_BYTES = 256 * 1024;
 
-/** How often slow senders are looked for, milliseconds. */
+/** Interval at which slow senders are checked for, milliseconds. */
 const SLOW_SENDER_CHECK_MS = 250;
 
-/** A caller may send up to the idle timeout: the server closes later. */
+/**
+ * Added to the idle timeout, milliseconds: a caller may still send a request
+ * just before it, so the listener closes the connection later.
+ */
 const IDLE_MARGIN_MS = 1_000;
 
 /**
- * How often a stopping gateway closes kept connections that have become idle,
- * milliseconds. An answer that began before the stop didn't say that its
- * connection ends, so its caller would send the next request on it.
+ * Interval at which a draining gateway closes idle keep-alive connections,
+ * milliseconds. A response that began before draining did not announce the
+ * close, so its caller would send the next request on the connection.
  */
 const IDLE_SWEEP_MS = 100;
 
-/** Assumed of a request that doesn't say how long its caller waits, ms. */
+/** Deadline assumed for requests without one, milliseconds. */
 const DEFAULT_DEADLINE_MS = 1_000;
 
-/** Error codes of Node's parser to error kinds. */
+/** Maps error codes of Node's HTTP parser to error kinds. */
 const PARSER_ERRORS: Readonly<Record<string, ErrorKind>> = {
   HPE_HEADER_OVERFLOW: 'headersTooLarge',
   ERR_HTTP_REQUEST_TIMEOUT: 'senderTooSlow',
 };
 
-/** What the front works with. */
+/** Dependencies of {@link GatewayServer}. */
 export interface GatewayServerDependencies extends ExchangeDependencies {
   readonly admission: GatewayAdmission;
   readonly random: Random;
@@ -71,7 +74,7 @@
 
 type ListenerSettings = Pick<GatewaySettings, 'host' | 'port' | 'maxHeldBytes'>;
 
-/** Serves callers. */
+/** Accepts callers' connections and handles their requests. */
 export class GatewayServer {
   readonly #settings: ListenerSettings;
   readonly #deps: GatewayServerDependencies;
@@ -80,10 +83,10 @@
   readonly #server: Server;
   readonly #startupQueue = new StartupQueue();
   #limits = DEFAULT_LIMITS;
-  /** Answers that aren't delivered whole yet. */
+  /** Responses that are not completely delivered. */
   #openResponses = 0;
   #bufferedBytes = 0;
-  /** Requests under way, by their fingerprints. */
+  /** Exchanges in flight, by request fingerprint. */
   readonly #exchanges = new Map<string, Set<Exchange>>();
   readonly #drainAdmission = new GatewayDrainAdmission();
   #idleSweep: NodeJS.Timeout | undefined;
@@ -109,7 +112,7 @@
     this.useLimits(undefined);
   }
 
-  /** Requests whose answer isn't delivered yet. */
+  /** Requests whose response is not completely delivered. */
   get inFlight(): number {
     return this.#openResponses;
   }
@@ -119,7 +122,7 @@
     return address?.port ?? 0;
   }
 
-  /** @param limits the limits in force; the defaults when undefined */
+  /** @param limits limits for callers; the defaults when undefined */
   useLimits(limits: CallerLimits | undefined): void {
     this.#limits = limits ?? DEFAULT_LIMITS;
     const {headerTimeoutMs, idleTimeoutMs} = this.#limits;
@@ -137,21 +140,21 @@
   }
 
   /**
-   * From now on each answer ends its connection, idle ones are closed, and what
-   * can't end in time isn't taken.
+   * Starts draining: each response closes its connection, idle connections are
+   * closed, and requests that can't finish in time are rejected.
    *
-   * @param endsAt when the process ends at the latest, monotonic milliseconds
+   * @param endsAt when the process exits at the latest, monotonic milliseconds
    */
   beginDraining(endsAt: number): void {
     this.#drainAdmission.begin(endsAt);
-    // It may never know enough to decide on them.
+    // A configuration to decide on them may never arrive.
     this.#startupQueue.refuseAll();
     this.#idleSweep = setInterval(() => {
       this.#server.closeIdleConnections();
     }, IDLE_SWEEP_MS);
   }
 
-  /** Takes no new connections, and resolves once all answers are delivered. */
+  /** Stops listening, and resolves once all responses are delivered. */
   async finish(): Promise<void> {
     this.#server.close();
     this.#server.closeIdleConnections();
@@ -161,7 +164,7 @@
     });
   }
 
-  /** Ends at once. */
+  /** Closes the listener and all connections immediately. */
   stop(): void {
     clearInterval(this.#idleSweep);
     this.#server.close();
@@ -169,9 +172,10 @@
   }
 
   /**
-   * Called when there may be enough to decide on what waits.
+   * Decides on the queued requests if the configuration and the server list
+   * allow it. Called after each change of these.
    *
-   * @returns true when there is
+   * @returns true when requests can be decided on
    */
   retryQueued(): boolean {
     if (this.#deps.admission.isStarting(this.#readClock())) return false;
@@ -179,7 +183,7 @@
     return true;
   }
 
-  /** @param fingerprint of requests that must not run any longer */
+  /** @param fingerprint of the quarantined requests to abort */
   abortQuarantined(fingerprint: string): void {
     const copies = [...(this.#exchanges.get(fingerprint) ?? [])];
     for (const exchange of copies) exchange.abortQuarantined();
@@ -324,10 +328,12 @@
     });
   }
 
-  /** No request could be read, so no handler will answer. */
+  /** Responds to a request that Node could not parse; no handler sees it. */
   #rejectUnparsable(err: Error & {code?: string}, socket: Socket): void {
     const kind = PARSER_ERRORS[err.code ?? ''] ?? 'badRequest';
-    this.#log.info('request unreadable', {reason: err.code ?? err.message});
+    this.#log.info('request could not be parsed', {
+      reason: err.code ?? err.message,
+    });
     if (!socket.writable || err.code === 'ECONNRESET') {
       socket.destroy();
       return;
--- a/packages/lovagepond-gateway/src/gateway_server_probe.ts
+++ b/packages/lovagepond-gateway/src/gateway_server_probe.ts
@@ -1,13 +1,13 @@
 /**
- * Tries whether anything listens at a server's address.
+ * Probes whether a server's address accepts connections.
  */
 import {connect} from 'node:net';
 import {REACHABILITY, type Reachability} from './gateway_crash_detector.js';
 
 /**
  * @param address `host:port`
- * @param timeoutMs longest wait
- * @returns what the try showed
+ * @param timeoutMs time limit for the connection, milliseconds
+ * @returns the result of the probe
  */
 export function probeServer(
   address: string,
--- a/packages/lovagepond-gateway/src/gateway_server_state.ts
+++ b/packages/lovagepond-gateway/src/gateway_server_state.ts
@@ -1,33 +1,35 @@
 /**
- * What this router knows of one backend server: its own requests there, the
- * load that the server reports, its recent failures and its warm prompts.
+ * A gateway's view of one backend server: the gateway's requests there, the
+ * load that the server and other gateways report, recent failures, and the
+ * prompts in the server's cache.
  */
 import {type BackendServer} from '@lovagepond/core';
 import {OutcomeEstimate, type Outcomes} from './gateway_outcome_estimate.js';
 import {type PromptPart, type ServerLoad} from './gateway_headers.js';
 
 /**
- * Time in which what other routers have at a server is half forgotten: about
- * as long as one of the longer requests lasts, milliseconds.
+ * Half-life of the other gateways' load as reported by the server,
+ * milliseconds: about the duration of a longer request.
  */
 const REMOTE_LOAD_HALF_LIFE_MS = 700;
 
-/** First pause after a failure, doubled up to the longest; milliseconds. */
+/** First and longest backoff after a failure, doubled in between; ms. */
 const FIRST_PAUSE_MS = 250;
 const LONGEST_PAUSE_MS = 4_000;
 
 /**
- * Servers that are well fail this part of the requests of some kinds. Below it
- * differences say little, and would move prompts away from where they are warm.
+ * Failure share that healthy servers reach for some request kinds. Differences
+ * below it mean little and would only move prompts away from servers that hold
+ * them in cache.
  */
 const BASELINE_FAILURE_SHARE = 0.1;
 
-/** Parts of prompts remembered for a server; the oldest go first. */
+/** Prompt parts tracked per server; the least recently used are evicted. */
 const MAX_WARM_PARTS = 4_096;
 
 /**
- * Time for which another router's number of requests counts without a new word,
- * milliseconds: nearly all requests are over by then.
+ * Lifetime of another gateway's reported request count, milliseconds: nearly
+ * all requests end within it.
  */
 const REMOTE_TTL_MS = 3_000;
 
@@ -36,53 +38,54 @@
   readonly reportedAt: number;
 }
 
-/** One backend server as this router sees it. */
+/** The state of one backend server, as seen by this gateway. */
 export class ServerState {
   server: BackendServer;
-  /** This router's requests there. */
+  /** This gateway's requests in flight there. */
   inFlight = 0;
-  /** Tokens that the server still has to read for this router's requests. */
+  /** Tokens that the server has yet to compute for this gateway's requests. */
   pendingPrefillTokens = 0;
   #remoteAtReport = 0;
   #remoteRequests = 0;
-  /** Requests of other routers, as they told. */
+  /** Reported requests of other gateways, by gateway name. */
   readonly #byRouter = new Map<string, RemoteRequests>();
   #reportedAt = Number.NEGATIVE_INFINITY;
   #remotePrefillUntil = Number.NEGATIVE_INFINITY;
   #failures = 0;
   readonly #outcomes = new OutcomeEstimate();
-  /** Own outcomes that the other routers haven't been told of. */
+  /** This gateway's outcomes that were not yet reported to the others. */
   #unreported = {ended: 0, failed: 0};
   #pausedUntil = Number.NEGATIVE_INFINITY;
   #isReplaced = false;
-  /** When each part has been read; the least recently used first. */
+  /** When each part's prefill is done; the least recently used part first. */
   readonly #readAt = new Map<string, number>();
 
   constructor(server: BackendServer) {
     this.server = server;
   }
 
-  /** Requests that it processes at once. */
+  /** Requests that the server processes concurrently. */
   get slots(): number {
     return Math.max(1, this.server.directSlots ?? 1);
   }
 
-  /** Another incarnation answers at its address. */
+  /** True once another incarnation has responded at its address. */
   get isReplaced(): boolean {
     return this.#isReplaced;
   }
 
-  /** Called when another incarnation answered at its address. */
+  /** Records that another incarnation responded at its address. */
   markReplaced(): void {
     this.#isReplaced = true;
   }
 
   /**
-   * The server reads one prompt after the other, so what others gave it is
-   * read at a time that can be told without hearing of its end.
+   * Adds prefill work of another gateway. A server processes one prompt after
+   * the other, so its completion time can be estimated without a further
+   * report.
    *
-   * @param durationMs how long it reads what another router gave it
-   * @param now present time, monotonic milliseconds
+   * @param durationMs the work's estimated duration, milliseconds
+   * @param now current time, monotonic milliseconds
    */
   noteRemotePrefill(durationMs: number, now: number): void {
     this.#remotePrefillUntil =
@@ -90,9 +93,9 @@
   }
 
   /**
-   * @param prefillTokensPerMs prompt tokens that it reads in a millisecond
-   * @param now present time, monotonic milliseconds
-   * @returns time until it has read what it was given, milliseconds
+   * @param prefillTokensPerMs the prefill rate, tokens per millisecond
+   * @param now current time, monotonic milliseconds
+   * @returns time until all known prefill work is done, milliseconds
    */
   prefillWaitMs(prefillTokensPerMs: number, now: number): number {
     const remoteMs = Math.max(0, this.#remotePrefillUntil - now);
@@ -100,8 +103,8 @@
   }
 
   /**
-   * @param now present time, monotonic milliseconds
-   * @returns requests there by the best estimate, of all routers
+   * @param now current time, monotonic milliseconds
+   * @returns the estimated number of requests there, of all gateways
    */
   load(now: number): number {
     const age = now - this.#reportedAt;
@@ -111,13 +114,14 @@
   }
 
   /**
-   * @param router another router; empty for all others together
-   * @param requests how many of its requests are here
-   * @param now present time, monotonic milliseconds
+   * @param router name of another gateway; empty for all others together
+   * @param requests its number of requests at the server
+   * @param now current time, monotonic milliseconds
    */
   noteRemoteRequests(router: string, requests: number, now: number): void {
-    // Members of the release before tell of each router. One that goes on from one
-    // to the other would count the same requests twice.
+    // Members of control that run the previous release report each gateway
+    // separately. After switching between members of both releases, a gateway
+    // would count the same requests twice.
     if (router === '') this.#byRouter.clear();
     else this.#byRouter.delete('');
     if (requests === 0) this.#byRouter.delete(router);
@@ -126,9 +130,9 @@
   }
 
   /**
-   * A router that ended can't take back what it told.
+   * Drops expired counts: a gateway that has exited can't withdraw its report.
    *
-   * @param now present time, monotonic milliseconds
+   * @param now current time, monotonic milliseconds
    */
   expireRemoteRequests(now: number): void {
     for (const [router, {reportedAt}] of this.#byRouter) {
@@ -145,8 +149,8 @@
   }
 
   /**
-   * @param load what the server said in an answer
-   * @param now present time, monotonic milliseconds
+   * @param load the load reported in a response of the server
+   * @param now current time, monotonic milliseconds
    */
   noteLoad({running, waiting}: ServerLoad, now: number): void {
     this.#remoteAtReport = Math.max(0, running + waiting - this.inFlight);
@@ -154,9 +158,9 @@
   }
 
   /**
-   * A request got its answer, whatever that says.
+   * Records a complete response that is not a server error.
    *
-   * @param now present time, monotonic milliseconds
+   * @param now current time, monotonic milliseconds
    */
   noteSuccess(now: number): void {
     this.#endPause();
@@ -164,10 +168,10 @@
   }
 
   /**
-   * The answer came, but so late that callers are better off elsewhere: it counts
-   * as a failure where servers are compared.
+   * Records a complete but late response. Callers are better served elsewhere,
+   * so it counts as a failure when servers are compared.
    *
-   * @param now present time, monotonic milliseconds
+   * @param now current time, monotonic milliseconds
    */
   noteLateResponse(now: number): void {
     this.#endPause();
@@ -180,9 +184,9 @@
   }
 
   /**
-   * The server ran a request and failed it.
+   * Records that the server ran a request and failed it.
    *
-   * @param now present time, monotonic milliseconds
+   * @param now current time, monotonic milliseconds
    */
   noteErrorResponse(now: number): void {
     this.#noteOutcome({ended: 1, failed: 1}, now);
@@ -197,19 +201,19 @@
   }
 
   /**
-   * @param outcomes of another router's requests here, as it told
-   * @param now present time, monotonic milliseconds
+   * @param outcomes reported outcomes of another gateway's requests there
+   * @param now current time, monotonic milliseconds
    */
   noteRemoteOutcomes(outcomes: Outcomes, now: number): void {
     this.#outcomes.note(outcomes, now);
   }
 
-  /** An own request failed here that the other routers don't know of. */
+  /** True if a failure of this gateway's requests has yet to be reported. */
   get hasUnreportedFailure(): boolean {
     return this.#unreported.failed > 0;
   }
 
-  /** @returns own outcomes since the last call */
+  /** @returns this gateway's outcomes since the last call */
   takeUnreportedOutcomes(): Outcomes {
     const unreported = this.#unreported;
     this.#unreported = {ended: 0, failed: 0};
@@ -217,9 +221,9 @@
   }
 
   /**
-   * @param now present time, monotonic milliseconds
-   * @returns the share of requests that it is expected to fail, beyond what a
-   *     server that is well fails
+   * @param now current time, monotonic milliseconds
+   * @returns the share of requests that it is expected to fail, beyond that of
+   *     a healthy server
    */
   failureRisk(now: number): number {
     return Math.max(
@@ -229,10 +233,11 @@
   }
 
   /**
-   * No connection, no answer, or a broken one. The pause grows, as a server
-   * that is down stays so for seconds, and each try costs a caller.
+   * Records a failed connection, or a missing or broken response. The backoff
+   * grows exponentially: a server that is down stays down for seconds, and each
+   * attempt there costs a caller time.
    *
-   * @param now present time, monotonic milliseconds
+   * @param now current time, monotonic milliseconds
    */
   noteAttemptFailure(now: number): void {
     this.noteErrorResponse(now);
@@ -242,7 +247,7 @@
   }
 
   /**
-   * @param now present time, monotonic milliseconds
+   * @param now current time, monotonic milliseconds
    * @returns true while other servers should be preferred
    */
   isAvoided(now: number): boolean {
@@ -250,12 +255,12 @@
   }
 
   /**
-   * A part is held for good use only behind all the parts before it.
+   * A cached part is usable only if all the parts before it are cached too.
    *
    * @param parts a prompt's parts, in order
-   * @param readBy when they have to be read, monotonic milliseconds; by
-   *     default what is read before them doesn't matter
-   * @returns tokens that the server lacks, as far as is known here
+   * @param readBy when their prefill must be done, monotonic milliseconds; by
+   *     default pending prefill counts as done
+   * @returns tokens that the server does not hold, as far as is known
    */
   coldTokens(parts: readonly PromptPart[], readBy = Infinity): number {
     const firstCold = parts.findIndex(
@@ -266,8 +271,8 @@
   }
 
   /**
-   * @param ids parts of prompts that the server reads or holds
-   * @param readAt when it has read them, monotonic milliseconds
+   * @param ids prompt parts that the server holds or is computing
+   * @param readAt when their prefill is done, monotonic milliseconds
    */
   noteWarm(ids: readonly string[], readAt: number): void {
     for (const id of ids) {
--- a/packages/lovagepond-gateway/src/gateway_settings.ts
+++ b/packages/lovagepond-gateway/src/gateway_settings.ts
@@ -1,5 +1,5 @@
 /**
- * What a gateway is told by its settings.
+ * The settings of a gateway.
  */
 import {type GatewayBudgetSettings} from './gateway_retry_budget.js';
 
@@ -14,23 +14,23 @@
   readonly controlAddresses: readonly string[];
   readonly controlSilentAfterMs: number;
   readonly controlRetryMs: number;
-  /** Time between two questions whether the configuration is the newest. */
+  /** Interval between queries for the newest revision. */
   readonly authorityIntervalMs: number;
   /**
-   * A removed API key admits nothing later than this after its removal was
-   * accepted, also at a gateway that hears nothing of it.
+   * Time after the accepted removal of an API key within which all gateways
+   * stop accepting it, including those that are cut off from control.
    */
   readonly revocationBoundMs: number;
   readonly connectTimeoutMs: number;
-  /** Prompt tokens that an engine reads in a millisecond. */
+  /** Initial prefill rate of engines, prompt tokens per millisecond. */
   readonly prefillTokensPerMs: number;
-  /** Bytes of all request bodies held at once; further ones are refused. */
+  /** Limit on all buffered request bodies, bytes; further ones are rejected. */
   readonly maxHeldBytes: number;
-  /** Connections are still taken so long after readiness was withdrawn. */
+  /** Time for which a draining gateway still accepts connections. */
   readonly drainLingerMs: number;
 }
 
-/** Defaults for all that has a sensible one. */
+/** Default settings. */
 export const DEFAULT_GATEWAY_SETTINGS = {
   region: 'default',
   availabilityZone: 'default',
--- a/packages/lovagepond-gateway/src/gateway_startup_queue.ts
+++ b/packages/lovagepond-gateway/src/gateway_startup_queue.ts
@@ -1,18 +1,21 @@
 /**
- * Requests that came before this process knew enough to decide on them.
+ * Queues requests that arrive before the configuration and the server list.
  *
- * After a restart the configuration and the list of servers arrive within some
- * hundred milliseconds. Refused, a request would come back only later than
- * that; it waits a small part of its time instead, and is then refused.
+ * After a restart both arrive within some hundred milliseconds. A rejected
+ * request would be retried only later than that. It therefore waits for a small
+ * fraction of its time before it is rejected.
  */
 
-/** Longest wait, milliseconds: control is there by then, or not for long. */
+/**
+ * Longest wait, milliseconds. If control has not responded by then, it will be
+ * unavailable for longer.
+ */
 const MAX_WAIT_MS = 600;
 
-/** Part of its time that a request may wait here. */
+/** Fraction of a request's time that it may wait in the queue. */
 const MAX_WAIT_FRACTION = 0.2;
 
-/** Requests that may wait at once; further ones are refused. */
+/** Queue limit; further requests are rejected. */
 const MAX_QUEUED = 2_000;
 
 interface QueuedRequest {
@@ -21,14 +24,14 @@
   readonly refuse: () => void;
 }
 
-/** Holds requests for a short time. */
+/** Holds requests until they can be decided on, or for a limited time. */
 export class StartupQueue {
   readonly #queued = new Set<QueuedRequest>();
 
   /**
-   * @param timeLeftMs the request's time
-   * @param retry decides on the request once more
-   * @param refuse answers the request when its wait has been in vain
+   * @param timeLeftMs time until the request's deadline, milliseconds
+   * @param retry decides on the request
+   * @param refuse rejects the request when its wait is over
    */
   add(timeLeftMs: number, retry: () => void, refuse: () => void): void {
     if (this.#queued.size >= MAX_QUEUED) {
@@ -44,12 +47,12 @@
     this.#queued.add(queued);
   }
 
-  /** Decides on all that wait, in the order of their arrival. */
+  /** Decides on all queued requests, in the order of their arrival. */
   retryAll(): void {
     for (const {retry} of this.#takeAll()) retry();
   }
 
-  /** Answers all that wait, as nothing will be decided here any more. */
+  /** Rejects all queued requests. */
   refuseAll(): void {
     for (const {refuse} of this.#takeAll()) refuse();
   }
--- a/packages/lovagepond-gateway/src/undici_parts.d.ts
+++ b/packages/lovagepond-gateway/src/undici_parts.d.ts
@@ -1,4 +1,4 @@
-/** Parts of undici that its own declarations name only on its main entry. */
+/** undici modules whose types undici declares only for its main entry. */
 declare module 'undici/lib/dispatcher/client.js' {
   const client: unknown;
   export = client;
