--- a/packages/lovagepond-gateway/src/__tests__/unit/backend_servers.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/backend_servers.ts
@@ -1,11 +1,11 @@
 /**
- * Backend servers without a sidecar, as control would list them.
+ * Backend servers without a sidecar, as control lists them.
  */
 import {type BackendServer, SERVER_STATE} from '@lovagepond/core';
 
 /**
  * @param name its name, incarnation and place
- * @param other what differs from a ready engine of the pool `p`
+ * @param other properties that differ from a ready engine of the pool `p`
  * @returns the server
  */
 export function makeBackendServer(
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_crash_detector.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_crash_detector.test.ts
@@ -25,7 +25,7 @@
     }
   }
 
-  it('takes a server that refuses connections for crashed', () => {
+  it('reports a server that refuses connections as crashed', () => {
     detector.noteConnectionLost(state, 'a', 0);
     detector.noteConnectionLost(state, 'b', 1);
     expect(crashes).toEqual([]);
@@ -37,8 +37,8 @@
     expect(detector.undecided('a')).toBe(0);
   });
 
-  // Guards against a lost answer being taken for a crash.
-  it('takes a server that goes on accepting connections for alive', () => {
+  // Guards against a lost response being counted as a crash.
+  it('does not report a server that keeps accepting connections', () => {
     detector.noteConnectionLost(state, 'a', 0);
     for (let now = 0; now <= 1_000; now += 100) probe(now, true);
     expect(detector.undecided('a')).toBe(0);
@@ -46,7 +46,7 @@
     expect(crashes).toEqual([]);
   });
 
-  it('adds requests that break off later', () => {
+  it('adds requests whose connections are lost later', () => {
     detector.noteConnectionLost(state, 'a', 0);
     detector.noteExited('s', 1);
     detector.noteConnectionLost(state, 'b', 2);
@@ -54,7 +54,7 @@
     expect(crashes.at(-1)?.crashedAt).toBe(0);
   });
 
-  it('takes a server that is listed no more for crashed', () => {
+  it('reports a server that is no longer listed as crashed', () => {
     detector.noteConnectionLost(state, 'a', 0);
     detector.noteListed(new Set(['s']), 1);
     expect(crashes).toEqual([]);
@@ -62,8 +62,9 @@
     expect(crashes).toHaveLength(1);
   });
 
-  // Guards against the end of a release being put down to the requests it cuts.
-  it('does not take a server that left for crashed', () => {
+  // Guards against blaming requests for the planned exit of a server that cuts
+  // them off, as in a rollout.
+  it('does not report a server that was draining as crashed', () => {
     detector.noteConnectionLost(state, 'a', 0);
     state.server = {...state.server, state: SERVER_STATE.DRAINING};
     detector.noteConnectionLost(state, 'b', 1);
@@ -72,7 +73,7 @@
     expect(detector.undecided('a')).toBe(0);
   });
 
-  it('forgets what stays undecided', () => {
+  it('drops a server that stays undecided for too long', () => {
     detector.noteConnectionLost(state, 'a', 0);
     detector.takeDueProbes(10_000);
     detector.noteListed(new Set(), 10_001);
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_deciders.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_deciders.test.ts
@@ -15,8 +15,8 @@
   return {now, wallTime};
 }
 
-describe('the authority of a configuration', () => {
-  it('ends before the bound of a removed key, without any word', () => {
+describe('ConfigurationAuthority', () => {
+  it('stops trusting keys before the bound without a confirmation', () => {
     const authority = new ConfigurationAuthority(BOUND_MS);
     authority.noteInstalled(3);
     authority.confirm(3, at(1_000), 1_000);
@@ -24,19 +24,19 @@
     expect(authority.trustsKeys(at(1_000 + BOUND_MS))).toBe(false);
   });
 
-  // The machine is suspended for six seconds; its monotonic clock doesn't
-  // count them. A request that waited in a socket must not pass by a key that
-  // was removed meanwhile: the wall clock tells.
-  it('ends with a suspension that only the wall clock saw', () => {
+  // The machine is suspended for six seconds, which its monotonic clock does
+  // not count. A request that waited in a socket must not be admitted with a
+  // key that was removed meanwhile, so the wall clock counts too.
+  it('stops trusting keys after a suspension of the monotonic clock', () => {
     const authority = new ConfigurationAuthority(BOUND_MS);
     authority.noteInstalled(3);
     authority.confirm(3, at(1_000), 1_000);
     expect(authority.trustsKeys(at(1_100, 7_100))).toBe(false);
   });
 
-  // Control confirms a newer revision than the one held: the gateway knows
-  // that it is behind, and may say so of itself only once it holds that one.
-  it('waits for the revision that was confirmed', () => {
+  // Control confirms a newer revision than the installed one. The confirmation
+  // counts only once that revision is installed.
+  it('trusts keys only once the confirmed revision is installed', () => {
     const authority = new ConfigurationAuthority(BOUND_MS);
     authority.noteInstalled(3);
     authority.confirm(4, at(1_000), 1_000);
@@ -45,9 +45,9 @@
     expect(authority.trustsKeys(at(1_002))).toBe(true);
   });
 
-  // Changes in quick succession: each answer names a newer revision, and the
-  // time counts from the first answer that named what is missing.
-  it('is behind half a second after it heard of what is missing', () => {
+  // Changes follow in quick succession, so each response names a newer
+  // revision. The lag counts from the first response that named a missing one.
+  it('switches members half a second after a missing revision', () => {
     const authority = new ConfigurationAuthority(BOUND_MS);
     authority.noteInstalled(3);
     authority.confirm(3, at(500), 510);
@@ -59,9 +59,9 @@
     expect(authority.shouldSwitchMember(2_100)).toBe(true);
   });
 
-  // The process stood still between its question and the answer; the change came
-  // with the answer, and is only not read yet.
-  it('is not behind for time in which it stood still itself', () => {
+  // The process was stalled between the query and the response. The change
+  // arrived together with the response and is only not yet processed.
+  it('does not count time in which the process itself was stalled', () => {
     const authority = new ConfigurationAuthority(BOUND_MS);
     authority.noteInstalled(3);
     authority.confirm(4, at(1_000), 4_000);
@@ -70,7 +70,7 @@
     expect(authority.shouldSwitchMember(9_000)).toBe(false);
   });
 
-  it('is behind no more once it holds what was confirmed', () => {
+  it('does not switch members once the confirmed revision is installed', () => {
     const authority = new ConfigurationAuthority(BOUND_MS);
     authority.noteInstalled(3);
     authority.confirm(5, at(1_000), 1_000);
@@ -81,7 +81,7 @@
   });
 });
 
-describe('admission', () => {
+describe('GatewayAdmission', () => {
   const facts = readFacts({[NAMES.apiKey]: KEY}, NAMES);
   const head = {host: 'shop.example:8080', path: '/read/x?y=1', facts};
 
@@ -91,9 +91,10 @@
     return admission;
   }
 
-  // A gateway that can't reach control must not say that a key is wrong: it
-  // may have been added meanwhile. It says that it is not ready, as not run.
-  it('says what is unknown only while it is sure', () => {
+  // A gateway that can't reach control must not reject a key as invalid, as the
+  // key may have been added meanwhile. It responds with "not ready", which
+  // means that the request was not run.
+  it('rejects an unknown route only while its configuration is recent', () => {
     const admission = makeAdmission();
     const unknown = {...head, path: '/none/'};
     expect(admission.admit(unknown, 0, at(0))).toMatchObject({
@@ -110,8 +111,8 @@
   });
 });
 
-describe('headers', () => {
-  it("never pass on what only a router sets, nor a connection's own", () => {
+describe('headersForServer', () => {
+  it('drops headers reserved for gateways and hop-by-hop headers', () => {
     const names = {...NAMES, routerOnly: ['x-pin']};
     const headers = headersForServer(
       [
@@ -135,10 +136,10 @@
   });
 });
 
-describe('the retry budget', () => {
-  // In a storm of failures every request asks for a second try. In no window
-  // may there be more of them than the fraction and the own part of the slack.
-  it('holds in any window', () => {
+describe('GatewayRetryBudget', () => {
+  // Every request fails and asks for a retry. In no window may retries exceed
+  // the fraction of requests plus this gateway's share of the slack.
+  it('limits retries in any window', () => {
     const settings = {
       retryFraction: 0.2,
       retryWindowMs: 1_000,
@@ -165,11 +166,11 @@
     );
   });
 
-  // All servers of a pool fail all they get, so each request of each gateway asks
-  // for a second try. What the whole fleet sends again is bounded, and the bound
-  // doesn't know how many gateways there are.
+  // All servers of a pool fail every request, so each gateway asks for a retry
+  // of each. The retries of all gateways together stay within the common slack,
+  // whatever the number of gateways.
   it.each([4, 16, 70, 370])(
-    'holds over %i gateways that hear of each other',
+    'limits the retries of %i gateways that see each other',
     count => {
       const settings = {
         retryFraction: 0.2,
@@ -195,7 +196,7 @@
     },
   );
 
-  it('shares the slack among those heard of within the window', () => {
+  it('divides the slack among the gateways seen within the window', () => {
     const settings = {
       retryFraction: 0,
       retryWindowMs: 1_000,
@@ -216,8 +217,8 @@
   });
 });
 
-describe('an event stream', () => {
-  it('comes out whole and in order however it is cut', () => {
+describe('EventStream', () => {
+  it('returns complete events in order for any chunk boundaries', () => {
     const text = [1, 2, 3].map(id => `id: ${id}\ndata: x\n\n`).join('');
     fc.assert(
       fc.property(fc.array(fc.nat(text.length)), cuts => {
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_drain_admission.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_drain_admission.test.ts
@@ -11,7 +11,7 @@
   type Script,
 } from './gateway_harness.js';
 
-/** Lets a request wait for long. */
+/** A deadline that allows a long wait in the startup queue. */
 const LONG_DEADLINE = {[NAMES.deadlineMs]: '12000'};
 
 let harness: GatewayHarness | undefined;
@@ -22,7 +22,7 @@
   harness = undefined;
 });
 
-/** Sends a request on the one kept connection. */
+/** Sends a request on the single keep-alive connection. */
 function callKeepAlive(path: string): Promise<{status: number; body: string}> {
   return new Promise((resolve, reject) => {
     const req = request(
@@ -51,14 +51,14 @@
   });
 }
 
-describe('what a stopping gateway takes', () => {
-  it('takes everything until it is told to stop', () => {
+describe('GatewayDrainAdmission', () => {
+  it('admits everything before draining begins', () => {
     const departure = new GatewayDrainAdmission();
     departure.noteDuration('talk', 60_000);
     expect(departure.admits('talk', 60_000, 0)).toBe(true);
   });
 
-  it('takes what ends in time by what was observed', () => {
+  it('admits requests whose observed durations end in time', () => {
     const departure = new GatewayDrainAdmission();
     for (let at = 0; at < 100; at += 1) departure.noteDuration('read', 50);
     for (let at = 0; at < 100; at += 1) departure.noteDuration('talk', 2_000);
@@ -68,7 +68,7 @@
     expect(departure.admits('talk', 12_000, 5_500)).toBe(false);
   });
 
-  it('takes what nothing is known of when its caller leaves in time', () => {
+  it('admits unknown requests if their deadline is in time', () => {
     const departure = new GatewayDrainAdmission();
     departure.begin(8_000);
     expect(departure.admits('talk', 12_000, 0)).toBe(false);
@@ -76,11 +76,11 @@
   });
 });
 
-describe('a stopping gateway', () => {
-  // An answer begins before the stop, so it doesn't say that its connection
-  // ends. Once it is over the connection must be closed: its caller would send
-  // the next request on it, and lose the stream when the process ends.
-  it('closes a kept connection once its answer is over', async () => {
+describe('a draining gateway', () => {
+  // A response that began before draining did not announce that its connection
+  // closes. The connection must be closed after it: otherwise the caller sends
+  // the next request on it, and that stream is lost when the process exits.
+  it('closes a keep-alive connection once its response has ended', async () => {
     let end: () => void = () => undefined;
     const slow: Script = (req, res) => {
       beginStream(req, res);
@@ -98,17 +98,17 @@
         resolve(true);
       });
     });
-    // The front's own limit for idle connections is twice as long.
+    // The listener's idle timeout is twice as long.
     const kept = pause(8_000).then(() => false);
     end();
     expect((await answered).body).toContain('data: b');
     expect(await Promise.race([closed, kept])).toBe(true);
   });
 
-  // The gateway has lost control, so a request waits for the configuration to be
-  // confirmed. Then the gateway is stopped. The request must be answered as not
-  // run: its connection once ended with the process, without a word.
-  it('answers what waits for its configuration', async () => {
+  // The gateway can't reach control, so a request waits for the configuration
+  // to be confirmed. When the gateway is stopped, the request must be rejected
+  // as not run. Guards against closing its connection without a response.
+  it('rejects requests that wait for the configuration', async () => {
     const good: Script = (req, res) => {
       answer(req, res, 200, 'yes');
     };
@@ -123,10 +123,10 @@
     expect(harness.arrivals).toEqual([]);
   });
 
-  // Two seconds before the end of the process a stream arrives that takes
-  // longer. Taken, it would be cut in the middle. It is refused as not run,
-  // while a short call is still served.
-  it('refuses as not run what would be cut', async () => {
+  // Shortly before the process exits a stream arrives that takes longer. If it
+  // were admitted, it would be cut off. It is rejected as not run, while a
+  // short request is still served.
+  it('rejects a request that would be cut off as not run', async () => {
     const good: Script = (req, res) => {
       answer(req, res, 200, 'yes');
     };
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_engine_choice.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_engine_choice.test.ts
@@ -10,7 +10,7 @@
 const RATE = 40;
 const FETCH_RATE = 1_600;
 
-describe('the choice of an engine', () => {
+describe('GatewayChoice for engines', () => {
   const parts = [
     {id: 'a', tokens: 2_000},
     {id: 'b', tokens: 6_000},
@@ -41,7 +41,7 @@
     return new GatewayChoice(settings, await loadKeyHasher(), new Random(1));
   }
 
-  it('goes where another router had the prompt read', async () => {
+  it('selects the engine warmed by another gateway', async () => {
     const choice = await makeChoice();
     for (const name of ['x', 'y', 'z']) {
       const servers = ['x', 'y', 'z'].map(makeServer);
@@ -51,9 +51,9 @@
     }
   });
 
-  // The engine that holds the prompt has a second of other prompts to read. The
-  // first token would be late there; another engine reads this one in time.
-  it('leaves a warm engine that would be late', async () => {
+  // The engine that holds the prompt has a second of other prefill work. The
+  // first token would be late there; another engine computes it in time.
+  it('avoids a warm engine that would be late', async () => {
     const choice = await makeChoice();
     const servers = ['x', 'y'].map(makeServer);
     servers[0]!.noteWarm(sharedIds, 0);
@@ -63,7 +63,7 @@
     expect(choice.choose(request(servers), 0)?.state).toBe(servers[1]);
   });
 
-  it('has one home for a prompt that is warm nowhere', async () => {
+  it('selects the same home for a cold prompt in any order', async () => {
     const choice = await makeChoice();
     const names = ['x', 'y', 'z'];
     const chosen = names.map((_, turn) => {
@@ -74,7 +74,7 @@
     expect(new Set(chosen).size).toBe(1);
   });
 
-  it('avoids a server that broke off, unless all did', async () => {
+  it('avoids a server that failed, unless all did', async () => {
     const choice = await makeChoice();
     const servers = ['x', 'y'].map(makeServer);
     servers[0]!.noteWarm(sharedIds, 0);
@@ -90,9 +90,9 @@
     return {...req, pool};
   }
 
-  // A server that holds a prompt has others to read, or is about to leave. Where
-  // servers take context over from each other, nothing is read a second time.
-  it('has a busy or leaving engine hand its context over', async () => {
+  // A server that holds a prompt is busy with others, or is draining. Where
+  // servers can fetch context from each other, no prefill is repeated.
+  it('fetches context from a busy or draining engine', async () => {
     const choice = await makeChoice();
     const servers = ['x', 'y'].map(makeServer);
     const [warm, idle] = servers;
@@ -106,9 +106,9 @@
     expect(choice.choose(leaving, 1)?.fetch?.source).toBe(warm);
   });
 
-  // The prompt went to a server a moment ago and is still being read. Asked for
-  // it, that server would hand over nothing, and it would be read twice.
-  it('takes over only what has been read', async () => {
+  // The prompt was just sent to a server, and its prefill is not done. A fetch
+  // from that server would return nothing, and the prefill would be repeated.
+  it('fetches only context whose prefill is done', async () => {
     const choice = await makeChoice();
     const servers = ['x', 'y'].map(makeServer);
     const [reading, idle] = servers;
@@ -118,7 +118,7 @@
     expect(choice.choose(leaving, 201)?.fetch?.source).toBe(reading);
   });
 
-  it('takes over nothing where servers cannot', async () => {
+  it('fetches nothing where servers do not support it', async () => {
     const choice = await makeChoice();
     const servers = ['x', 'y'].map(makeServer);
     servers[0]!.noteWarm(sharedIds, 0);
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_failing_server.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_failing_server.test.ts
@@ -14,13 +14,13 @@
 const SERVERS = ['x', 'y', 'z'];
 const SLOTS = 6;
 const SERVICE_MS = 43;
-/** All gateways' requests in a millisecond: 26 a second. */
+/** Requests of all gateways per millisecond: 26 per second. */
 const REQUESTS_PER_MS = 0.026;
 const FAILS_FROM_MS = 5_000;
 const FAILS_TO_MS = 10_000;
 const FAILURE_SHARE = 0.4;
 const REPORT_INTERVAL_MS = 100;
-/** Time on the way through control. */
+/** Delay of a report on its way through control. */
 const REPORT_DELAY_MS = 25;
 
 interface Gateway {
@@ -31,7 +31,7 @@
 
 type Step = () => void;
 
-/** Gateways in front of three servers, one of which fails for a while. */
+/** Gateways in front of three servers, one of which fails for some time. */
 class FailingServerSimulation {
   readonly #random: Random;
   readonly #gateways: readonly Gateway[];
@@ -124,12 +124,11 @@
 }
 
 describe('a server that fails part of its requests', () => {
-  // One of three services answers two requests in five with a failure, for five
-  // seconds, and its status check stays good. Requests that must not run twice
-  // are lost there. Over six seeds 5.1 in a hundred were lost; with each
-  // gateway's own outcomes alone 8.6, and 13.6 when a server was left only above
-  // 0.6 of failures.
-  it('is left by all gateways within a second', async () => {
+  // One of three services fails two requests in five for five seconds, while
+  // its health check passes. Requests that must not run twice are lost there.
+  // Over six seeds 5.1% were lost; 8.6% with each gateway's own outcomes alone,
+  // and 13.6% when a server was avoided only above a failure share of 0.6.
+  it('is avoided by all gateways within a second', async () => {
     const lost: number[] = [];
     for (const seed of [1, 2, 3, 4, 5, 6]) {
       const indexes = Array.from({length: GATEWAYS}, (_, at) => at);
@@ -146,15 +145,15 @@
   });
 });
 
-describe('the estimate of failures', () => {
-  it('is small without outcomes, and after one failure', () => {
+describe('OutcomeEstimate', () => {
+  it('is low without outcomes, and after one failure', () => {
     const estimate = new OutcomeEstimate();
     expect(estimate.failureShare(0)).toBeCloseTo(0.05);
     estimate.note({ended: 1, failed: 1}, 0);
     expect(estimate.failureShare(0)).toBeLessThan(0.2);
   });
 
-  it('follows the outcomes and forgets them', () => {
+  it('follows the outcomes and decays to the prior', () => {
     const estimate = new OutcomeEstimate();
     estimate.note({ended: 100, failed: 40}, 0);
     expect(estimate.failureShare(0)).toBeCloseTo(0.38, 1);
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_harness.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_harness.ts
@@ -1,5 +1,5 @@
 /**
- * A gateway's front over loopback, with backend servers that a test scripts.
+ * A gateway's HTTP listener on loopback, with scripted backend servers.
  */
 import {
   createServer,
@@ -51,14 +51,14 @@
   error: () => {},
 };
 
-/** What a scripted server does with one request. */
+/** Handles one request at a scripted server. */
 export type Script = (
   req: IncomingMessage,
   res: ServerResponse,
   body: string,
 ) => void;
 
-/** Answers as a sound server does. */
+/** Responds like a healthy server. */
 export function answer(
   req: IncomingMessage,
   res: ServerResponse,
@@ -73,7 +73,7 @@
   res.end(body);
 }
 
-/** Says that the request was not run. */
+/** Rejects the request as not run. */
 export function refuse(req: IncomingMessage, res: ServerResponse): void {
   res.writeHead(503, {
     [NAMES.requestId]: req.headers[NAMES.requestId] ?? '',
@@ -130,35 +130,35 @@
   selectors: ['read', 'write', 'talk', 'chat'].map(selector),
 });
 
-/** What a caller got. */
+/** A response as received by a caller. */
 export interface CallerResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: string;
-  /** False when the connection ended before the answer did. */
+  /** False when the connection closed before the end of the response. */
   readonly whole: boolean;
 }
 
-/** One call of a caller. */
+/** A caller's request. */
 export interface Call {
   readonly path: string;
   readonly method?: string;
   readonly body?: string;
   readonly headers?: Readonly<Record<string, string>>;
-  /** Called when the answer's head has come. */
+  /** Called when the head of the response has arrived. */
   readonly onHead?: () => void;
 }
 
-/** The front and its servers. */
+/** The listener and its backend servers. */
 export class GatewayHarness {
   readonly admission: GatewayAdmission;
   readonly server: GatewayServer;
   readonly quarantine: GatewayQuarantine;
   readonly counters: GatewayCounters;
-  /** Servers that the gateway reported as crashed; no report is recorded. */
+  /** Servers reported as crashed; the reports are never acknowledged. */
   readonly crashed: ReadonlySet<string>;
   readonly #backends: Server[] = [];
-  /** Requests that reached each server. */
+  /** Name of the server that each request reached, in order. */
   readonly arrivals: string[] = [];
   #nextId = 0;
 
@@ -177,8 +177,9 @@
   }
 
   /**
-   * @param scripts one server each, named server-0, server-1 and so on
-   * @param revocationBoundMs how long the configuration is trusted
+   * @param scripts one for each server, named server-0, server-1 and so on
+   * @param revocationBoundMs time for which the configuration is trusted,
+   *     milliseconds
    */
   static async start(
     scripts: readonly Script[],
@@ -261,7 +262,7 @@
     return harness;
   }
 
-  /** @param port of a server that ends as its process would */
+  /** @param port of the server to stop as if its process had crashed */
   crash(port: number): void {
     for (const backend of this.#backends) {
       const address = backend.address() as AddressInfo | null;
@@ -271,7 +272,7 @@
     }
   }
 
-  /** Ends the front and the servers. */
+  /** Stops the listener and the servers. */
   stop(): void {
     this.server.stop();
     for (const backend of this.#backends) {
@@ -280,7 +281,7 @@
     }
   }
 
-  /** @returns what the caller got */
+  /** @returns the response that the caller received */
   call({
     path,
     method = 'GET',
@@ -343,7 +344,7 @@
     const {port} = backend.address() as AddressInfo;
     return makeBackendServer(name, {
       pool: 'servers',
-      // The first server is in the own zone, so that it is tried first.
+      // The first server is in the gateway's zone, so it is selected first.
       availabilityZone: index === 0 ? 'a' : 'b',
       address: `127.0.0.1:${port}`,
       slot: index,
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_load_reports.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_load_reports.test.ts
@@ -6,7 +6,7 @@
 import {type ServerState} from '../../gateway_server_state.js';
 import {makeBackendServer} from './backend_servers.js';
 
-/** One gateway's view of a hundred servers. */
+/** A gateway with a hundred servers. */
 class Gateway {
   readonly fleet = new GatewayFleet();
   readonly peers = new GatewayPeers();
@@ -32,7 +32,7 @@
     return this.fleet.find(`server-${at}`)!;
   }
 
-  /** Hands a report on as control does. */
+  /** Distributes a report as control does. */
   reportTo(other: Gateway, now: number): boolean {
     const report = this.readings.takeReport(now);
     if (!report) return false;
@@ -43,10 +43,10 @@
   }
 }
 
-describe('what gateways tell each other', () => {
-  // Many gateways send one request each to the same server. Each by itself sees
-  // a server with one request; together they drown it.
-  it('counts the requests of all at a server', () => {
+describe('GatewayLoadReports', () => {
+  // Many gateways send one request each to the same server. Each one alone sees
+  // a server with one request, while together they overload it.
+  it('counts the requests of all gateways at a server', () => {
     const here = new Gateway('here');
     const there = new Gateway('there');
     there.server(3).inFlight = 5;
@@ -59,9 +59,10 @@
     expect(here.server(3).load(2_000)).toBe(2);
   });
 
-  // With a hundred servers a report each 20 ms from each gateway to each other
-  // would be most of their traffic. A prompt to be read can't wait so long.
-  it('tells numbers the more rarely the more servers there are', () => {
+  // With a hundred servers, a report every 20 ms from each gateway to each
+  // other one would be most of their traffic. Prefill reports can't wait that
+  // long.
+  it('reports request counts less often with more servers', () => {
     const here = new Gateway('here');
     const there = new Gateway('there');
     here.server(0).inFlight = 1;
@@ -76,10 +77,10 @@
     expect(here.reportTo(there, 2_898)).toBe(false);
   });
 
-  // Members of control are upgraded one by one, and gateways go on from one release to
-  // the other: one tells of each gateway, the next of all together. Counted twice, the
-  // servers with the most work would look drowned.
-  it('counts requests once when members of two releases tell', () => {
+  // Members of control are upgraded one by one, and gateways switch between
+  // them. One release reports each gateway separately, the other one the sum of
+  // all. Counted twice, the busiest servers would look overloaded.
+  it('counts requests once when members of two releases report', () => {
     const here = new Gateway('here');
     const tell = (node: string, requests: number, now: number): void => {
       const running = [{backendServer: 'server-3', requests}];
@@ -95,8 +96,8 @@
     expect(here.server(3).load(200)).toBe(5);
   });
 
-  // Guards against servers that look free while long requests fill them.
-  it('goes on counting requests that run for long', () => {
+  // Guards against servers that look idle while long requests occupy them.
+  it('keeps counting long-running requests', () => {
     const here = new Gateway('here');
     const there = new Gateway('there');
     there.server(0).inFlight = 4;
@@ -107,8 +108,8 @@
     }
   });
 
-  // A gateway is killed with requests under way. Nobody takes back what it told.
-  it('forgets what a gateway told that is gone', () => {
+  // A gateway is killed with requests in flight, and can't withdraw its report.
+  it('drops the counts of a gateway that stopped', () => {
     const here = new Gateway('here');
     const stopped = new Gateway('gone');
     stopped.server(0).inFlight = 9;
@@ -120,9 +121,9 @@
   });
 });
 
-// A pool fails, and each gateway sends requests again by its part of a slack that
-// all share. Who reports takes a part; a gateway's own reports come back to it.
-it('a gateway knows how many others report', () => {
+// Gateways divide the retry slack among those that report. A gateway's own
+// reports come back in the digest and must not be counted.
+it('a gateway counts the other gateways that report', () => {
   const [one, two] = [new Gateway('one'), new Gateway('two')];
   const digest = {
     reports: ['one', 'two', 'three'].map(node => ({node, readings: []})),
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_quarantine.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_quarantine.test.ts
@@ -12,7 +12,7 @@
 
 const HOUR_MS = 3_600_000;
 
-/** Longer than the time in which crashes count once. */
+/** Longer than the window in which several crashes count as one. */
 const COMMON_CAUSE_MS = 250;
 const CALL: Call = {path: '/read/a', method: 'POST', body: 'crash'};
 const FINGERPRINT = fingerprintOf({
@@ -33,7 +33,7 @@
   answer(req, res, 200, body);
 };
 
-/** Crashes with some requests and serves the others. */
+/** Crashes on the body `crash` and serves other requests. */
 const crashing: Script = (req, res, body) => {
   if (body !== 'crash') healthy(req, res, body);
   else harness?.crash(Number(req.socket.localPort));
@@ -51,7 +51,7 @@
 }
 
 describe('a request that crashes servers', () => {
-  it('is answered at once with when to come back', async () => {
+  it('is rejected immediately with Retry-After', async () => {
     harness = await GatewayHarness.start([healthy]);
     applySuspicion(3, HOUR_MS);
     const res = await harness.call(CALL);
@@ -62,15 +62,16 @@
     expect((await harness.call({...CALL, body: 'other'})).status).toBe(200);
   });
 
-  // Guards against a second try that crashes one server more than callers asked for.
-  it('gets no second try once a server crashed under it elsewhere', async () => {
+  // Guards against a retry that crashes one more server than callers' own
+  // requests do.
+  it('is not retried once it is suspected of crashes elsewhere', async () => {
     harness = await GatewayHarness.start([crashing, crashing, crashing]);
     applySuspicion(2, 0);
     expect((await harness.call(CALL)).status).toBe(502);
     expect(harness.arrivals).toHaveLength(1);
   });
 
-  it('crashes three servers of a router that is cut off', async () => {
+  it('crashes three servers of a partitioned gateway', async () => {
     harness = await GatewayHarness.start(Array<Script>(6).fill(crashing));
     let res = await harness.call(CALL);
     for (let turn = 0; turn < 5; turn += 1) {
@@ -83,8 +84,9 @@
     expect((await harness.call({...CALL, body: 'other'})).status).toBe(200);
   });
 
-  // Guards against copies that wait at servers and crash them after the verdict.
-  it('is taken back where it is under way', async () => {
+  // Guards against copies that are queued at servers and crash them after the
+  // request was quarantined.
+  it('is aborted while in flight', async () => {
     let closed = false;
     const slow: Script = req => {
       req.socket.once('close', () => {
@@ -99,7 +101,7 @@
     await expect.poll(() => closed).toBe(true);
   });
 
-  it('is cut where its answer has begun', async () => {
+  it('is cut off if its response has begun', async () => {
     harness = await GatewayHarness.start([
       (req, res) => {
         beginStream(req, res);
@@ -116,7 +118,7 @@
     expect((await called).whole).toBe(false);
   });
 
-  it('runs again after a whole answer', async () => {
+  it('is no longer suspected after a complete response', async () => {
     harness = await GatewayHarness.start([healthy]);
     applySuspicion(2, 0);
     expect((await harness.call(CALL)).status).toBe(200);
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_response_timing.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_response_timing.test.ts
@@ -18,15 +18,16 @@
   return state.failureRisk(now);
 }
 
-// A service works eight times as long as the others for some seconds. It fails
-// nothing, and each caller that is sent there gets a late answer.
-test('a server that is late with free slots counts as one that fails', () => {
+// A service takes eight times as long as its peers for some seconds. It fails
+// no request, but every response from it is late.
+test('a late response of a server with free slots counts as a failure', () => {
   expect(simulate(300, 0)).toBeGreaterThan(0.3);
   expect(simulate(100, 0)).toBe(0);
 });
 
-// Many callers come at once, and all servers are late as requests wait for slots.
-// None of them is slow; told apart by chance, some would get all of the work.
-test('a late answer of a full server says nothing of it', () => {
+// Under a burst of requests all servers respond late, as requests wait for
+// slots. No server is slow; if lateness counted, random differences would send
+// all of the load to a few of them.
+test('a late response of a server without free slots is not a failure', () => {
   expect(simulate(300, 1_000)).toBe(0);
 });
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_role.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_role.test.ts
@@ -25,7 +25,10 @@
   lovagepond.v1.ControlUpdate
 >;
 
-/** Each wait ends with what is awaited; a busy machine needs longer. */
+/**
+ * Time limit of a poll, milliseconds. A poll ends once its condition holds,
+ * which takes longer on a busy machine.
+ */
 const WAIT_MS = 8_000;
 
 const ROUNDS = 4;
@@ -43,7 +46,14 @@
   lovagepond.v1.ConvergenceResponse
 >;
 
-/** Starts a stand-in for a member that knows the newest revision, if it says so. */
+/**
+ * Starts a fake control member.
+ *
+ * @param subscribe handles each subscription
+ * @param newestRevision the revision that the member confirms; it confirms none
+ *     when undefined
+ * @returns the member's address
+ */
 async function startControl(
   subscribe: (call: Stream) => void,
   newestRevision?: number,
@@ -108,10 +118,10 @@
   revision => ({revision, content: {...CONTENT, documentVersion: revision}}),
 );
 
-// A gateway is told of a change to a configuration that it doesn't hold. Left at
-// that, it would serve by the old one until the next change. It says what it holds
-// on a new subscription, and gets what it lacks.
-test('subscribes anew when a change does not fit what it holds', async () => {
+// A gateway receives a delta to a revision that it has not installed. Without a
+// new subscription it would use the old configuration until the next change.
+// The subscription sends the installed revision and gets the missing changes.
+test('resubscribes if a delta does not fit the held revision', async () => {
   const held: number[] = [];
   const control = await startControl(call => {
     held.push(call.request.revision);
@@ -126,7 +136,7 @@
   expect(held).toEqual([0, 1]);
 });
 
-test('applies a change to what it holds', async () => {
+test('applies a delta to the installed revision', async () => {
   const control = await startControl(call => {
     const configuration = encodeConfiguration(first!);
     call.write(update({revision: 1, configuration}));
@@ -137,11 +147,11 @@
   await expect.poll(() => revisionOf(gateway)).toBe(2);
 });
 
-// An operator's change is confirmed. The member that this gateway hears answers
-// for the leader that there is a newer revision, and goes on sending signs of life,
-// but its own log doesn't move. The gateway served by the former configuration for
-// as long as that lasted, while all others served by the new one.
-test('leaves a member that is behind what a majority confirmed', async () => {
+// A member relays the leader's confirmation of a newer revision and keeps
+// sending heartbeats, but its own log does not advance. Guards against a
+// gateway that stays subscribed to it and keeps using the previous
+// configuration.
+test('leaves a member that lags behind the confirmed revision', async () => {
   const behind = await startControl(call => {
     const configuration = encodeConfiguration(first!);
     call.write(update({revision: 1, configuration}));
@@ -158,9 +168,9 @@
   await expect.poll(held, {timeout: WAIT_MS}).toEqual([2, 2]);
 });
 
-// While every member it knows is behind, as all are for a moment after a stop of
-// all hosts, a gateway goes round them and gets the change from the first that has it.
-test('goes round members that are all behind', async () => {
+// After a stop of all hosts, every member may lag for a moment. The gateway
+// cycles through them and gets the change from the first one that has it.
+test('cycles through members that all lag', async () => {
   const asked: string[] = [];
   const start = (name: string): Promise<string> =>
     startControl(call => {
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_routes.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_routes.test.ts
@@ -45,7 +45,7 @@
   ([parts, query]) => `/${parts.join('/')}${query}`,
 );
 
-test('finds the longest prefix that begins the path', () => {
+test('finds the rule with the longest matching prefix', () => {
   assert(
     property(uniqueArray(prefix, {maxLength: 8}), path, (prefixes, asked) => {
       const plain = asked.split('?')[0] ?? '';
@@ -58,6 +58,6 @@
   );
 });
 
-test('finds nothing at another host', () => {
+test('finds no rule for another host', () => {
   expect(makeRules(['/']).find('else.example', '/a')).toBeUndefined();
 });
