--- a/packages/lovagepond-caller/src/__tests__/unit/caller_server.test.ts
+++ b/packages/lovagepond-caller/src/__tests__/unit/caller_server.test.ts
@@ -1,6 +1,6 @@
 import {afterEach, expect, test} from 'vitest';
 import {makeFailure} from '@lovagepond/core';
-import {type AnswerSink, type CallerRequest} from '../../index.js';
+import {type ResponseSink, type CallerRequest} from '../../index.js';
 import {
   chatBody,
   errorOf,
@@ -15,7 +15,7 @@
 afterEach(stopServers);
 
 const encoder = new TextEncoder();
-const answerOk = (_req: CallerRequest, sink: AnswerSink): void => {
+const respondOk = (_req: CallerRequest, sink: ResponseSink): void => {
   void sink.write(encoder.encode('{"ok":true}'));
   sink.end();
 };
@@ -24,7 +24,7 @@
   const seen: CallerRequest[] = [];
   const server = await startServer((req, sink) => {
     seen.push(req);
-    answerOk(req, sink);
+    respondOk(req, sink);
   });
   const res = await post(
     server,
@@ -59,7 +59,7 @@
   const server = await startServer(
     (req, sink) => {
       handled += 1;
-      answerOk(req, sink);
+      respondOk(req, sink);
     },
     {maxBodyBytes: 2_000, maxHeaderBytes: 4_000},
   );
@@ -90,7 +90,7 @@
 });
 
 test('bytes that are not HTTP are answered without harm', async () => {
-  const server = await startServer(answerOk);
+  const server = await startServer(respondOk);
   const {received} = openRaw(server, 'HELLO\r\n\r\n');
   expect(await received).toContain('"kind":"badRequest"');
   expect(server.counters.malformed).toBe(1);
@@ -99,7 +99,7 @@
 test('a body without a length is cut at the limit', async () => {
   // A chunked body tells no length. It must be refused once it has passed the
   // limit, not kept until its end.
-  const server = await startServer(answerOk, {maxBodyBytes: 2_000});
+  const server = await startServer(respondOk, {maxBodyBytes: 2_000});
   const lines = Object.entries({...HEADERS, 'transfer-encoding': 'chunked'});
   const head = lines.map(pair => pair.join(': ')).join('\r\n');
   const chunk = `1000\r\n${'x'.repeat(4096)}\r\n`;
@@ -114,7 +114,7 @@
   // A wave of callers sends bodies that are each within the limit. Those that
   // would fill the process's memory are refused at once and spread; the others
   // are answered, and their bytes are given back.
-  const sinks: AnswerSink[] = [];
+  const sinks: ResponseSink[] = [];
   const server = await startServer((_req, sink) => sinks.push(sink), {
     maxHeldBodyBytes: 5_000,
   });
@@ -132,7 +132,7 @@
 test('a refused sender reads its answer before the connection ends', async () => {
   // The caller is refused by its head while it still sends its body. A close
   // at that moment resets the connection, and it sees the reset alone.
-  const server = await startServer(answerOk, {maxBodyBytes: 2_000});
+  const server = await startServer(respondOk, {maxBodyBytes: 2_000});
   const body = 'x'.repeat(8 * 1024 * 1024);
   const {socket, received} = openRaw(server, rawRequest(body));
   let failure = '';
@@ -144,7 +144,7 @@
 test('malformed bytes behind a request stay out of its answer', async () => {
   // While an answer streams, its caller sends bytes that are not HTTP. An
   // error written to the connection would stand amid the answer's text.
-  const sinks: AnswerSink[] = [];
+  const sinks: ResponseSink[] = [];
   const server = await startServer((_req, sink) => sinks.push(sink));
   const text = rawRequest(chatBody({stream: true}));
   const {socket, received} = openRaw(server, text);
@@ -161,7 +161,7 @@
 test('a fault of the handler ends its own request only', async () => {
   const server = await startServer((req, sink) => {
     if (req.chat === 'c1') throw new Error('a fault');
-    answerOk(req, sink);
+    respondOk(req, sink);
   });
   const res = await post(server, chatBody());
   expect((await errorOf(res)).kind).toBe('internal');
@@ -173,7 +173,7 @@
   // The caller sends its head and a part of the body, then a byte now and
   // then. Without a limit on the whole body it would hold its connection and
   // its bytes for good.
-  const server = await startServer(answerOk, {senderTimeoutMs: 80});
+  const server = await startServer(respondOk, {senderTimeoutMs: 80});
   const whole = rawRequest(chatBody());
   const {socket, received} = openRaw(server, whole.slice(0, -5));
   const trickle = setInterval(() => socket.write(' '), 200);
@@ -184,7 +184,7 @@
 });
 
 test('a reused key with another body is refused while in flight', async () => {
-  const sinks: AnswerSink[] = [];
+  const sinks: ResponseSink[] = [];
   const server = await startServer((_req, sink) => sinks.push(sink));
   const headers = {'idempotency-key': 'k'};
   const first = post(server, chatBody(), headers);
@@ -307,7 +307,7 @@
 });
 
 test('pipelined requests are refused, and the first is answered', async () => {
-  const sinks: AnswerSink[] = [];
+  const sinks: ResponseSink[] = [];
   const server = await startServer((_req, sink) => sinks.push(sink));
   const one = rawRequest(chatBody());
   const {received} = openRaw(server, one + one);
@@ -324,7 +324,7 @@
   // A stop is planned while one answer streams and one keep-alive connection
   // idles. The answer goes on to its end, the idle connection closes, and a
   // request that comes in the grace time is answered with connection: close.
-  const sinks: AnswerSink[] = [];
+  const sinks: ResponseSink[] = [];
   const server = await startServer((_req, sink) => sinks.push(sink), {
     drainGraceMs: 100,
   });
@@ -348,7 +348,7 @@
 });
 
 test('connections above the limit are refused, the others served', async () => {
-  const server = await startServer(answerOk, {maxConnections: 2});
+  const server = await startServer(respondOk, {maxConnections: 2});
   const open = [openRaw(server, ''), openRaw(server, '')];
   await expect.poll(() => server.counters.connections).toBe(2);
   const third = openRaw(server, rawRequest(chatBody()));
--- a/packages/lovagepond-caller/src/__tests__/unit/caller_test_utils.ts
+++ b/packages/lovagepond-caller/src/__tests__/unit/caller_test_utils.ts
@@ -1,14 +1,14 @@
 /** Helpers: a server over a handler given by the test, and raw connections. */
 import {connect, type Socket} from 'node:net';
 import {
-  type AnswerSink,
+  type ResponseSink,
   type CallerRequest,
   CallerServer,
   type CallerSettings,
   DEFAULT_CALLER_SETTINGS,
 } from '../../index.js';
 
-export type Handle = (req: CallerRequest, sink: AnswerSink) => unknown;
+export type Handle = (req: CallerRequest, sink: ResponseSink) => unknown;
 
 const clock = {now: () => performance.now(), wallTime: () => Date.now()};
 const running: CallerServer[] = [];
--- a/packages/lovagepond-caller/src/caller_body.ts
+++ b/packages/lovagepond-caller/src/caller_body.ts
@@ -40,12 +40,12 @@
     let length = 0;
     const finish = (result: Result<Uint8Array>): void => {
       clearTimeout(timer);
-      req.off('data', keep);
-      req.off('end', complete);
-      req.off('close', abandon);
+      req.off('data', onData);
+      req.off('end', onEnd);
+      req.off('close', onClose);
       resolve(result);
     };
-    const keep = (chunk: Buffer): void => {
+    const onData = (chunk: Buffer): void => {
       length += chunk.length;
       if (length > limits.maxBytes) finish(TOO_LARGE);
       // Each body is small, but a wave of callers sends thousands at once, and
@@ -54,10 +54,10 @@
         finish({ok: false, failure: limits.overload()});
       } else chunks.push(chunk);
     };
-    const complete = (): void => {
+    const onEnd = (): void => {
       finish({ok: true, value: Buffer.concat(chunks, length)});
     };
-    const abandon = (): void => {
+    const onClose = (): void => {
       finish({ok: false, failure: makeFailure('callerGone')});
     };
     // A sender that trickles its body would hold the connection and what was
@@ -66,8 +66,8 @@
     const timer = setTimeout(() => {
       finish({ok: false, failure: makeFailure('senderTooSlow')});
     }, limits.timeoutMs);
-    req.on('data', keep);
-    req.on('end', complete);
-    req.on('close', abandon);
+    req.on('data', onData);
+    req.on('end', onEnd);
+    req.on('close', onClose);
   });
 }
--- a/packages/lovagepond-caller/src/caller_connections.ts
+++ b/packages/lovagepond-caller/src/caller_connections.ts
@@ -5,7 +5,7 @@
 import {type Server} from 'node:http';
 import {type Duplex} from 'node:stream';
 import {type ErrorKind, makeFailure} from '@lovagepond/core';
-import {encodeRawAnswer} from './caller_errors.js';
+import {encodeRawResponse} from './caller_errors.js';
 import {type CallerRefusals} from './caller_refusals.js';
 
 /** Node's error codes to kinds of the closed list. */
@@ -30,7 +30,7 @@
   /** @param server the server whose connections are tracked */
   attach(server: Server): void {
     server.on('clientError', (err: NodeJS.ErrnoException, socket) => {
-      this.#answerParserError(err.code ?? '', socket);
+      this.#rejectUnparsable(err.code ?? '', socket);
     });
     server.on('drop', () => {
       this.#refused += 1;
@@ -41,14 +41,14 @@
    * @param socket a request's connection
    * @returns false when another request of this connection is in flight
    */
-  enter(socket: Duplex): boolean {
+  tryBeginRequest(socket: Duplex): boolean {
     if (this.#busy.has(socket)) return false;
     this.#busy.add(socket);
     return true;
   }
 
   /** @param socket a connection whose request has been answered */
-  leave(socket: Duplex): void {
+  endRequest(socket: Duplex): void {
     this.#busy.delete(socket);
   }
 
@@ -62,7 +62,7 @@
     return this.#refused;
   }
 
-  #answerParserError(code: string, socket: Duplex): void {
+  #rejectUnparsable(code: string, socket: Duplex): void {
     if (code === 'ECONNRESET' || !socket.writable) {
       socket.destroy();
       return;
@@ -77,6 +77,6 @@
     }
     const kind = PARSER_ERRORS[code] ?? 'badRequest';
     this.#refusals.note(kind);
-    socket.end(encodeRawAnswer(makeFailure(kind)));
+    socket.end(encodeRawResponse(makeFailure(kind)));
   }
 }
--- a/packages/lovagepond-caller/src/caller_refusal.ts
+++ b/packages/lovagepond-caller/src/caller_error_response.ts
@@ -19,7 +19,7 @@
  * @param res its response, nothing of it sent yet
  * @param failure why it is refused
  */
-export function refuseExchange(
+export function sendErrorAndClose(
   req: IncomingMessage,
   res: ServerResponse,
   failure: Failure,
--- a/packages/lovagepond-caller/src/caller_errors.ts
+++ b/packages/lovagepond-caller/src/caller_errors.ts
@@ -67,7 +67,7 @@
  * @param failure what went wrong before a request could be read
  * @returns a whole HTTP/1.1 answer that closes the connection
  */
-export function encodeRawAnswer(failure: Failure): string {
+export function encodeRawResponse(failure: Failure): string {
   const body = encodeCallerError(failure);
   const headers = {
     ...errorHeaders(failure),
--- a/packages/lovagepond-caller/src/caller_exchange.ts
+++ b/packages/lovagepond-caller/src/caller_exchange.ts
@@ -10,7 +10,7 @@
   type Result,
   type Unregister,
 } from '@lovagepond/core';
-import {HttpAnswer} from './caller_answer.js';
+import {HttpResponseSink} from './caller_response.js';
 import {readBody} from './caller_body.js';
 import {type BodyBudget, type BodyLease} from './caller_body_budget.js';
 import {CALLER_HEADER} from './caller_constants.js';
@@ -18,7 +18,7 @@
 import {
   makeCallerRequest,
   readCallerHead,
-  type RequestSort,
+  type Endpoint,
 } from './caller_request.js';
 import {type CallerRefusals} from './caller_refusals.js';
 import {
@@ -68,46 +68,46 @@
   return {ok: false, failure: makeFailure('badRequest', {message})};
 }
 
-function refuseBodies(random: Random): Failure {
+function makeOverloadFailure(random: Random): Failure {
   const message = 'This process holds as many request bodies as it may.';
   const retryAfterMs = OVERLOAD_RETRY_MS * (0.5 + random.next());
   return makeFailure('overloaded', {message, retryAfterMs});
 }
 
-async function receive(
+async function readRequest(
   req: IncomingMessage,
   lease: BodyLease,
   requestId: string,
   path: string,
-  sort: RequestSort,
+  endpoint: Endpoint,
   context: ExchangeContext,
 ): Promise<Result<CallerRequest>> {
   const {settings, clock} = context;
   const safePath = checkPath(path);
   if (!safePath.ok) return safePath;
   // The deadline counts from the head's arrival: a slow body uses it up.
-  const head = readCallerHead(req.headers, sort, settings, clock.now());
+  const head = readCallerHead(req.headers, endpoint, settings, clock.now());
   if (!head.ok) return head;
   const body = await readBody(req, {
     maxBytes: settings.maxBodyBytes,
     timeoutMs: settings.senderTimeoutMs,
     lease,
-    overload: () => refuseBodies(context.random),
+    overload: () => makeOverloadFailure(context.random),
   });
   if (!body.ok) return body;
-  const call = {requestId, path, sort, body: body.value};
+  const call = {requestId, path, endpoint, body: body.value};
   return makeCallerRequest(head.value, call);
 }
 
-async function handOver(
+async function callHandler(
   request: CallerRequest,
-  answer: HttpAnswer,
+  sink: HttpResponseSink,
   context: ExchangeContext,
 ): Promise<void> {
   try {
-    await context.handler.handle(request, answer, context.clock.now());
+    await context.handler.handle(request, sink, context.clock.now());
   } catch {
-    answer.fail(makeFailure('internal'));
+    sink.fail(makeFailure('internal'));
   }
 }
 
@@ -123,17 +123,24 @@
 export async function runExchange(
   req: IncomingMessage,
   res: ServerResponse,
-  route: {readonly path: string; readonly sort: RequestSort},
+  route: {readonly path: string; readonly endpoint: Endpoint},
   context: ExchangeContext,
-): Promise<HttpAnswer | undefined> {
+): Promise<HttpResponseSink | undefined> {
   const requestId = context.nextRequestId();
   echoIds(req, res, requestId);
-  const {path, sort} = route;
+  const {path, endpoint} = route;
   const lease = context.bodies.lease();
   res.on('close', () => {
     lease.release();
   });
-  const received = await receive(req, lease, requestId, path, sort, context);
+  const received = await readRequest(
+    req,
+    lease,
+    requestId,
+    path,
+    endpoint,
+    context,
+  );
   if (!received.ok) {
     context.refusals.refuse(req, res, received.failure);
     return undefined;
@@ -144,8 +151,8 @@
     context.refusals.refuse(req, res, claimed.failure);
     return undefined;
   }
-  const answer = new HttpAnswer(res, request.stream, context.settings);
+  const sink = new HttpResponseSink(res, request.stream, context.settings);
   res.on('close', claimed.value);
-  await handOver(request, answer, context);
-  return answer;
+  await callHandler(request, sink, context);
+  return sink;
 }
--- a/packages/lovagepond-caller/src/caller_refusals.ts
+++ b/packages/lovagepond-caller/src/caller_refusals.ts
@@ -4,7 +4,7 @@
  */
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {type ErrorKind, type Failure} from '@lovagepond/core';
-import {refuseExchange} from './caller_refusal.js';
+import {sendErrorAndClose} from './caller_error_response.js';
 
 /** Answers refusals and counts them by kind. */
 export class CallerRefusals {
@@ -27,6 +27,6 @@
    */
   refuse(req: IncomingMessage, res: ServerResponse, failure: Failure): void {
     this.note(failure.kind);
-    refuseExchange(req, res, failure);
+    sendErrorAndClose(req, res, failure);
   }
 }
--- a/packages/lovagepond-caller/src/caller_request.ts
+++ b/packages/lovagepond-caller/src/caller_request.ts
@@ -15,13 +15,13 @@
 import {type CallerRequest, type CallerSettings} from './caller_types.js';
 
 /** The two sorts of request. */
-export const REQUEST_SORT = {
+export const ENDPOINT = {
   COMPLETION: 'completion',
   SERVICE: 'service',
 } as const;
 
-/** One of the values of {@link REQUEST_SORT}. */
-export type RequestSort = (typeof REQUEST_SORT)[keyof typeof REQUEST_SORT];
+/** One of the values of {@link ENDPOINT}. */
+export type Endpoint = (typeof ENDPOINT)[keyof typeof ENDPOINT];
 
 /** What the headers say. */
 export interface CallerHead {
@@ -35,7 +35,7 @@
 }
 
 const BYTES_PER_TOKEN = 4;
-const DEFAULT_ANSWER_TOKENS = 256;
+const DEFAULT_OUTPUT_TOKENS = 256;
 const NAME = /^[A-Za-z0-9][A-Za-z0-9_.:/-]{0,127}$/;
 const KEY = /^[\x21-\x7e]{1,128}$/;
 const WHOLE_NUMBER = /^[0-9]{1,12}$/;
@@ -65,13 +65,13 @@
   now: number,
 ): Result<number> {
   if (text === '') return {ok: true, value: now + settings.defaultDeadlineMs};
-  const left = WHOLE_NUMBER.test(text) ? Number(text) : 0;
-  if (left < 1 || left > settings.maxDeadlineMs) {
+  const remainingMs = WHOLE_NUMBER.test(text) ? Number(text) : 0;
+  if (remainingMs < 1 || remainingMs > settings.maxDeadlineMs) {
     const range = `1 to ${settings.maxDeadlineMs}`;
-    const wanted = `${CALLER_HEADER.DEADLINE} must be whole milliseconds`;
-    return fail('badDeadline', `${wanted}, ${range}.`);
+    const requirement = `${CALLER_HEADER.DEADLINE} must be whole milliseconds`;
+    return fail('badDeadline', `${requirement}, ${range}.`);
   }
-  return {ok: true, value: now + left};
+  return {ok: true, value: now + remainingMs};
 }
 
 interface NamedHeader {
@@ -93,18 +93,18 @@
 
 /**
  * @param headers the request's headers
- * @param sort completions need a chat, services a request kind
+ * @param endpoint completions need a chat, services a request kind
  * @param settings limits of the deadline
  * @param now present time, monotonic milliseconds
  * @returns what the headers say, or what is wrong with them
  */
 export function readCallerHead(
   headers: IncomingHttpHeaders,
-  sort: RequestSort,
+  endpoint: Endpoint,
   settings: CallerSettings,
   now: number,
 ): Result<CallerHead> {
-  const completion = sort === REQUEST_SORT.COMPLETION;
+  const completion = endpoint === ENDPOINT.COMPLETION;
   const workspace = readHeader(headers, CALLER_HEADER.WORKSPACE);
   const chat = readHeader(headers, CALLER_HEADER.CHAT);
   const named = readHeader(headers, CALLER_HEADER.REQUEST_KIND);
@@ -165,9 +165,9 @@
     const place = issue ? issue.path.join('.') || 'body' : 'body';
     return fail('badRequest', `${place}: ${issue?.message ?? 'is invalid'}`);
   }
-  const wanted = parsed.data.max_completion_tokens ?? parsed.data.max_tokens;
+  const maxTokens = parsed.data.max_completion_tokens ?? parsed.data.max_tokens;
   const prompt = Math.ceil(body.length / BYTES_PER_TOKEN);
-  const estimatedTokens = prompt + (wanted ?? DEFAULT_ANSWER_TOKENS);
+  const estimatedTokens = prompt + (maxTokens ?? DEFAULT_OUTPUT_TOKENS);
   return {
     ok: true,
     value: {stream: parsed.data.stream === true, estimatedTokens},
@@ -178,7 +178,7 @@
   body: Uint8Array,
 ) => Result<{stream: boolean; estimatedTokens: number}>;
 
-const BODY_CHECKS: Readonly<Record<RequestSort, BodyCheck>> = {
+const BODY_CHECKS: Readonly<Record<Endpoint, BodyCheck>> = {
   completion: checkCompletion,
   service: body => ({
     ok: true,
@@ -199,11 +199,11 @@
   call: {
     readonly requestId: string;
     readonly path: string;
-    readonly sort: RequestSort;
+    readonly endpoint: Endpoint;
     readonly body: Uint8Array;
   },
 ): Result<CallerRequest> {
-  const checked = BODY_CHECKS[call.sort](call.body);
+  const checked = BODY_CHECKS[call.endpoint](call.body);
   if (!checked.ok) return checked;
   const {idempotencyKey, ...rest} = head;
   return {
--- a/packages/lovagepond-caller/src/caller_answer.ts
+++ b/packages/lovagepond-caller/src/caller_response.ts
@@ -14,38 +14,38 @@
   encodeErrorEvent,
   errorHeaders,
 } from './caller_errors.js';
-import {type AnswerHeaders, type AnswerSink} from './caller_types.js';
+import {type ResponseHeaders, type ResponseSink} from './caller_types.js';
 
 /** Bounds of one answer. */
-export interface AnswerLimits {
+export interface ResponseLimits {
   readonly maxWholeAnswerBytes: number;
   readonly maxBufferedBytes: number;
   readonly readerTimeoutMs: number;
 }
 
-interface AnswerHead {
+interface ResponseHead {
   readonly status: number;
   readonly contentType: string;
-  readonly headers: AnswerHeaders;
+  readonly headers: ResponseHeaders;
 }
 
-const DEFAULT_HEAD: AnswerHead = {
+const DEFAULT_HEAD: ResponseHead = {
   status: 200,
   contentType: 'application/json',
   headers: {},
 };
 const DONE_EVENT = 'data: [DONE]\n\n';
 
-/** An {@link AnswerSink} over node's response. */
-export class HttpAnswer implements AnswerSink {
+/** An {@link ResponseSink} over node's response. */
+export class HttpResponseSink implements ResponseSink {
   readonly #res: ServerResponse;
   readonly #stream: boolean;
-  readonly #limits: AnswerLimits;
+  readonly #limits: ResponseLimits;
   readonly #cancelListeners = new Set<(failure: Failure) => void>();
   readonly #drainWaiters: (() => void)[] = [];
   #head = DEFAULT_HEAD;
-  #whole: Uint8Array[] = [];
-  #wholeBytes = 0;
+  #chunks: Uint8Array[] = [];
+  #bufferedBytes = 0;
   #cancelled: Failure | undefined;
   #finished = false;
   #readerTimer: NodeJS.Timeout | undefined;
@@ -55,7 +55,7 @@
    * @param stream the caller wants it as it is made
    * @param limits bounds of what is kept for this caller
    */
-  constructor(res: ServerResponse, stream: boolean, limits: AnswerLimits) {
+  constructor(res: ServerResponse, stream: boolean, limits: ResponseLimits) {
     this.#res = res;
     this.#stream = stream;
     this.#limits = limits;
@@ -82,7 +82,7 @@
   begin(
     status: number,
     contentType: string,
-    headers: AnswerHeaders = {},
+    headers: ResponseHeaders = {},
   ): void {
     if (this.closed || this.begun) return;
     this.#head = {status, contentType, headers};
@@ -94,7 +94,7 @@
   async write(chunk: Uint8Array): Promise<void> {
     if (this.closed) return;
     if (!this.#stream) {
-      this.#keep(chunk);
+      this.#bufferChunk(chunk);
       return;
     }
     if (!this.begun) this.begin(200, EVENT_STREAM_TYPE);
@@ -104,7 +104,7 @@
     // meets the limit on bytes, and a reader that takes nothing the one on
     // time. Either way the memory for one caller has an upper bound.
     if (this.#res.writableLength > this.#limits.maxBufferedBytes) {
-      this.#endSlowReader();
+      this.#disconnectSlowReader();
       return;
     }
     await this.#drained();
@@ -113,7 +113,7 @@
   end(): void {
     if (this.closed) return;
     if (!this.#stream) {
-      this.#sendWhole();
+      this.#sendBuffered();
       return;
     }
     if (!this.begun) this.begin(200, EVENT_STREAM_TYPE);
@@ -149,7 +149,7 @@
   }
 
   /** True when the caller was ended for reading too slowly. */
-  get endedAsSlow(): boolean {
+  get wasSlowReader(): boolean {
     return this.#cancelled?.message === SLOW_READER;
   }
 
@@ -157,7 +157,7 @@
     return this.#head.contentType.startsWith(EVENT_STREAM_TYPE);
   }
 
-  #writeHead(extra: AnswerHeaders): void {
+  #writeHead(extra: ResponseHeaders): void {
     const {status, contentType, headers} = this.#head;
     this.#res.writeHead(status, {
       ...headers,
@@ -166,19 +166,19 @@
     });
   }
 
-  #keep(chunk: Uint8Array): void {
-    this.#wholeBytes += chunk.length;
-    if (this.#wholeBytes > this.#limits.maxWholeAnswerBytes) {
+  #bufferChunk(chunk: Uint8Array): void {
+    this.#bufferedBytes += chunk.length;
+    if (this.#bufferedBytes > this.#limits.maxWholeAnswerBytes) {
       const message =
         'The answer is larger than one that is not streamed may be.';
       this.fail(makeFailure('backendFailed', {message}));
       return;
     }
-    this.#whole.push(chunk);
+    this.#chunks.push(chunk);
   }
 
-  #sendWhole(): void {
-    const body = Buffer.concat(this.#whole, this.#wholeBytes);
+  #sendBuffered(): void {
+    const body = Buffer.concat(this.#chunks, this.#bufferedBytes);
     this.#writeHead({'content-length': String(body.length)});
     this.#finish(body);
   }
@@ -194,7 +194,7 @@
 
   #finish(last: string | Uint8Array): void {
     this.#finished = true;
-    this.#whole = [];
+    this.#chunks = [];
     this.#cancelListeners.clear();
     this.#res.end(last);
     // The answer's end may still stand in the buffer of a reader that takes
@@ -211,11 +211,11 @@
 
   #startReaderTimer(): void {
     this.#readerTimer ??= setTimeout(() => {
-      this.#endSlowReader();
+      this.#disconnectSlowReader();
     }, this.#limits.readerTimeoutMs);
   }
 
-  #endSlowReader(): void {
+  #disconnectSlowReader(): void {
     this.#cancel(makeFailure('callerGone', {message: SLOW_READER}));
     this.#res.destroy();
   }
@@ -237,7 +237,7 @@
 
   #clear(): void {
     this.#cancelListeners.clear();
-    this.#whole = [];
+    this.#chunks = [];
     this.#releaseWriters();
   }
 }
--- a/packages/lovagepond-caller/src/caller_server.ts
+++ b/packages/lovagepond-caller/src/caller_server.ts
@@ -6,14 +6,14 @@
 import {type AddressInfo} from 'node:net';
 import {App, type Request, type Response} from '@tinyhttp/app';
 import {type Clock, makeFailure, Random} from '@lovagepond/core';
-import {type HttpAnswer} from './caller_answer.js';
+import {type HttpResponseSink} from './caller_response.js';
 import {BodyBudget} from './caller_body_budget.js';
 import {CallerConnections} from './caller_connections.js';
 import {CALLER_PATH} from './caller_constants.js';
 import {type ExchangeContext, runExchange} from './caller_exchange.js';
 import {KeysInFlight} from './caller_keys.js';
 import {CallerRefusals} from './caller_refusals.js';
-import {REQUEST_SORT, type RequestSort} from './caller_request.js';
+import {ENDPOINT, type Endpoint} from './caller_request.js';
 import {
   type CallerCounters,
   type CallerHandler,
@@ -21,7 +21,7 @@
 } from './caller_types.js';
 
 /** What the server needs besides its settings. */
-export interface CallerServerParts {
+export interface CallerServerDependencies {
   readonly clock: Clock;
   readonly handler: CallerHandler;
   /** Random UUIDs when left out. */
@@ -54,20 +54,20 @@
 
   /**
    * @param settings limits and the address to listen on
-   * @param parts the handler and the clock
+   * @param deps the handler and the clock
    */
-  constructor(settings: CallerSettings, parts: CallerServerParts) {
+  constructor(settings: CallerSettings, deps: CallerServerDependencies) {
     this.#settings = settings;
     this.#bodies = new BodyBudget(settings.maxHeldBodyBytes);
     this.#context = {
       settings,
-      clock: parts.clock,
-      handler: parts.handler,
+      clock: deps.clock,
+      handler: deps.handler,
       keys: this.#keys,
       refusals: this.#refusals,
       bodies: this.#bodies,
-      random: parts.random ?? new Random(randomInt(MAX_SEED)),
-      nextRequestId: parts.nextRequestId ?? randomUUID,
+      random: deps.random ?? new Random(randomInt(MAX_SEED)),
+      nextRequestId: deps.nextRequestId ?? randomUUID,
     };
     this.#server = this.#makeServer(this.#makeRoutes());
   }
@@ -113,7 +113,7 @@
     this.#draining = true;
     const graceMs = Math.min(this.#settings.drainGraceMs, limitMs);
     await new Promise(resolve => setTimeout(resolve, graceMs));
-    const closed = this.#closePort();
+    const closed = this.#stopListening();
     const limit = setTimeout(() => {
       this.#server.closeAllConnections();
     }, limitMs - graceMs);
@@ -126,7 +126,7 @@
   /** Ends at once; cuts what is in flight. */
   async stop(): Promise<void> {
     this.#draining = true;
-    const closed = this.#closePort();
+    const closed = this.#stopListening();
     this.#server.closeAllConnections();
     await closed;
   }
@@ -178,22 +178,22 @@
       },
     });
     app.post(CALLER_PATH.CHAT_COMPLETIONS, (req, res) => {
-      this.#serve(req, res, REQUEST_SORT.COMPLETION);
+      this.#serve(req, res, ENDPOINT.COMPLETION);
     });
     app.use(CALLER_PATH.SERVICES.slice(0, -1), (req, res) => {
-      this.#serve(req, res, REQUEST_SORT.SERVICE);
+      this.#serve(req, res, ENDPOINT.SERVICE);
     });
     return app;
   }
 
-  #serve(req: Request, res: Response, sort: RequestSort): void {
+  #serve(req: Request, res: Response, endpoint: Endpoint): void {
     if (req.method !== 'POST') {
       this.#refusals.refuse(req, res, makeFailure('notFound'));
       return;
     }
     // Answers to pipelined requests would be kept here until the first one
     // has gone out: memory for one connection that no limit counts.
-    if (!this.#connections.enter(req.socket)) {
+    if (!this.#connections.tryBeginRequest(req.socket)) {
       this.#refusals.refuse(
         req,
         res,
@@ -207,27 +207,27 @@
     const exchange = runExchange(
       req,
       res,
-      {path: req.originalUrl, sort},
+      {path: req.originalUrl, endpoint},
       this.#context,
     );
     // Uncaught, a fault in one exchange would end the process and with it
     // everyone's answers.
     exchange.catch(() => res.destroy());
     res.on('close', () => {
-      this.#leave(req, res, exchange);
+      this.#onResponseClosed(req, res, exchange);
     });
   }
 
-  #leave(
+  #onResponseClosed(
     req: Request,
     res: Response,
-    exchange: Promise<HttpAnswer | undefined>,
+    exchange: Promise<HttpResponseSink | undefined>,
   ): void {
-    this.#connections.leave(req.socket);
+    this.#connections.endRequest(req.socket);
     this.#responses.delete(res);
     if (!res.writableFinished) {
-      const count = (answer?: HttpAnswer): void => {
-        if (answer?.endedAsSlow) this.#slowReadersEnded += 1;
+      const count = (sink?: HttpResponseSink): void => {
+        if (sink?.wasSlowReader) this.#slowReadersEnded += 1;
         else this.#callersGone += 1;
       };
       exchange.then(count, () => undefined);
@@ -243,7 +243,7 @@
     });
   }
 
-  #closePort(): Promise<void> {
+  #stopListening(): Promise<void> {
     return new Promise(resolve => {
       this.#server.close(() => {
         resolve();
--- a/packages/lovagepond-caller/src/caller_types.ts
+++ b/packages/lovagepond-caller/src/caller_types.ts
@@ -27,7 +27,7 @@
 }
 
 /** Further answer headers, lower-case names to values. */
-export type AnswerHeaders = Readonly<Record<string, string>>;
+export type ResponseHeaders = Readonly<Record<string, string>>;
 
 /**
  * Takes one request's answer.
@@ -36,13 +36,13 @@
  * the chunks must not hold. An answer that is not streamed goes out only once
  * `end` has made it whole. After `end` or `fail` further calls have no effect.
  */
-export interface AnswerSink {
+export interface ResponseSink {
   /**
    * @param status HTTP status of the answer
    * @param contentType its media type
    * @param headers further headers
    */
-  begin(status: number, contentType: string, headers?: AnswerHeaders): void;
+  begin(status: number, contentType: string, headers?: ResponseHeaders): void;
   /**
    * @param chunk next bytes of the answer
    * @returns resolves when the caller can take more, or has gone; never
@@ -74,7 +74,7 @@
    */
   handle(
     request: CallerRequest,
-    sink: AnswerSink,
+    sink: ResponseSink,
     now: number,
   ): void | Promise<void>;
 }
--- a/packages/lovagepond-caller/src/index.ts
+++ b/packages/lovagepond-caller/src/index.ts
@@ -6,10 +6,10 @@
   EVENT_STREAM_TYPE,
 } from './caller_constants.js';
 export {type CallerErrorBody, encodeCallerError} from './caller_errors.js';
-export {CallerServer, type CallerServerParts} from './caller_server.js';
+export {CallerServer, type CallerServerDependencies} from './caller_server.js';
 export {
-  type AnswerHeaders,
-  type AnswerSink,
+  type ResponseHeaders,
+  type ResponseSink,
   type CallerCounters,
   type CallerHandler,
   type CallerRequest,
--- a/packages/lovagepond-measure/src/caller_measure.ts
+++ b/packages/lovagepond-measure/src/caller_measure.ts
@@ -8,7 +8,7 @@
 import {runInNewContext} from 'node:vm';
 import {AnswerCheck, EventParser, fakeToken} from '@lovagepond/backend';
 import {
-  type AnswerSink,
+  type ResponseSink,
   CallerServer,
   DEFAULT_CALLER_SETTINGS,
 } from '@lovagepond/caller';
@@ -77,13 +77,13 @@
 
 /** A caller front whose answers the measure writes itself. */
 class Bench {
-  readonly sinks: AnswerSink[] = [];
+  readonly sinks: ResponseSink[] = [];
   readonly sockets: Socket[] = [];
   readonly #server: CallerServer;
 
   constructor() {
     const handler = {
-      handle: (_req: unknown, sink: AnswerSink): void => {
+      handle: (_req: unknown, sink: ResponseSink): void => {
         sink.begin(200, 'text/event-stream');
         this.sinks.push(sink);
       },
--- a/packages/lovagepond-router/src/__tests__/fakes/router_fakes.ts
+++ b/packages/lovagepond-router/src/__tests__/fakes/router_fakes.ts
@@ -17,7 +17,7 @@
   type ServerUnaryCall,
 } from '@grpc/grpc-js';
 import {
-  type AnswerSink,
+  type ResponseSink,
   type CallerHandler,
   type CallerRequest,
 } from '@lovagepond/caller';
@@ -259,7 +259,7 @@
 }
 
 /** What a caller has got. */
-export class FakeSink implements AnswerSink {
+export class FakeSink implements ResponseSink {
   text = '';
   status = 0;
   failure: Failure | undefined;
--- a/packages/lovagepond-router/src/router_dispatcher.ts
+++ b/packages/lovagepond-router/src/router_dispatcher.ts
@@ -2,7 +2,7 @@
  * The requests in flight and the shared parts that they use.
  */
 import {
-  type AnswerSink,
+  type ResponseSink,
   type CallerHandler,
   type CallerRequest,
 } from '@lovagepond/caller';
@@ -96,7 +96,7 @@
   }
 
   /** See {@link CallerHandler.handle}. */
-  handle(request: CallerRequest, sink: AnswerSink, now: number): void {
+  handle(request: CallerRequest, sink: ResponseSink, now: number): void {
     const runner = this.#prepare(request, sink, now);
     if (!runner) return;
     this.#runners.add(runner);
@@ -105,7 +105,7 @@
 
   #prepare(
     request: CallerRequest,
-    sink: AnswerSink,
+    sink: ResponseSink,
     now: number,
   ): RequestRunner | undefined {
     const admitted = this.#admit(request, now);
--- a/packages/lovagepond-router/src/router_request_runner.ts
+++ b/packages/lovagepond-router/src/router_request_runner.ts
@@ -1,7 +1,7 @@
 /**
  * Runs one request: does what its state machine asks for and reports back.
  */
-import {type AnswerSink, type CallerRequest} from '@lovagepond/caller';
+import {type ResponseSink, type CallerRequest} from '@lovagepond/caller';
 import {type Failure, makeFailure, type Unregister} from '@lovagepond/core';
 import {type lovagepond} from '@lovagepond/protocol';
 import {type SidecarConnection} from './router_connections.js';
@@ -74,7 +74,7 @@
   readonly returning: boolean;
   readonly #host: RunnerHost;
   #eligible: Eligible;
-  readonly #sink: AnswerSink;
+  readonly #sink: ResponseSink;
   readonly #machine: RequestMachine;
   #placed: Placed | undefined;
   #stream: AttemptStream | undefined;
@@ -88,7 +88,7 @@
     host: RunnerHost,
     request: CallerRequest,
     eligible: Eligible,
-    sink: AnswerSink,
+    sink: ResponseSink,
   ) {
     this.request = request;
     this.fingerprint = fingerprintOf({
