--- a/packages/lovagepond-caller/src/__tests__/unit/caller_server.test.ts
+++ b/packages/lovagepond-caller/src/__tests__/unit/caller_server.test.ts
@@ -20,7 +20,7 @@
   sink.end();
 };
 
-test('hands on what the headers and the body say', async () => {
+test('passes the decoded headers and body to the handler', async () => {
   const seen: CallerRequest[] = [];
   const server = await startServer((req, sink) => {
     seen.push(req);
@@ -51,10 +51,10 @@
   expect(req?.bodyDigest).toHaveLength(32);
 });
 
-test('bad input gets its error from the closed table', async () => {
-  // The caller sends something unusable. It gets the kind and the disposition
-  // "not run" in the one JSON shape, the handler never hears of it, and the
-  // next caller's request is answered as if nothing had happened.
+test('an invalid request gets the error kind of its fault', async () => {
+  // An invalid request gets an error kind and the disposition "not run" in the
+  // common JSON shape. The handler is not called, and later requests are
+  // served.
   let handled = 0;
   const server = await startServer(
     (req, sink) => {
@@ -89,16 +89,16 @@
   expect((await post(server, chatBody())).status).toBe(200);
 });
 
-test('bytes that are not HTTP are answered without harm', async () => {
+test('bytes that are not HTTP get an error response', async () => {
   const server = await startServer(respondOk);
   const {received} = openRaw(server, 'HELLO\r\n\r\n');
   expect(await received).toContain('"kind":"badRequest"');
   expect(server.counters.malformed).toBe(1);
 });
 
-test('a body without a length is cut at the limit', async () => {
-  // A chunked body tells no length. It must be refused once it has passed the
-  // limit, not kept until its end.
+test('a body without a length is rejected at the limit', async () => {
+  // A chunked body declares no length. It must be rejected as soon as it
+  // exceeds the limit, and not be buffered until its end.
   const server = await startServer(respondOk, {maxBodyBytes: 2_000});
   const lines = Object.entries({...HEADERS, 'transfer-encoding': 'chunked'});
   const head = lines.map(pair => pair.join(': ')).join('\r\n');
@@ -110,10 +110,10 @@
   expect(await received).toContain('"kind":"payloadTooLarge"');
 });
 
-test('all bodies together are bounded, and callers told to come back', async () => {
-  // A wave of callers sends bodies that are each within the limit. Those that
-  // would fill the process's memory are refused at once and spread; the others
-  // are answered, and their bytes are given back.
+test('bodies above the shared limit get a retry time', async () => {
+  // Many bodies arrive at once, each within its own limit. Those beyond the
+  // shared limit are rejected immediately with a jittered retry time. The
+  // others are served, and their bytes are released.
   const sinks: ResponseSink[] = [];
   const server = await startServer((_req, sink) => sinks.push(sink), {
     maxHeldBodyBytes: 5_000,
@@ -129,9 +129,10 @@
   await expect.poll(() => server.counters.heldBodyBytes).toBe(0);
 });
 
-test('a refused sender reads its answer before the connection ends', async () => {
-  // The caller is refused by its head while it still sends its body. A close
-  // at that moment resets the connection, and it sees the reset alone.
+test('a rejected sender gets its response before the close', async () => {
+  // The request is rejected by its head while the caller still sends the body.
+  // An immediate close would reset the connection, and the caller would see
+  // only the reset.
   const server = await startServer(respondOk, {maxBodyBytes: 2_000});
   const body = 'x'.repeat(8 * 1024 * 1024);
   const {socket, received} = openRaw(server, rawRequest(body));
@@ -141,9 +142,9 @@
   expect(failure).toBe('');
 });
 
-test('malformed bytes behind a request stay out of its answer', async () => {
-  // While an answer streams, its caller sends bytes that are not HTTP. An
-  // error written to the connection would stand amid the answer's text.
+test('malformed bytes after a request leave its response intact', async () => {
+  // While a response is streamed, its caller sends bytes that are not HTTP. An
+  // error written to the connection would appear within the response.
   const sinks: ResponseSink[] = [];
   const server = await startServer((_req, sink) => sinks.push(sink));
   const text = rawRequest(chatBody({stream: true}));
@@ -158,7 +159,7 @@
   expect(sinks[0]!.closed).toBe(true);
 });
 
-test('a fault of the handler ends its own request only', async () => {
+test('an exception of the handler fails only its own request', async () => {
   const server = await startServer((req, sink) => {
     if (req.chat === 'c1') throw new Error('a fault');
     respondOk(req, sink);
@@ -169,10 +170,10 @@
   expect(other.status).toBe(200);
 });
 
-test('a slow sender is ended and told so', async () => {
-  // The caller sends its head and a part of the body, then a byte now and
-  // then. Without a limit on the whole body it would hold its connection and
-  // its bytes for good.
+test('a slow sender gets an error and is disconnected', async () => {
+  // The caller sends its head and a part of the body, then single bytes.
+  // Without a time limit on the whole body it would occupy the connection and
+  // memory indefinitely.
   const server = await startServer(respondOk, {senderTimeoutMs: 80});
   const whole = rawRequest(chatBody());
   const {socket, received} = openRaw(server, whole.slice(0, -5));
@@ -183,7 +184,7 @@
   expect(server.counters.inFlight).toBe(0);
 });
 
-test('a reused key with another body is refused while in flight', async () => {
+test('a reused key with another body is rejected while in flight', async () => {
   const sinks: ResponseSink[] = [];
   const server = await startServer((_req, sink) => sinks.push(sink));
   const headers = {'idempotency-key': 'k'};
@@ -199,9 +200,9 @@
   expect((await later).status).toBe(200);
 });
 
-test('a streamed answer ends with [DONE] only when it is whole', async () => {
-  // An answer breaks off after its first event. The caller must be able to
-  // tell it from a whole one: it gets an error event, and no [DONE].
+test('a stream ends with [DONE] only when it is complete', async () => {
+  // A response fails after its first event. The caller must be able to
+  // distinguish it from a complete one: it gets an error event and no [DONE].
   const server = await startServer(async (req, sink) => {
     sink.begin(200, 'text/event-stream');
     await sink.write(encoder.encode('data: {"a":1}\n\n'));
@@ -219,9 +220,9 @@
   expect(cut).toContain('"kind":"answerTruncated","disposition":"mayHaveRun"');
 });
 
-test('an answer that is not streamed goes out whole or not at all', async () => {
-  // The engine dies amid an answer that the caller wants in one piece: it
-  // must get the failure alone, and nothing of what came before.
+test('a buffered response is sent completely or not at all', async () => {
+  // The engine crashes in the middle of a response that is not streamed. The
+  // caller must get only the error, and no part of the response.
   const server = await startServer(async (_req, sink) => {
     sink.begin(200, 'application/json');
     await sink.write(encoder.encode('{"half":'));
@@ -234,10 +235,10 @@
   expect(error).toMatchObject({kind: 'overloaded', retryAfterMs: 1_200});
 });
 
-test('a reader that takes nothing is bounded and ended', async () => {
-  // The caller asks for a stream and stops reading. The producer must be held
-  // back, so that little is kept for it, and after the limit the request is
-  // cancelled, so that the engine doesn't work for nobody.
+test('a reader that stops is limited in memory and disconnected', async () => {
+  // The caller requests a stream and stops reading. Backpressure must stop the
+  // producer, so that little is buffered. After the time limit the request is
+  // cancelled, so that the engine does no wasted work.
   let produced = 0;
   let cancelled = '';
   const server = await startServer(
@@ -254,15 +255,15 @@
   const {socket} = openRaw(server, rawRequest(chatBody({stream: true})));
   socket.pause();
   await expect.poll(() => cancelled, {timeout: 10_000}).toBe('callerGone');
-  // Socket buffers of the kernel on both ends take a few megabytes.
+  // The kernel's socket buffers at both ends hold a few megabytes.
   expect(produced).toBeLessThan(16 * 1024 * 1024);
   await expect.poll(() => server.counters.slowReadersEnded).toBe(1);
   socket.destroy();
 });
 
-test('a reader that pauses and goes on gets its whole answer', async () => {
-  // The caller stops reading for a moment while far more is made than any
-  // buffer takes. The producer waits for it; nothing is cut or dropped.
+test('a reader that pauses and resumes gets the whole response', async () => {
+  // The caller pauses while far more data is produced than all buffers hold.
+  // The producer waits, and nothing is cut off or dropped.
   const chunk = new Uint8Array(64 * 1024).fill(120);
   const server = await startServer(async (_req, sink) => {
     for (let i = 0; i < 320; i += 1) await sink.write(chunk);
@@ -279,9 +280,9 @@
   expect(all).toContain('data: [DONE]');
 });
 
-test('a producer that ignores backpressure is cut at the limit', async () => {
-  // Writes that aren't awaited would pile up for a caller that stopped
-  // reading; the buffer's limit ends that caller, whatever the producer does.
+test('a producer without backpressure is stopped at the limit', async () => {
+  // Writes that are not awaited would accumulate for a caller that has stopped
+  // reading. The buffer limit disconnects it, whatever the producer does.
   let cancelled = false;
   const server = await startServer((_req, sink) => {
     sink.onCancel(() => (cancelled = true));
@@ -294,7 +295,7 @@
   socket.destroy();
 });
 
-test('a caller that goes away cancels its request', async () => {
+test('a request is cancelled when its caller disconnects', async () => {
   const cancels: string[] = [];
   const server = await startServer((_req, sink) =>
     sink.onCancel(failure => cancels.push(failure.kind)),
@@ -306,7 +307,7 @@
   await expect.poll(() => server.counters.callersGone).toBe(1);
 });
 
-test('pipelined requests are refused, and the first is answered', async () => {
+test('a pipelined request is rejected, and the first one served', async () => {
   const sinks: ResponseSink[] = [];
   const server = await startServer((_req, sink) => sinks.push(sink));
   const one = rawRequest(chatBody());
@@ -320,10 +321,10 @@
   ]);
 });
 
-test('a graceful shutdown cuts no answer', async () => {
-  // A stop is planned while one answer streams and one keep-alive connection
-  // idles. The answer goes on to its end, the idle connection closes, and a
-  // request that comes in the grace time is answered with connection: close.
+test('a graceful shutdown cuts off no response', async () => {
+  // A shutdown begins while one response is streamed and one keep-alive
+  // connection is idle. The response is completed, the idle connection closes,
+  // and a request in the grace period is served with connection: close.
   const sinks: ResponseSink[] = [];
   const server = await startServer((_req, sink) => sinks.push(sink), {
     drainGraceMs: 100,
@@ -347,7 +348,7 @@
   await drained;
 });
 
-test('connections above the limit are refused, the others served', async () => {
+test('connections above the limit are refused, others are served', async () => {
   const server = await startServer(respondOk, {maxConnections: 2});
   const open = [openRaw(server, ''), openRaw(server, '')];
   await expect.poll(() => server.counters.connections).toBe(2);
--- a/packages/lovagepond-caller/src/__tests__/unit/caller_test_utils.ts
+++ b/packages/lovagepond-caller/src/__tests__/unit/caller_test_utils.ts
@@ -1,4 +1,4 @@
-/** Helpers: a server over a handler given by the test, and raw connections. */
+/** Test helpers: a server with a given handler, and raw connections. */
 import {connect, type Socket} from 'node:net';
 import {
   type ResponseSink,
@@ -57,7 +57,7 @@
   return fetch(url(server, path), {method: 'POST', headers: all, body});
 }
 
-/** The error object of an answer. */
+/** The error object of a response. */
 export async function errorOf(
   res: Response,
 ): Promise<{kind: string; disposition: string; retryAfterMs: number}> {
@@ -65,7 +65,7 @@
   return body.error;
 }
 
-/** Text of a whole request, for raw connections. */
+/** The text of a complete request, for raw connections. */
 export function rawRequest(
   body: string,
   headers: Record<string, string> = {},
@@ -76,7 +76,7 @@
   return `POST /v1/chat/completions HTTP/1.1\r\n${lines.join('\r\n')}\r\n\r\n${body}`;
 }
 
-/** A connection that sends `text` and collects what comes until its close. */
+/** Opens a connection, sends `text` and collects the data until its close. */
 export function openRaw(
   server: CallerServer,
   text: string,
--- a/packages/lovagepond-caller/src/caller_body.ts
+++ b/packages/lovagepond-caller/src/caller_body.ts
@@ -1,5 +1,5 @@
 /**
- * Reads a request's body within a size and a time.
+ * Reads a request's body within a size limit and a time limit.
  */
 import {type IncomingMessage} from 'node:http';
 import {type Failure, makeFailure, type Result} from '@lovagepond/core';
@@ -10,30 +10,30 @@
   failure: makeFailure('payloadTooLarge'),
 } as const;
 
-/** Bounds of one body. */
+/** Limits of one body. */
 export interface BodyLimits {
   readonly maxBytes: number;
   readonly timeoutMs: number;
-  /** Counts the bytes against those of all other requests. */
+  /** Accounts for the bytes in the budget shared by all requests. */
   readonly lease: BodyLease;
-  /** @returns the failure when all bodies together are at their bound */
+  /** @returns the failure to report when the shared budget is exhausted */
   readonly overload: () => Failure;
 }
 
 /**
- * Reads the whole body. After a failure the rest is not read: the caller of
- * this function must answer with `connection: close`.
+ * Reads the complete body. After a failure the rest is not read, so the
+ * response must be sent with `connection: close`.
  *
  * @param req the request
- * @param limits its size and its time
- * @returns the body, or why there is none; never rejects
+ * @param limits limits of the body
+ * @returns the body or the failure; never rejects
  */
 export function readBody(
   req: IncomingMessage,
   limits: BodyLimits,
 ): Promise<Result<Uint8Array>> {
   const declared = Number(req.headers['content-length'] ?? 0);
-  // Refused by its declared length, an oversize body costs no memory at all.
+  // Rejecting an oversized body by its declared length costs no memory.
   if (declared > limits.maxBytes) return Promise.resolve(TOO_LARGE);
   return new Promise(resolve => {
     const chunks: Buffer[] = [];
@@ -48,8 +48,8 @@
     const onData = (chunk: Buffer): void => {
       length += chunk.length;
       if (length > limits.maxBytes) finish(TOO_LARGE);
-      // Each body is small, but a wave of callers sends thousands at once, and
-      // together they would end the process with everyone's answers.
+      // Each body is small, but thousands arriving at once could exhaust the
+      // process's memory, and its exit would end all other responses.
       else if (!limits.lease.add(chunk.length)) {
         finish({ok: false, failure: limits.overload()});
       } else chunks.push(chunk);
@@ -60,9 +60,9 @@
     const onClose = (): void => {
       finish({ok: false, failure: makeFailure('callerGone')});
     };
-    // A sender that trickles its body would hold the connection and what was
-    // read of it for good; the whole body has one time limit, so that single
-    // bytes sent to look alive don't extend it.
+    // A sender that trickles its body would occupy the connection and memory
+    // indefinitely. One time limit covers the whole body, so that single bytes
+    // do not extend it.
     const timer = setTimeout(() => {
       finish({ok: false, failure: makeFailure('senderTooSlow')});
     }, limits.timeoutMs);
--- a/packages/lovagepond-caller/src/caller_body_budget.ts
+++ b/packages/lovagepond-caller/src/caller_body_budget.ts
@@ -1,29 +1,29 @@
 /**
- * Bounds the bytes of all request bodies that are held at once.
+ * Limits the total size of all request bodies in memory.
  */
 
-/** One request's part of the budget. */
+/** The budget that one request has reserved. */
 export interface BodyLease {
   /**
-   * @param bytes further bytes of the body
-   * @returns false when the budget doesn't hold them
+   * @param bytes number of bytes to reserve
+   * @returns false if they would exceed the budget
    */
   add(bytes: number): boolean;
-  /** Gives all of it back; once only. */
+  /** Releases all reserved bytes; repeated calls have no effect. */
   release(): void;
 }
 
-/** Shared by all requests of a server. */
+/** The budget shared by all requests of a server. */
 export class BodyBudget {
   readonly #limitBytes: number;
   #heldBytes = 0;
 
-  /** @param limitBytes upper bound of all bodies together */
+  /** @param limitBytes limit on the total size of all bodies, bytes */
   constructor(limitBytes: number) {
     this.#limitBytes = limitBytes;
   }
 
-  /** Bytes of all bodies held. */
+  /** Total size of all bodies in memory, bytes. */
   get heldBytes(): number {
     return this.#heldBytes;
   }
--- a/packages/lovagepond-caller/src/caller_connections.ts
+++ b/packages/lovagepond-caller/src/caller_connections.ts
@@ -1,6 +1,6 @@
 /**
- * Bounds and answers on the level of connections: what node's parser rejects,
- * connections above the limit, and more than one request at once on one.
+ * Handles errors of connections: input that Node's HTTP parser rejects,
+ * connections above the limit, and pipelined requests.
  */
 import {type Server} from 'node:http';
 import {type Duplex} from 'node:stream';
@@ -8,7 +8,7 @@
 import {encodeRawResponse} from './caller_errors.js';
 import {type CallerRefusals} from './caller_refusals.js';
 
-/** Node's error codes to kinds of the closed list. */
+/** Maps error codes of Node's HTTP parser to error kinds. */
 const PARSER_ERRORS: Readonly<Record<string, ErrorKind>> = {
   HPE_HEADER_OVERFLOW: 'headersTooLarge',
   HPE_CHUNK_EXTENSIONS_OVERFLOW: 'payloadTooLarge',
@@ -22,7 +22,7 @@
   #malformed = 0;
   #refused = 0;
 
-  /** @param refusals told of requests that node's parser rejects */
+  /** @param refusals counts the requests that Node's HTTP parser rejects */
   constructor(refusals: CallerRefusals) {
     this.#refusals = refusals;
   }
@@ -39,7 +39,7 @@
 
   /**
    * @param socket a request's connection
-   * @returns false when another request of this connection is in flight
+   * @returns false if another request of this connection is in flight
    */
   tryBeginRequest(socket: Duplex): boolean {
     if (this.#busy.has(socket)) return false;
@@ -47,17 +47,17 @@
     return true;
   }
 
-  /** @param socket a connection whose request has been answered */
+  /** @param socket a connection whose request has ended */
   endRequest(socket: Duplex): void {
     this.#busy.delete(socket);
   }
 
-  /** Connections whose bytes were not HTTP within the limits. */
+  /** Connections that sent malformed or oversized HTTP. */
   get malformed(): number {
     return this.#malformed;
   }
 
-  /** Connections refused because the limit was reached. */
+  /** Connections refused because of the connection limit. */
   get refused(): number {
     return this.#refused;
   }
@@ -68,9 +68,9 @@
       return;
     }
     this.#malformed += 1;
-    // Text written here would land in the middle of an answer that is still
-    // going out on this connection and look like a part of it. Closing cuts
-    // only the answer of the caller that sent the malformed bytes.
+    // An error written while a response is being sent on this connection would
+    // appear as a part of it. Closing the connection affects only the caller
+    // that sent the malformed bytes.
     if (this.#busy.has(socket)) {
       socket.destroy();
       return;
--- a/packages/lovagepond-caller/src/caller_constants.ts
+++ b/packages/lovagepond-caller/src/caller_constants.ts
@@ -1,5 +1,5 @@
 /**
- * Names and defaults of the protocol towards callers.
+ * Names and defaults of the HTTP protocol for callers.
  */
 import {type CallerSettings} from './caller_types.js';
 
@@ -10,29 +10,29 @@
   REQUEST_KIND: 'x-lovagepond-request-kind',
   IDEMPOTENCY_KEY: 'idempotency-key',
   /**
-   * Milliseconds left until the answer must be whole. A duration and not a
-   * time of day, since callers' clocks can't be trusted to be set.
+   * Milliseconds until the response must be complete. A duration and not a
+   * time of day, as callers' clocks may be wrong.
    */
   DEADLINE: 'x-lovagepond-deadline',
-  /** Echoed as the caller wrote it. */
+  /** The caller's request id, echoed unchanged. */
   CALLER_REQUEST_ID: 'x-request-id',
-  /** The id in logs, dumps and the answer itself. */
+  /** The generated request id, used in logs, dumps and the response. */
   REQUEST_ID: 'x-lovagepond-request-id',
 } as const;
 
-/** Paths callers use. */
+/** Paths for callers. */
 export const CALLER_PATH = {
   CHAT_COMPLETIONS: '/v1/chat/completions',
   SERVICES: '/services/',
 } as const;
 
-/** Request kind of a chat completion that names none. */
+/** Request kind of chat completions without a request kind header. */
 export const DEFAULT_CHAT_KIND = 'chat';
 
-/** Media type of a streamed answer. */
+/** Media type of a streamed response. */
 export const EVENT_STREAM_TYPE = 'text/event-stream';
 
-/** Limits that fit the sizes the design is for. */
+/** Default settings, for the fleet sizes that the design targets. */
 export const DEFAULT_CALLER_SETTINGS: CallerSettings = Object.freeze({
   host: '127.0.0.1',
   port: 0,
--- a/packages/lovagepond-caller/src/caller_error_response.ts
+++ b/packages/lovagepond-caller/src/caller_error_response.ts
@@ -1,5 +1,5 @@
 /**
- * Refuses a request whose body may not have been read.
+ * Sends an error response to a request whose body may be unread.
  */
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {answerFor, type Failure} from '@lovagepond/core';
@@ -8,16 +8,16 @@
 const LINGER_MS = 1_000;
 
 /**
- * Answers at once and closes the connection.
+ * Sends the error response immediately and closes the connection after it.
  *
- * The rest of the body is discarded for a short time first: closing while the
- * caller still sends resets the connection, and the caller sees the reset in
- * place of the answer. The answer itself leaves at once and is whole by its
- * length; nothing of the body is kept meanwhile.
+ * Before the close, the rest of the body is read and discarded for a short
+ * time. Closing while the caller still sends would reset the connection, and
+ * the caller would see the reset instead of the response. The response has a
+ * content length, so it is complete before the close.
  *
  * @param req the request
- * @param res its response, nothing of it sent yet
- * @param failure why it is refused
+ * @param res its response, of which nothing was sent
+ * @param failure the failure to report
  */
 export function sendErrorAndClose(
   req: IncomingMessage,
@@ -33,7 +33,7 @@
     connection: 'close',
   });
   res.write(body);
-  // A sender that was too slow gets no more time.
+  // A sender that was already too slow gets no further time.
   if (req.complete || failure.kind === 'senderTooSlow') {
     res.end();
     return;
--- a/packages/lovagepond-caller/src/caller_errors.ts
+++ b/packages/lovagepond-caller/src/caller_errors.ts
@@ -1,25 +1,25 @@
 /**
- * Writes failures for callers: one JSON shape for every kind.
+ * Encodes failures for callers, in the same JSON shape for every kind.
  */
 import {answerFor, type Failure} from '@lovagepond/core';
 
 const MS_PER_SECOND = 1000;
 
-/** A failure in the shape that every caller gets. */
+/** The body of an error response. */
 export interface CallerErrorBody {
   readonly error: {
     readonly kind: Failure['kind'];
     /** `notRun`, `mayHaveRun` or `ran`. */
     readonly disposition: string;
     readonly message: string;
-    /** 0 when coming back is of no use. */
+    /** 0 if a retry is of no use. */
     readonly retryAfterMs: number;
   };
 }
 
 /**
- * @param failure what went wrong
- * @returns the JSON text of its body
+ * @param failure the failure
+ * @returns the JSON text of its error body
  */
 export function encodeCallerError(failure: Failure): string {
   const body: CallerErrorBody = {
@@ -34,8 +34,8 @@
 }
 
 /**
- * @param failure what went wrong
- * @returns milliseconds until the caller may come back, 0 when it may not
+ * @param failure the failure
+ * @returns milliseconds until the caller may retry, 0 if it should not
  */
 function retryAfterOf(failure: Failure): number {
   if (!answerFor(failure.kind).retryable) return 0;
@@ -43,8 +43,8 @@
 }
 
 /**
- * @param failure what went wrong
- * @returns headers of its answer; `retry-after` in whole seconds, rounded up
+ * @param failure the failure
+ * @returns headers of its response; `retry-after` in seconds, rounded up
  */
 export function errorHeaders(failure: Failure): Record<string, string> {
   const headers: Record<string, string> = {'content-type': 'application/json'};
@@ -56,7 +56,7 @@
 }
 
 /**
- * @param failure what went wrong after the head of a stream went out
+ * @param failure a failure after the head of a stream was sent
  * @returns the server-sent event that ends the stream
  */
 export function encodeErrorEvent(failure: Failure): string {
@@ -64,8 +64,8 @@
 }
 
 /**
- * @param failure what went wrong before a request could be read
- * @returns a whole HTTP/1.1 answer that closes the connection
+ * @param failure a failure before the request could be parsed
+ * @returns a complete HTTP/1.1 response that closes the connection
  */
 export function encodeRawResponse(failure: Failure): string {
   const body = encodeCallerError(failure);
--- a/packages/lovagepond-caller/src/caller_exchange.ts
+++ b/packages/lovagepond-caller/src/caller_exchange.ts
@@ -1,5 +1,5 @@
 /**
- * Takes one HTTP exchange from its head to the handler.
+ * Processes one HTTP exchange: validates the request and calls the handler.
  */
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {
@@ -27,7 +27,7 @@
   type CallerSettings,
 } from './caller_types.js';
 
-/** What an exchange needs from its server. */
+/** Dependencies shared by all exchanges of a server. */
 export interface ExchangeContext {
   readonly settings: CallerSettings;
   readonly clock: Clock;
@@ -35,16 +35,16 @@
   readonly keys: KeysInFlight;
   readonly bodies: BodyBudget;
   readonly refusals: CallerRefusals;
-  /** Spreads the callers that come back. */
+  /** Draws the jitter of retry times. */
   readonly random: Random;
-  /** @returns a request id never given before */
+  /** @returns a new unique request id */
   readonly nextRequestId: () => string;
 }
 
 const CALLER_ID = /^[\x21-\x7e]{1,128}$/;
 const MAX_PATH_LENGTH = 2048;
 const OVERLOAD_RETRY_MS = 2_000;
-// A service reached under its own prefix must not be led outside of it.
+// Dot segments could escape the path prefix of a service.
 const DOT_SEGMENT = /(^|\/|\\|%2f|%5c)(\.|%2e){1,2}(\/|\\|%2f|%5c|$)/i;
 
 function echoIds(
@@ -85,7 +85,7 @@
   const {settings, clock} = context;
   const safePath = checkPath(path);
   if (!safePath.ok) return safePath;
-  // The deadline counts from the head's arrival: a slow body uses it up.
+  // The deadline counts from the head's arrival, so a slow body uses it up.
   const head = readCallerHead(req.headers, endpoint, settings, clock.now());
   if (!head.ok) return head;
   const body = await readBody(req, {
@@ -116,9 +116,10 @@
  *
  * @param req the request, its body unread
  * @param res its response
- * @param route the whole path with its query, and the sort of request
- * @param context the server's parts
- * @returns the answer once it was handed over, undefined when refused here
+ * @param route the path including its query, and the endpoint
+ * @param context the server's shared dependencies
+ * @returns the response sink after the handler was called, or undefined if the
+ *     request was rejected before
  */
 export async function runExchange(
   req: IncomingMessage,
--- a/packages/lovagepond-caller/src/caller_keys.ts
+++ b/packages/lovagepond-caller/src/caller_keys.ts
@@ -1,5 +1,5 @@
 /**
- * Idempotency keys of the requests in flight at this process.
+ * Idempotency keys of the requests in flight in this process.
  */
 import {makeFailure, type Result, type Unregister} from '@lovagepond/core';
 import {type CallerRequest} from './caller_types.js';
@@ -10,15 +10,15 @@
 }
 
 /**
- * Refuses a key that stands for another body in this very moment, before the
- * request costs anything. Keys used earlier or elsewhere are the ledger's.
+ * Rejects a key that is in flight with another body, before the request costs
+ * anything. The ledger covers keys used earlier or at other processes.
  */
 export class KeysInFlight {
   readonly #uses = new Map<string, KeyUse>();
 
   /**
-   * @param request a request about to be handed on
-   * @returns how to take the use back, or `keyReuse`
+   * @param request a request about to be passed to the handler
+   * @returns a function that releases the key, or the failure `keyReuse`
    */
   claim(request: CallerRequest): Result<Unregister> {
     if (request.idempotencyKey === undefined) {
--- a/packages/lovagepond-caller/src/caller_request.ts
+++ b/packages/lovagepond-caller/src/caller_request.ts
@@ -1,6 +1,6 @@
 /**
- * Checks a request's headers and body and makes a {@link CallerRequest}.
- * No I/O: what was read goes in, the request or a failure comes out.
+ * Validates a request's headers and body and creates a {@link CallerRequest}.
+ * Free of I/O.
  */
 import {createHash} from 'node:crypto';
 import {type IncomingHttpHeaders} from 'node:http';
@@ -14,7 +14,7 @@
 import {CALLER_HEADER, DEFAULT_CHAT_KIND} from './caller_constants.js';
 import {type CallerRequest, type CallerSettings} from './caller_types.js';
 
-/** The two sorts of request. */
+/** The endpoints for callers. */
 export const ENDPOINT = {
   COMPLETION: 'completion',
   SERVICE: 'service',
@@ -23,7 +23,7 @@
 /** One of the values of {@link ENDPOINT}. */
 export type Endpoint = (typeof ENDPOINT)[keyof typeof ENDPOINT];
 
-/** What the headers say. */
+/** The decoded headers. */
 export interface CallerHead {
   readonly workspace: string;
   readonly chat: string;
@@ -93,10 +93,10 @@
 
 /**
  * @param headers the request's headers
- * @param endpoint completions need a chat, services a request kind
- * @param settings limits of the deadline
- * @param now present time, monotonic milliseconds
- * @returns what the headers say, or what is wrong with them
+ * @param endpoint completions require a chat header, services a request kind
+ * @param settings default and limit of the deadline
+ * @param now current time, monotonic milliseconds
+ * @returns the decoded headers, or the first fault in them
  */
 export function readCallerHead(
   headers: IncomingHttpHeaders,
@@ -137,9 +137,9 @@
 }
 
 /**
- * @param path path with its query
+ * @param path path including its query
  * @param body the request's body
- * @returns SHA-256 over both: a key reused on another path is another call
+ * @returns SHA-256 of both, as a key reused on another path is another request
  */
 function digestCall(path: string, body: Uint8Array): Uint8Array {
   return createHash('sha256').update(path).update('\0').update(body).digest();
@@ -190,9 +190,9 @@
 };
 
 /**
- * @param head what {@link readCallerHead} gave
- * @param call the request's id, path, sort and whole body
- * @returns the request, or what is wrong with its body
+ * @param head the result of {@link readCallerHead}
+ * @param call the request's id, path, endpoint and complete body
+ * @returns the request, or the fault in its body
  */
 export function makeCallerRequest(
   head: CallerHead,
--- a/packages/lovagepond-caller/src/caller_response.ts
+++ b/packages/lovagepond-caller/src/caller_response.ts
@@ -1,5 +1,5 @@
 /**
- * Writes one answer to one caller: whole, or streamed under backpressure.
+ * Writes one response to a caller: buffered, or streamed with backpressure.
  */
 import {type ServerResponse} from 'node:http';
 import {
@@ -16,7 +16,7 @@
 } from './caller_errors.js';
 import {type ResponseHeaders, type ResponseSink} from './caller_types.js';
 
-/** Bounds of one answer. */
+/** Limits of one response. */
 export interface ResponseLimits {
   readonly maxWholeAnswerBytes: number;
   readonly maxBufferedBytes: number;
@@ -36,7 +36,7 @@
 };
 const DONE_EVENT = 'data: [DONE]\n\n';
 
-/** An {@link ResponseSink} over node's response. */
+/** A {@link ResponseSink} over Node's `ServerResponse`. */
 export class HttpResponseSink implements ResponseSink {
   readonly #res: ServerResponse;
   readonly #stream: boolean;
@@ -51,16 +51,16 @@
   #readerTimer: NodeJS.Timeout | undefined;
 
   /**
-   * @param res where the answer goes
-   * @param stream the caller wants it as it is made
-   * @param limits bounds of what is kept for this caller
+   * @param res Node's response
+   * @param stream whether the caller requested a streamed response
+   * @param limits limits of the response and its buffers
    */
   constructor(res: ServerResponse, stream: boolean, limits: ResponseLimits) {
     this.#res = res;
     this.#stream = stream;
     this.#limits = limits;
-    // Bytes written in the moment the caller closes fail on the response; the
-    // close itself tells the producer, so the error has nothing to add.
+    // A write during a disconnect emits an error. The close event already
+    // cancels the request, so the error can be ignored.
     res.on('error', () => {});
     res.on('drain', () => {
       this.#releaseWriters();
@@ -99,10 +99,10 @@
     }
     if (!this.begun) this.begin(200, EVENT_STREAM_TYPE);
     if (this.#res.write(chunk)) return;
-    // A reader slower than the engine would have the whole answer pile up
-    // here. Its producer waits for the socket instead; one that doesn't wait
-    // meets the limit on bytes, and a reader that takes nothing the one on
-    // time. Either way the memory for one caller has an upper bound.
+    // With a reader slower than the engine, the whole response would be
+    // buffered here. The producer awaits the socket instead. A producer that
+    // does not await hits the byte limit, and a reader that has stopped hits
+    // the time limit, so the memory for one caller is bounded.
     if (this.#res.writableLength > this.#limits.maxBufferedBytes) {
       this.#disconnectSlowReader();
       return;
@@ -130,8 +130,8 @@
       this.#finish(encodeErrorEvent(failure));
       return;
     }
-    // Bytes of another media type can't carry an error event. A cut
-    // connection without the last chunk shows that the answer is not whole.
+    // Other media types can't carry an error event. Closing the connection
+    // without the last chunk shows that the response is incomplete.
     this.#finished = true;
     this.#clear();
     this.#res.destroy();
@@ -148,7 +148,7 @@
     };
   }
 
-  /** True when the caller was ended for reading too slowly. */
+  /** True if the caller was disconnected for reading too slowly. */
   get wasSlowReader(): boolean {
     return this.#cancelled?.message === SLOW_READER;
   }
@@ -197,8 +197,8 @@
     this.#chunks = [];
     this.#cancelListeners.clear();
     this.#res.end(last);
-    // The answer's end may still stand in the buffer of a reader that takes
-    // nothing more; the connection must not stay open for it for good.
+    // The end of the response may still be buffered for a reader that has
+    // stopped. The timer keeps its connection from staying open indefinitely.
     if (this.#res.writableLength > 0) this.#startReaderTimer();
   }
 
--- a/packages/lovagepond-caller/src/caller_server.ts
+++ b/packages/lovagepond-caller/src/caller_server.ts
@@ -1,5 +1,5 @@
 /**
- * The HTTP/1.1 front towards callers: tinyhttp's routes on a node server.
+ * The HTTP/1.1 server for callers: tinyhttp routes on a Node server.
  */
 import {randomInt, randomUUID} from 'node:crypto';
 import {createServer, type Server} from 'node:http';
@@ -20,13 +20,13 @@
   type CallerSettings,
 } from './caller_types.js';
 
-/** What the server needs besides its settings. */
+/** Dependencies of {@link CallerServer}. */
 export interface CallerServerDependencies {
   readonly clock: Clock;
   readonly handler: CallerHandler;
-  /** Random UUIDs when left out. */
+  /** Generates request ids; random UUIDs by default. */
   readonly nextRequestId?: () => string;
-  /** Spreads refused callers; seeded by chance when left out. */
+  /** Draws the jitter of retry times; randomly seeded by default. */
   readonly random?: Random;
 }
 
@@ -35,7 +35,7 @@
 const PIPELINED = 'A request of this connection is still in flight.';
 const SOCKET_BUFFER_BYTES = 32 * 1024;
 
-/** Takes callers' requests and gives them to a {@link CallerHandler}. */
+/** Accepts callers' requests and passes them to a {@link CallerHandler}. */
 export class CallerServer {
   readonly #settings: CallerSettings;
   readonly #context: ExchangeContext;
@@ -54,7 +54,7 @@
 
   /**
    * @param settings limits and the address to listen on
-   * @param deps the handler and the clock
+   * @param deps the handler and further dependencies
    */
   constructor(settings: CallerSettings, deps: CallerServerDependencies) {
     this.#settings = settings;
@@ -72,7 +72,7 @@
     this.#server = this.#makeServer(this.#makeRoutes());
   }
 
-  /** Binds the address; resolves when callers can connect. */
+  /** Binds the address; resolves once callers can connect. */
   start(): Promise<void> {
     return new Promise((resolve, reject) => {
       this.#server.once('error', reject);
@@ -86,7 +86,7 @@
     return address?.port ?? this.#settings.port;
   }
 
-  /** Counts for metrics and the dump. */
+  /** Counters for metrics and the state dump. */
   get counters(): CallerCounters {
     return {
       connections: this.#openConnections,
@@ -102,11 +102,13 @@
   }
 
   /**
-   * Graceful shutdown. Answers tell `connection: close` from now on; new
-   * connections are taken for the grace time, in which the platform's
-   * balancer learns of it; then the port closes and answers in flight finish.
+   * Shuts down gracefully. From now on responses carry `connection: close`. New
+   * connections are accepted for the grace period, in which the platform's load
+   * balancer notices the shutdown. Then the port closes, and responses in
+   * flight are completed.
    *
-   * @param limitMs longest time in all; what is left then is cut
+   * @param limitMs total time limit, milliseconds; responses that are still in
+   *     flight after it are cut off
    */
   async drain(limitMs: number): Promise<void> {
     if (this.#draining) return;
@@ -123,7 +125,7 @@
     await closed;
   }
 
-  /** Ends at once; cuts what is in flight. */
+  /** Stops immediately; responses in flight are cut off. */
   async stop(): Promise<void> {
     this.#draining = true;
     const closed = this.#stopListening();
@@ -136,7 +138,7 @@
     const server = createServer({
       maxHeaderSize: settings.maxHeaderBytes,
       headersTimeout: settings.senderTimeoutMs,
-      // Covers head and body; the body's own limit is stricter.
+      // Covers head and body; `readBody` applies a stricter limit to the body.
       requestTimeout: 2 * settings.senderTimeoutMs + CONNECTION_CHECK_MS,
       keepAliveTimeout: settings.keepAliveMs,
       connectionsCheckingInterval: CONNECTION_CHECK_MS,
@@ -145,8 +147,8 @@
     });
     server.maxConnections = settings.maxConnections;
     server.on('request', (req, res) => {
-      // Paths are the caller's text. What routing throws on one of them would
-      // be uncaught here and end the process with everyone's answers.
+      // Routing may throw on a malformed path. Uncaught, the exception would
+      // end the process and with it all other responses.
       try {
         app.handler(req as Request, res as Response);
       } catch {
@@ -191,8 +193,8 @@
       this.#refusals.refuse(req, res, makeFailure('notFound'));
       return;
     }
-    // Answers to pipelined requests would be kept here until the first one
-    // has gone out: memory for one connection that no limit counts.
+    // Responses to pipelined requests would be buffered until the first one was
+    // sent, which is memory that no limit accounts for.
     if (!this.#connections.tryBeginRequest(req.socket)) {
       this.#refusals.refuse(
         req,
@@ -210,8 +212,8 @@
       {path: req.originalUrl, endpoint},
       this.#context,
     );
-    // Uncaught, a fault in one exchange would end the process and with it
-    // everyone's answers.
+    // Uncaught, a fault in one exchange would end the process and with it all
+    // other responses.
     exchange.catch(() => res.destroy());
     res.on('close', () => {
       this.#onResponseClosed(req, res, exchange);
