--- a/packages/lovagepond-gateway/src/gateway_choice.ts
+++ b/packages/lovagepond-gateway/src/gateway_choice.ts
@@ -119,7 +119,7 @@
       parts,
       targetLatencyMs,
       repeatable,
-      readTokensPerMs: this.#settings.rate.tokensPerMs,
+      prefillTokensPerMs: this.#settings.rate.tokensPerMs,
       fetchTokensPerMs: pool.contextFetchTokensPerMs,
       weights: this.#settings.weights ?? ENGINE_WEIGHTS,
     };
--- a/packages/lovagepond-gateway/src/gateway_engine_choice.ts
+++ b/packages/lovagepond-gateway/src/gateway_engine_choice.ts
@@ -22,7 +22,7 @@
   /** A failed request may be retried; otherwise its response is lost. */
   readonly repeatable: boolean;
   /** Prefill rate of an engine, prompt tokens per millisecond. */
-  readonly readTokensPerMs: number;
+  readonly prefillTokensPerMs: number;
   /** Context tokens fetched per millisecond; undefined if unsupported. */
   readonly fetchTokensPerMs: number | undefined;
   readonly weights: EngineWeights;
@@ -143,18 +143,18 @@
   req: EngineRequest,
   now: number,
 ): number {
-  const {readTokensPerMs, fetchTokensPerMs = Infinity, weights} = req;
+  const {prefillTokensPerMs, fetchTokensPerMs = Infinity, weights} = req;
   const firstTokenMs =
-    prefillTokens / readTokensPerMs +
+    prefillTokens / prefillTokensPerMs +
     fetch.tokens / fetchTokensPerMs +
-    state.prefillWaitMs(readTokensPerMs, now);
+    state.prefillWaitMs(prefillTokensPerMs, now);
   const lateMs = firstTokenMs - req.targetLatencyMs * weights.freeWaitPart;
   const weightedTokens = extraTokens + fetch.tokens * weights.fetch;
   const failure = req.repeatable
     ? weights.repeatableFailure
     : weights.lostFailure;
   return (
-    (weightedTokens / readTokensPerMs) * weights.reread +
+    (weightedTokens / prefillTokensPerMs) * weights.reread +
     Math.max(0, lateMs) * weights.late +
     firstTokenMs * weights.early +
     state.load(now) * weights.runningRequestMs +
--- a/packages/lovagepond-gateway/src/gateway_exchange.ts
+++ b/packages/lovagepond-gateway/src/gateway_exchange.ts
@@ -213,13 +213,13 @@
       return true;
     }
     if (!this.#events) return this.#caller.write(chunk);
-    const piece = this.#events.take(chunk);
-    if (piece.kind === 'broken') {
+    const parsed = this.#events.take(chunk);
+    if (parsed.kind === 'broken') {
       attempt.abort();
-      this.#onFailed({kind: 'broken', reason: piece.reason, isLost: false});
+      this.#onFailed({kind: 'broken', reason: parsed.reason, isLost: false});
       return true;
     }
-    return piece.bytes.length === 0 || this.#caller.write(piece.bytes);
+    return parsed.bytes.length === 0 || this.#caller.write(parsed.bytes);
   }
 
   #bufferChunk(failure: BufferedFailure, chunk: Buffer): void {
--- a/packages/lovagepond-gateway/src/gateway_load_reports.ts
+++ b/packages/lovagepond-gateway/src/gateway_load_reports.ts
@@ -150,10 +150,10 @@
     }
   }
 
-  #applyRunning(router: string, reported: WireRunning, now: number): void {
+  #applyRunning(gateway: string, reported: WireRunning, now: number): void {
     const {backendServer, requests, ended, failed} = reported;
     const state = this.#fleet.find(backendServer ?? '');
-    state?.noteRemoteRequests(router, requests ?? 0, now);
+    state?.noteRemoteRequests(gateway, requests ?? 0, now);
     if (!ended) return;
     state?.noteRemoteOutcomes({ended, failed: failed ?? 0}, now);
   }
@@ -166,7 +166,7 @@
     if (!state) return;
     const {tokensPerMs} = this.#rate;
     state.noteRemotePrefill((tokens ?? 0) / tokensPerMs, now);
-    const readAt = now + state.prefillWaitMs(tokensPerMs, now);
-    state.noteWarm((prefix ?? '').split('/').slice(1), readAt);
+    const prefilledAt = now + state.prefillWaitMs(tokensPerMs, now);
+    state.noteWarm((prefix ?? '').split('/').slice(1), prefilledAt);
   }
 }
--- a/packages/lovagepond-gateway/src/gateway_retry_budget.ts
+++ b/packages/lovagepond-gateway/src/gateway_retry_budget.ts
@@ -85,8 +85,8 @@
   /** Counts the gateways that may have spent their share within the window. */
   #slackShare(since: number): number {
     const {retrySlack, retryShares} = this.#settings;
-    const routers = this.#peers.count(since) + 1;
-    return Math.floor(retrySlack / Math.max(retryShares, routers));
+    const gateways = this.#peers.count(since) + 1;
+    return Math.floor(retrySlack / Math.max(retryShares, gateways));
   }
 }
 
--- a/packages/lovagepond-gateway/src/gateway_server_state.ts
+++ b/packages/lovagepond-gateway/src/gateway_server_state.ts
@@ -13,9 +13,9 @@
  */
 const REMOTE_LOAD_HALF_LIFE_MS = 700;
 
-/** First and longest backoff after a failure, doubled in between; ms. */
-const FIRST_PAUSE_MS = 250;
-const LONGEST_PAUSE_MS = 4_000;
+/** First and longest backoff after failures, doubled each time; milliseconds. */
+const INITIAL_BACKOFF_MS = 250;
+const MAX_BACKOFF_MS = 4_000;
 
 /**
  * Failure share that healthy servers reach for some request kinds. Differences
@@ -48,17 +48,17 @@
   #remoteAtReport = 0;
   #remoteRequests = 0;
   /** Reported requests of other gateways, by gateway name. */
-  readonly #byRouter = new Map<string, RemoteRequests>();
+  readonly #byGateway = new Map<string, RemoteRequests>();
   #reportedAt = Number.NEGATIVE_INFINITY;
   #remotePrefillUntil = Number.NEGATIVE_INFINITY;
   #failures = 0;
   readonly #outcomes = new OutcomeEstimate();
   /** This gateway's outcomes that were not yet reported to the others. */
   #unreported = {ended: 0, failed: 0};
-  #pausedUntil = Number.NEGATIVE_INFINITY;
+  #backoffUntil = Number.NEGATIVE_INFINITY;
   #isReplaced = false;
   /** When each part's prefill is done; the least recently used part first. */
-  readonly #readAt = new Map<string, number>();
+  readonly #prefilledAt = new Map<string, number>();
 
   constructor(server: BackendServer) {
     this.server = server;
@@ -114,18 +114,18 @@
   }
 
   /**
-   * @param router name of another gateway; empty for all others together
+   * @param gateway name of another gateway; empty for all others together
    * @param requests its number of requests at the server
    * @param now current time, monotonic milliseconds
    */
-  noteRemoteRequests(router: string, requests: number, now: number): void {
+  noteRemoteRequests(gateway: string, requests: number, now: number): void {
     // Members of control that run the previous release report each gateway
     // separately. After switching between members of both releases, a gateway
     // would count the same requests twice.
-    if (router === '') this.#byRouter.clear();
-    else this.#byRouter.delete('');
-    if (requests === 0) this.#byRouter.delete(router);
-    else this.#byRouter.set(router, {requests, reportedAt: now});
+    if (gateway === '') this.#byGateway.clear();
+    else this.#byGateway.delete('');
+    if (requests === 0) this.#byGateway.delete(gateway);
+    else this.#byGateway.set(gateway, {requests, reportedAt: now});
     this.#sumRemoteRequests();
   }
 
@@ -135,15 +135,15 @@
    * @param now current time, monotonic milliseconds
    */
   expireRemoteRequests(now: number): void {
-    for (const [router, {reportedAt}] of this.#byRouter) {
-      if (now - reportedAt > REMOTE_TTL_MS) this.#byRouter.delete(router);
+    for (const [gateway, {reportedAt}] of this.#byGateway) {
+      if (now - reportedAt > REMOTE_TTL_MS) this.#byGateway.delete(gateway);
     }
     this.#sumRemoteRequests();
   }
 
   #sumRemoteRequests(): void {
     this.#remoteRequests = 0;
-    for (const {requests} of this.#byRouter.values()) {
+    for (const {requests} of this.#byGateway.values()) {
       this.#remoteRequests += requests;
     }
   }
@@ -163,7 +163,7 @@
    * @param now current time, monotonic milliseconds
    */
   noteSuccess(now: number): void {
-    this.#endPause();
+    this.#resetBackoff();
     this.#noteOutcome({ended: 1, failed: 0}, now);
   }
 
@@ -174,13 +174,13 @@
    * @param now current time, monotonic milliseconds
    */
   noteLateResponse(now: number): void {
-    this.#endPause();
+    this.#resetBackoff();
     this.#noteOutcome({ended: 1, failed: 1}, now);
   }
 
-  #endPause(): void {
+  #resetBackoff(): void {
     this.#failures = 0;
-    this.#pausedUntil = Number.NEGATIVE_INFINITY;
+    this.#backoffUntil = Number.NEGATIVE_INFINITY;
   }
 
   /**
@@ -241,9 +241,9 @@
    */
   noteAttemptFailure(now: number): void {
     this.noteErrorResponse(now);
-    const pause = FIRST_PAUSE_MS * 2 ** this.#failures;
+    const backoffMs = INITIAL_BACKOFF_MS * 2 ** this.#failures;
     this.#failures += 1;
-    this.#pausedUntil = now + Math.min(pause, LONGEST_PAUSE_MS);
+    this.#backoffUntil = now + Math.min(backoffMs, MAX_BACKOFF_MS);
   }
 
   /**
@@ -251,20 +251,20 @@
    * @returns true while other servers should be preferred
    */
   isAvoided(now: number): boolean {
-    return now < this.#pausedUntil;
+    return now < this.#backoffUntil;
   }
 
   /**
    * A cached part is usable only if all the parts before it are cached too.
    *
    * @param parts a prompt's parts, in order
-   * @param readBy when their prefill must be done, monotonic milliseconds; by
-   *     default pending prefill counts as done
+   * @param prefilledBy when their prefill must be done, monotonic milliseconds;
+   *     by default pending prefill counts as done
    * @returns tokens that the server does not hold, as far as is known
    */
-  coldTokens(parts: readonly PromptPart[], readBy = Infinity): number {
+  coldTokens(parts: readonly PromptPart[], prefilledBy = Infinity): number {
     const firstCold = parts.findIndex(
-      ({id}) => (this.#readAt.get(id) ?? Infinity) >= readBy,
+      ({id}) => (this.#prefilledAt.get(id) ?? Infinity) >= prefilledBy,
     );
     if (firstCold < 0) return 0;
     return parts.slice(firstCold).reduce((sum, {tokens}) => sum + tokens, 0);
@@ -272,17 +272,17 @@
 
   /**
    * @param ids prompt parts that the server holds or is computing
-   * @param readAt when their prefill is done, monotonic milliseconds
+   * @param prefilledAt when their prefill is done, monotonic milliseconds
    */
-  noteWarm(ids: readonly string[], readAt: number): void {
+  noteWarm(ids: readonly string[], prefilledAt: number): void {
     for (const id of ids) {
-      const before = this.#readAt.get(id) ?? Infinity;
-      this.#readAt.delete(id);
-      this.#readAt.set(id, Math.min(before, readAt));
+      const before = this.#prefilledAt.get(id) ?? Infinity;
+      this.#prefilledAt.delete(id);
+      this.#prefilledAt.set(id, Math.min(before, prefilledAt));
     }
-    for (const oldest of this.#readAt.keys()) {
-      if (this.#readAt.size <= MAX_WARM_PARTS) return;
-      this.#readAt.delete(oldest);
+    for (const oldest of this.#prefilledAt.keys()) {
+      if (this.#prefilledAt.size <= MAX_WARM_PARTS) return;
+      this.#prefilledAt.delete(oldest);
     }
   }
 }
