--- a/packages/lovagepond-gateway/src/gateway_server_state.ts
+++ b/packages/lovagepond-gateway/src/gateway_server_state.ts
@@ -13,7 +13,7 @@
  */
 const REMOTE_LOAD_HALF_LIFE_MS = 700;
 
-/** First and longest backoff after failures, doubled each time; milliseconds. */
+/** First and longest backoff, milliseconds; doubled after each failure. */
 const INITIAL_BACKOFF_MS = 250;
 const MAX_BACKOFF_MS = 4_000;
 
