--- a/packages/lovagepond-gateway/src/gateway_engine_choice.ts
+++ b/packages/lovagepond-gateway/src/gateway_engine_choice.ts
@@ -107,7 +107,7 @@
 ): EngineChoice | undefined {
   const options = listOptions(req, now);
   const leastPrefillTokens = Math.min(
-    ...options.map(({prefillTokens: prefillTokens}) => prefillTokens),
+    ...options.map(({prefillTokens}) => prefillTokens),
   );
   const home = findHome(req, hasher);
   let best: EngineOption | undefined;
@@ -138,7 +138,7 @@
 
 /** Cost of an option for this and other callers, in milliseconds. */
 function costOf(
-  {state, fetch, prefillTokens: prefillTokens}: EngineOption,
+  {state, fetch, prefillTokens}: EngineOption,
   extraTokens: number,
   req: EngineRequest,
   now: number,
--- a/packages/lovagepond-gateway/src/gateway_fleet.ts
+++ b/packages/lovagepond-gateway/src/gateway_fleet.ts
@@ -64,8 +64,8 @@
    */
   ready(pool: string): readonly ServerState[] {
     return this.listed(pool).filter(
-      ({isReplaced: isGone, server}) =>
-        !isGone && server.state === SERVER_STATE.READY,
+      ({isReplaced, server}) =>
+        !isReplaced && server.state === SERVER_STATE.READY,
     );
   }
 
