--- a/packages/lovagepond-caller/src/caller_connections.ts
+++ b/packages/lovagepond-caller/src/caller_connections.ts
@@ -1,14 +1,14 @@
 /**
- * Bounds and answers on the level of connections: what node's parser rejects,
- * connections above the limit, and more than one request at once on one.
+ * Handles errors of connections: input that Node's HTTP parser rejects,
+ * connections above the limit, and pipelined requests.
  */
 import {type Server} from 'node:http';
 import {type Duplex} from 'node:stream';
 import {type ErrorKind, makeFailure} from '@lovagepond/core';
-import {encodeRawAnswer} from './caller_errors.js';
+import {encodeRawResponse} from './caller_errors.js';
 import {type CallerRefusals} from './caller_refusals.js';
 
-/** Node's error codes to kinds of the closed list. */
+/** Maps error codes of Node's HTTP parser to error kinds. */
 const PARSER_ERRORS: Readonly<Record<string, ErrorKind>> = {
   HPE_HEADER_OVERFLOW: 'headersTooLarge',
   HPE_CHUNK_EXTENSIONS_OVERFLOW: 'payloadTooLarge',
@@ -22,7 +22,7 @@
   #malformed = 0;
   #refused = 0;
 
-  /** @param refusals told of requests that node's parser rejects */
+  /** @param refusals counts the requests that Node's HTTP parser rejects */
   constructor(refusals: CallerRefusals) {
     this.#refusals = refusals;
   }
@@ -30,7 +30,7 @@
   /** @param server the server whose connections are tracked */
   attach(server: Server): void {
     server.on('clientError', (err: NodeJS.ErrnoException, socket) => {
-      this.#answerParserError(err.code ?? '', socket);
+      this.#rejectUnparsable(err.code ?? '', socket);
     });
     server.on('drop', () => {
       this.#refused += 1;
@@ -39,44 +39,44 @@
 
   /**
    * @param socket a request's connection
-   * @returns false when another request of this connection is in flight
+   * @returns false if another request of this connection is in flight
    */
-  enter(socket: Duplex): boolean {
+  tryBeginRequest(socket: Duplex): boolean {
     if (this.#busy.has(socket)) return false;
     this.#busy.add(socket);
     return true;
   }
 
-  /** @param socket a connection whose request has been answered */
-  leave(socket: Duplex): void {
+  /** @param socket a connection whose request has ended */
+  endRequest(socket: Duplex): void {
     this.#busy.delete(socket);
   }
 
-  /** Connections whose bytes were not HTTP within the limits. */
+  /** Connections that sent malformed or oversized HTTP. */
   get malformed(): number {
     return this.#malformed;
   }
 
-  /** Connections refused because the limit was reached. */
+  /** Connections refused because of the connection limit. */
   get refused(): number {
     return this.#refused;
   }
 
-  #answerParserError(code: string, socket: Duplex): void {
+  #rejectUnparsable(code: string, socket: Duplex): void {
     if (code === 'ECONNRESET' || !socket.writable) {
       socket.destroy();
       return;
     }
     this.#malformed += 1;
-    // Text written here would land in the middle of an answer that is still
-    // going out on this connection and look like a part of it. Closing cuts
-    // only the answer of the caller that sent the malformed bytes.
+    // An error written while a response is being sent on this connection would
+    // appear as a part of it. Closing the connection affects only the caller
+    // that sent the malformed bytes.
     if (this.#busy.has(socket)) {
       socket.destroy();
       return;
     }
     const kind = PARSER_ERRORS[code] ?? 'badRequest';
     this.#refusals.note(kind);
-    socket.end(encodeRawAnswer(makeFailure(kind)));
+    socket.end(encodeRawResponse(makeFailure(kind)));
   }
 }
--- a/packages/lovagepond-caller/src/caller_exchange.ts
+++ b/packages/lovagepond-caller/src/caller_exchange.ts
@@ -1,5 +1,5 @@
 /**
- * Takes one HTTP exchange from its head to the handler.
+ * Processes one HTTP exchange: validates the request and calls the handler.
  */
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {
@@ -10,7 +10,7 @@
   type Result,
   type Unregister,
 } from '@lovagepond/core';
-import {HttpAnswer} from './caller_answer.js';
+import {HttpResponseSink} from './caller_response.js';
 import {readBody} from './caller_body.js';
 import {type BodyBudget, type BodyLease} from './caller_body_budget.js';
 import {CALLER_HEADER} from './caller_constants.js';
@@ -18,7 +18,7 @@
 import {
   makeCallerRequest,
   readCallerHead,
-  type RequestSort,
+  type Endpoint,
 } from './caller_request.js';
 import {type CallerRefusals} from './caller_refusals.js';
 import {
@@ -27,7 +27,7 @@
   type CallerSettings,
 } from './caller_types.js';
 
-/** What an exchange needs from its server. */
+/** Dependencies shared by all exchanges of a server. */
 export interface ExchangeContext {
   readonly settings: CallerSettings;
   readonly clock: Clock;
@@ -35,16 +35,16 @@
   readonly keys: KeysInFlight;
   readonly bodies: BodyBudget;
   readonly refusals: CallerRefusals;
-  /** Spreads the callers that come back. */
+  /** Draws the jitter of retry times. */
   readonly random: Random;
-  /** @returns a request id never given before */
+  /** @returns a new unique request id */
   readonly nextRequestId: () => string;
 }
 
 const CALLER_ID = /^[\x21-\x7e]{1,128}$/;
 const MAX_PATH_LENGTH = 2048;
 const OVERLOAD_RETRY_MS = 2_000;
-// A service reached under its own prefix must not be led outside of it.
+// Dot segments could escape the path prefix of a service.
 const DOT_SEGMENT = /(^|\/|\\|%2f|%5c)(\.|%2e){1,2}(\/|\\|%2f|%5c|$)/i;
 
 function echoIds(
@@ -68,46 +68,46 @@
   return {ok: false, failure: makeFailure('badRequest', {message})};
 }
 
-function refuseBodies(random: Random): Failure {
+function makeOverloadFailure(random: Random): Failure {
   const message = 'This process holds as many request bodies as it may.';
   const retryAfterMs = OVERLOAD_RETRY_MS * (0.5 + random.next());
   return makeFailure('overloaded', {message, retryAfterMs});
 }
 
-async function receive(
+async function readRequest(
   req: IncomingMessage,
   lease: BodyLease,
   requestId: string,
   path: string,
-  sort: RequestSort,
+  endpoint: Endpoint,
   context: ExchangeContext,
 ): Promise<Result<CallerRequest>> {
   const {settings, clock} = context;
   const safePath = checkPath(path);
   if (!safePath.ok) return safePath;
-  // The deadline counts from the head's arrival: a slow body uses it up.
-  const head = readCallerHead(req.headers, sort, settings, clock.now());
+  // The deadline counts from the head's arrival, so a slow body uses it up.
+  const head = readCallerHead(req.headers, endpoint, settings, clock.now());
   if (!head.ok) return head;
   const body = await readBody(req, {
     maxBytes: settings.maxBodyBytes,
     timeoutMs: settings.senderTimeoutMs,
     lease,
-    overload: () => refuseBodies(context.random),
+    overload: () => makeOverloadFailure(context.random),
   });
   if (!body.ok) return body;
-  const call = {requestId, path, sort, body: body.value};
+  const call = {requestId, path, endpoint, body: body.value};
   return makeCallerRequest(head.value, call);
 }
 
-async function handOver(
+async function callHandler(
   request: CallerRequest,
-  answer: HttpAnswer,
+  sink: HttpResponseSink,
   context: ExchangeContext,
 ): Promise<void> {
   try {
-    await context.handler.handle(request, answer, context.clock.now());
+    await context.handler.handle(request, sink, context.clock.now());
   } catch {
-    answer.fail(makeFailure('internal'));
+    sink.fail(makeFailure('internal'));
   }
 }
 
@@ -116,24 +116,32 @@
  *
  * @param req the request, its body unread
  * @param res its response
- * @param route the whole path with its query, and the sort of request
- * @param context the server's parts
- * @returns the answer once it was handed over, undefined when refused here
+ * @param route the path including its query, and the endpoint
+ * @param context the server's shared dependencies
+ * @returns the response sink after the handler was called, or undefined if the
+ *     request was rejected before
  */
 export async function runExchange(
   req: IncomingMessage,
   res: ServerResponse,
-  route: {readonly path: string; readonly sort: RequestSort},
+  route: {readonly path: string; readonly endpoint: Endpoint},
   context: ExchangeContext,
-): Promise<HttpAnswer | undefined> {
+): Promise<HttpResponseSink | undefined> {
   const requestId = context.nextRequestId();
   echoIds(req, res, requestId);
-  const {path, sort} = route;
+  const {path, endpoint} = route;
   const lease = context.bodies.lease();
   res.on('close', () => {
     lease.release();
   });
-  const received = await receive(req, lease, requestId, path, sort, context);
+  const received = await readRequest(
+    req,
+    lease,
+    requestId,
+    path,
+    endpoint,
+    context,
+  );
   if (!received.ok) {
     context.refusals.refuse(req, res, received.failure);
     return undefined;
@@ -144,8 +152,8 @@
     context.refusals.refuse(req, res, claimed.failure);
     return undefined;
   }
-  const answer = new HttpAnswer(res, request.stream, context.settings);
+  const sink = new HttpResponseSink(res, request.stream, context.settings);
   res.on('close', claimed.value);
-  await handOver(request, answer, context);
-  return answer;
+  await callHandler(request, sink, context);
+  return sink;
 }
--- a/packages/lovagepond-caller/src/caller_server.ts
+++ b/packages/lovagepond-caller/src/caller_server.ts
@@ -1,32 +1,32 @@
 /**
- * The HTTP/1.1 front towards callers: tinyhttp's routes on a node server.
+ * The HTTP/1.1 server for callers: tinyhttp routes on a Node server.
  */
 import {randomInt, randomUUID} from 'node:crypto';
 import {createServer, type Server} from 'node:http';
 import {type AddressInfo} from 'node:net';
 import {App, type Request, type Response} from '@tinyhttp/app';
 import {type Clock, makeFailure, Random} from '@lovagepond/core';
-import {type HttpAnswer} from './caller_answer.js';
+import {type HttpResponseSink} from './caller_response.js';
 import {BodyBudget} from './caller_body_budget.js';
 import {CallerConnections} from './caller_connections.js';
 import {CALLER_PATH} from './caller_constants.js';
 import {type ExchangeContext, runExchange} from './caller_exchange.js';
 import {KeysInFlight} from './caller_keys.js';
 import {CallerRefusals} from './caller_refusals.js';
-import {REQUEST_SORT, type RequestSort} from './caller_request.js';
+import {ENDPOINT, type Endpoint} from './caller_request.js';
 import {
   type CallerCounters,
   type CallerHandler,
   type CallerSettings,
 } from './caller_types.js';
 
-/** What the server needs besides its settings. */
-export interface CallerServerParts {
+/** Dependencies of {@link CallerServer}. */
+export interface CallerServerDependencies {
   readonly clock: Clock;
   readonly handler: CallerHandler;
-  /** Random UUIDs when left out. */
+  /** Generates request ids; random UUIDs by default. */
   readonly nextRequestId?: () => string;
-  /** Spreads refused callers; seeded by chance when left out. */
+  /** Draws the jitter of retry times; randomly seeded by default. */
   readonly random?: Random;
 }
 
@@ -35,7 +35,7 @@
 const PIPELINED = 'A request of this connection is still in flight.';
 const SOCKET_BUFFER_BYTES = 32 * 1024;
 
-/** Takes callers' requests and gives them to a {@link CallerHandler}. */
+/** Accepts callers' requests and passes them to a {@link CallerHandler}. */
 export class CallerServer {
   readonly #settings: CallerSettings;
   readonly #context: ExchangeContext;
@@ -54,25 +54,25 @@
 
   /**
    * @param settings limits and the address to listen on
-   * @param parts the handler and the clock
+   * @param deps the handler and further dependencies
    */
-  constructor(settings: CallerSettings, parts: CallerServerParts) {
+  constructor(settings: CallerSettings, deps: CallerServerDependencies) {
     this.#settings = settings;
     this.#bodies = new BodyBudget(settings.maxHeldBodyBytes);
     this.#context = {
       settings,
-      clock: parts.clock,
-      handler: parts.handler,
+      clock: deps.clock,
+      handler: deps.handler,
       keys: this.#keys,
       refusals: this.#refusals,
       bodies: this.#bodies,
-      random: parts.random ?? new Random(randomInt(MAX_SEED)),
-      nextRequestId: parts.nextRequestId ?? randomUUID,
+      random: deps.random ?? new Random(randomInt(MAX_SEED)),
+      nextRequestId: deps.nextRequestId ?? randomUUID,
     };
     this.#server = this.#makeServer(this.#makeRoutes());
   }
 
-  /** Binds the address; resolves when callers can connect. */
+  /** Binds the address; resolves once callers can connect. */
   start(): Promise<void> {
     return new Promise((resolve, reject) => {
       this.#server.once('error', reject);
@@ -86,7 +86,7 @@
     return address?.port ?? this.#settings.port;
   }
 
-  /** Counts for metrics and the dump. */
+  /** Counters for metrics and the state dump. */
   get counters(): CallerCounters {
     return {
       connections: this.#openConnections,
@@ -102,18 +102,20 @@
   }
 
   /**
-   * Graceful shutdown. Answers tell `connection: close` from now on; new
-   * connections are taken for the grace time, in which the platform's
-   * balancer learns of it; then the port closes and answers in flight finish.
+   * Shuts down gracefully. From now on responses carry `connection: close`. New
+   * connections are accepted for the grace period, in which the platform's load
+   * balancer notices the shutdown. Then the port closes, and responses in
+   * flight are completed.
    *
-   * @param limitMs longest time in all; what is left then is cut
+   * @param limitMs total time limit, milliseconds; responses that are still in
+   *     flight after it are cut off
    */
   async drain(limitMs: number): Promise<void> {
     if (this.#draining) return;
     this.#draining = true;
     const graceMs = Math.min(this.#settings.drainGraceMs, limitMs);
     await new Promise(resolve => setTimeout(resolve, graceMs));
-    const closed = this.#closePort();
+    const closed = this.#stopListening();
     const limit = setTimeout(() => {
       this.#server.closeAllConnections();
     }, limitMs - graceMs);
@@ -123,10 +125,10 @@
     await closed;
   }
 
-  /** Ends at once; cuts what is in flight. */
+  /** Stops immediately; responses in flight are cut off. */
   async stop(): Promise<void> {
     this.#draining = true;
-    const closed = this.#closePort();
+    const closed = this.#stopListening();
     this.#server.closeAllConnections();
     await closed;
   }
@@ -136,7 +138,7 @@
     const server = createServer({
       maxHeaderSize: settings.maxHeaderBytes,
       headersTimeout: settings.senderTimeoutMs,
-      // Covers head and body; the body's own limit is stricter.
+      // Covers head and body; `readBody` applies a stricter limit to the body.
       requestTimeout: 2 * settings.senderTimeoutMs + CONNECTION_CHECK_MS,
       keepAliveTimeout: settings.keepAliveMs,
       connectionsCheckingInterval: CONNECTION_CHECK_MS,
@@ -145,8 +147,8 @@
     });
     server.maxConnections = settings.maxConnections;
     server.on('request', (req, res) => {
-      // Paths are the caller's text. What routing throws on one of them would
-      // be uncaught here and end the process with everyone's answers.
+      // Routing may throw on a malformed path. Uncaught, the exception would
+      // end the process and with it all other responses.
       try {
         app.handler(req as Request, res as Response);
       } catch {
@@ -178,22 +180,22 @@
       },
     });
     app.post(CALLER_PATH.CHAT_COMPLETIONS, (req, res) => {
-      this.#serve(req, res, REQUEST_SORT.COMPLETION);
+      this.#serve(req, res, ENDPOINT.COMPLETION);
     });
     app.use(CALLER_PATH.SERVICES.slice(0, -1), (req, res) => {
-      this.#serve(req, res, REQUEST_SORT.SERVICE);
+      this.#serve(req, res, ENDPOINT.SERVICE);
     });
     return app;
   }
 
-  #serve(req: Request, res: Response, sort: RequestSort): void {
+  #serve(req: Request, res: Response, endpoint: Endpoint): void {
     if (req.method !== 'POST') {
       this.#refusals.refuse(req, res, makeFailure('notFound'));
       return;
     }
-    // Answers to pipelined requests would be kept here until the first one
-    // has gone out: memory for one connection that no limit counts.
-    if (!this.#connections.enter(req.socket)) {
+    // Responses to pipelined requests would be buffered until the first one was
+    // sent, which is memory that no limit accounts for.
+    if (!this.#connections.tryBeginRequest(req.socket)) {
       this.#refusals.refuse(
         req,
         res,
@@ -207,27 +209,27 @@
     const exchange = runExchange(
       req,
       res,
-      {path: req.originalUrl, sort},
+      {path: req.originalUrl, endpoint},
       this.#context,
     );
-    // Uncaught, a fault in one exchange would end the process and with it
-    // everyone's answers.
+    // Uncaught, a fault in one exchange would end the process and with it all
+    // other responses.
     exchange.catch(() => res.destroy());
     res.on('close', () => {
-      this.#leave(req, res, exchange);
+      this.#onResponseClosed(req, res, exchange);
     });
   }
 
-  #leave(
+  #onResponseClosed(
     req: Request,
     res: Response,
-    exchange: Promise<HttpAnswer | undefined>,
+    exchange: Promise<HttpResponseSink | undefined>,
   ): void {
-    this.#connections.leave(req.socket);
+    this.#connections.endRequest(req.socket);
     this.#responses.delete(res);
     if (!res.writableFinished) {
-      const count = (answer?: HttpAnswer): void => {
-        if (answer?.endedAsSlow) this.#slowReadersEnded += 1;
+      const count = (sink?: HttpResponseSink): void => {
+        if (sink?.wasSlowReader) this.#slowReadersEnded += 1;
         else this.#callersGone += 1;
       };
       exchange.then(count, () => undefined);
@@ -243,7 +245,7 @@
     });
   }
 
-  #closePort(): Promise<void> {
+  #stopListening(): Promise<void> {
     return new Promise(resolve => {
       this.#server.close(() => {
         resolve();
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_departure.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_drain_admission.test.ts
@@ -1,6 +1,6 @@
 import {Agent, request} from 'node:http';
 import {afterEach, describe, expect, it} from 'vitest';
-import {GatewayDeparture} from '../../gateway_departure.js';
+import {GatewayDrainAdmission} from '../../gateway_drain_admission.js';
 import {
   answer,
   beginStream,
@@ -11,7 +11,7 @@
   type Script,
 } from './gateway_harness.js';
 
-/** Lets a request wait for long. */
+/** A deadline that allows a long wait in the startup queue. */
 const LONG_DEADLINE = {[NAMES.deadlineMs]: '12000'};
 
 let harness: GatewayHarness | undefined;
@@ -22,8 +22,8 @@
   harness = undefined;
 });
 
-/** Sends a request on the one kept connection. */
-function callKept(path: string): Promise<{status: number; body: string}> {
+/** Sends a request on the single keep-alive connection. */
+function callKeepAlive(path: string): Promise<{status: number; body: string}> {
   return new Promise((resolve, reject) => {
     const req = request(
       {
@@ -51,36 +51,36 @@
   });
 }
 
-describe('what a stopping gateway takes', () => {
-  it('takes everything until it is told to stop', () => {
-    const departure = new GatewayDeparture();
-    departure.noteEnded('talk', 60_000);
-    expect(departure.mayTake('talk', 60_000, 0)).toBe(true);
+describe('GatewayDrainAdmission', () => {
+  it('admits everything before draining begins', () => {
+    const departure = new GatewayDrainAdmission();
+    departure.noteDuration('talk', 60_000);
+    expect(departure.admits('talk', 60_000, 0)).toBe(true);
   });
 
-  it('takes what ends in time by what was observed', () => {
-    const departure = new GatewayDeparture();
-    for (let at = 0; at < 100; at += 1) departure.noteEnded('read', 50);
-    for (let at = 0; at < 100; at += 1) departure.noteEnded('talk', 2_000);
+  it('admits requests whose observed durations end in time', () => {
+    const departure = new GatewayDrainAdmission();
+    for (let at = 0; at < 100; at += 1) departure.noteDuration('read', 50);
+    for (let at = 0; at < 100; at += 1) departure.noteDuration('talk', 2_000);
     departure.begin(8_000);
-    expect(departure.mayTake('read', 12_000, 7_500)).toBe(true);
-    expect(departure.mayTake('talk', 12_000, 4_000)).toBe(true);
-    expect(departure.mayTake('talk', 12_000, 5_500)).toBe(false);
+    expect(departure.admits('read', 12_000, 7_500)).toBe(true);
+    expect(departure.admits('talk', 12_000, 4_000)).toBe(true);
+    expect(departure.admits('talk', 12_000, 5_500)).toBe(false);
   });
 
-  it('takes what nothing is known of when its caller leaves in time', () => {
-    const departure = new GatewayDeparture();
+  it('admits unknown requests if their deadline is in time', () => {
+    const departure = new GatewayDrainAdmission();
     departure.begin(8_000);
-    expect(departure.mayTake('talk', 12_000, 0)).toBe(false);
-    expect(departure.mayTake('talk', 3_000, 0)).toBe(true);
+    expect(departure.admits('talk', 12_000, 0)).toBe(false);
+    expect(departure.admits('talk', 3_000, 0)).toBe(true);
   });
 });
 
-describe('a stopping gateway', () => {
-  // An answer begins before the stop, so it doesn't say that its connection
-  // ends. Once it is over the connection must be closed: its caller would send
-  // the next request on it, and lose the stream when the process ends.
-  it('closes a kept connection once its answer is over', async () => {
+describe('a draining gateway', () => {
+  // A response that began before draining did not announce that its connection
+  // closes. The connection must be closed after it: otherwise the caller sends
+  // the next request on it, and that stream is lost when the process exits.
+  it('closes a keep-alive connection once its response has ended', async () => {
     let end: () => void = () => undefined;
     const slow: Script = (req, res) => {
       beginStream(req, res);
@@ -88,27 +88,27 @@
       end = () => res.end('id: 2\ndata: b\n\n');
     };
     harness = await GatewayHarness.start([slow]);
-    const answered = callKept('/talk/a');
+    const answered = callKeepAlive('/talk/a');
     while (harness.arrivals.length === 0) await pause(5);
     await pause(50);
-    harness.server.beginClosing(clock.now() + 60_000);
+    harness.server.beginDraining(clock.now() + 60_000);
     const [socket] = Object.values(agent.sockets).flat();
     const closed = new Promise<boolean>(resolve => {
       socket!.once('close', () => {
         resolve(true);
       });
     });
-    // The front's own limit for idle connections is twice as long.
+    // The listener's idle timeout is twice as long.
     const kept = pause(8_000).then(() => false);
     end();
     expect((await answered).body).toContain('data: b');
     expect(await Promise.race([closed, kept])).toBe(true);
   });
 
-  // The gateway has lost control, so a request waits for the configuration to be
-  // confirmed. Then the gateway is stopped. The request must be answered as not
-  // run: its connection once ended with the process, without a word.
-  it('answers what waits for its configuration', async () => {
+  // The gateway can't reach control, so a request waits for the configuration
+  // to be confirmed. When the gateway is stopped, the request must be rejected
+  // as not run. Guards against closing its connection without a response.
+  it('rejects requests that wait for the configuration', async () => {
     const good: Script = (req, res) => {
       answer(req, res, 200, 'yes');
     };
@@ -116,23 +116,23 @@
     await pause(20);
     const waiting = harness.call({path: '/read/a', headers: LONG_DEADLINE});
     await pause(50);
-    harness.server.beginClosing(clock.now() + 60_000);
+    harness.server.beginDraining(clock.now() + 60_000);
     await harness.server.finish();
     harness.server.stop();
     expect((await waiting).status).toBe(503);
     expect(harness.arrivals).toEqual([]);
   });
 
-  // Two seconds before the end of the process a stream arrives that takes
-  // longer. Taken, it would be cut in the middle. It is refused as not run,
-  // while a short call is still served.
-  it('refuses as not run what would be cut', async () => {
+  // Shortly before the process exits a stream arrives that takes longer. If it
+  // were admitted, it would be cut off. It is rejected as not run, while a
+  // short request is still served.
+  it('rejects a request that would be cut off as not run', async () => {
     const good: Script = (req, res) => {
       answer(req, res, 200, 'yes');
     };
     harness = await GatewayHarness.start([good]);
     expect((await harness.call({path: '/read/a'})).status).toBe(200);
-    harness.server.beginClosing(clock.now() + 900);
+    harness.server.beginDraining(clock.now() + 900);
     const refused = await harness.call({path: '/talk/a'});
     expect(refused.status).toBe(503);
     expect(Number(refused.headers['retry-after'])).toBeGreaterThan(0);
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_failing_server.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_failing_server.test.ts
@@ -6,7 +6,7 @@
 import {OutcomeEstimate} from '../../gateway_outcome_estimate.js';
 import {GatewayPeers} from '../../gateway_peers.js';
 import {PrefillRate} from '../../gateway_prefill_rate.js';
-import {GatewayReadings} from '../../gateway_readings.js';
+import {GatewayLoadReports} from '../../gateway_load_reports.js';
 import {makeBackendServer} from './backend_servers.js';
 import {CONTENT} from './gateway_harness.js';
 
@@ -14,25 +14,25 @@
 const SERVERS = ['x', 'y', 'z'];
 const SLOTS = 6;
 const SERVICE_MS = 43;
-/** All gateways' requests in a millisecond: 26 a second. */
+/** Requests of all gateways per millisecond: 26 per second. */
 const REQUESTS_PER_MS = 0.026;
 const FAILS_FROM_MS = 5_000;
 const FAILS_TO_MS = 10_000;
 const FAILURE_SHARE = 0.4;
-const TELL_MS = 100;
-/** Time on the way through control. */
-const TOLD_AFTER_MS = 25;
+const REPORT_INTERVAL_MS = 100;
+/** Delay of a report on its way through control. */
+const REPORT_DELAY_MS = 25;
 
 interface Gateway {
   readonly fleet: GatewayFleet;
   readonly choice: GatewayChoice;
-  readonly readings: GatewayReadings;
+  readonly readings: GatewayLoadReports;
 }
 
 type Step = () => void;
 
-/** Gateways in front of three servers, one of which fails for a while. */
-class FailingServerPlay {
+/** Gateways in front of three servers, one of which fails for some time. */
+class FailingServerSimulation {
   readonly #random: Random;
   readonly #gateways: readonly Gateway[];
   readonly #due = new Map<number, Step[]>();
@@ -50,7 +50,7 @@
       for (const step of this.#due.get(this.#now) ?? []) step();
       this.#due.delete(this.#now);
       if (this.#random.next() < REQUESTS_PER_MS) this.#request();
-      if (this.#now % TELL_MS === 0) this.#tellAll();
+      if (this.#now % REPORT_INTERVAL_MS === 0) this.#reportAll();
     }
   }
 
@@ -73,15 +73,15 @@
       tried: new Set<string>(),
     };
     const state = gateway.choice.choose(request, this.#now)!.state;
-    const isIll =
+    const isFaulty =
       state.server.name === 'x' &&
       this.#now >= FAILS_FROM_MS &&
       this.#now < FAILS_TO_MS;
-    const fails = isIll && this.#random.next() < FAILURE_SHARE;
+    const fails = isFaulty && this.#random.next() < FAILURE_SHARE;
     state.inFlight += 1;
     this.#after(SERVICE_MS, () => {
       state.inFlight -= 1;
-      if (fails) state.noteErrorAnswer(this.#now);
+      if (fails) state.noteErrorResponse(this.#now);
       else state.noteSuccess(this.#now);
     });
     if (this.#now < FAILS_FROM_MS || this.#now >= FAILS_TO_MS) return;
@@ -89,12 +89,12 @@
     if (fails) this.failed += 1;
   }
 
-  #tellAll(): void {
+  #reportAll(): void {
     for (const [at, gateway] of this.#gateways.entries()) {
       const report = gateway.readings.takeReport(this.#now);
       if (!report) continue;
       const digest = {reports: [{...report, node: `gateway-${at}`}]};
-      this.#after(TOLD_AFTER_MS, () => {
+      this.#after(REPORT_DELAY_MS, () => {
         for (const {readings} of this.#gateways) {
           readings.apply(digest, this.#now);
         }
@@ -114,7 +114,7 @@
   const settings = {availabilityZone: 'a', rate};
   const random = new Random(100 + at);
   const choice = new GatewayChoice(settings, await loadKeyHasher(), random);
-  const readings = new GatewayReadings(
+  const readings = new GatewayLoadReports(
     `gateway-${at}`,
     fleet,
     rate,
@@ -124,34 +124,36 @@
 }
 
 describe('a server that fails part of its requests', () => {
-  // One of three services answers two requests in five with a failure, for five
-  // seconds, and its status check stays good. Requests that must not run twice
-  // are lost there. Over six seeds 5.1 in a hundred were lost; with each
-  // gateway's own outcomes alone 8.6, and 13.6 when a server was left only above
-  // 0.6 of failures.
-  it('is left by all gateways within a second', async () => {
+  // One of three services fails two requests in five for five seconds, while
+  // its health check passes. Requests that must not run twice are lost there.
+  // Over six seeds 5.1% were lost; 8.6% with each gateway's own outcomes alone,
+  // and 13.6% when a server was avoided only above a failure share of 0.6.
+  it('is avoided by all gateways within a second', async () => {
     const lost: number[] = [];
     for (const seed of [1, 2, 3, 4, 5, 6]) {
       const indexes = Array.from({length: GATEWAYS}, (_, at) => at);
       const gateways = await Promise.all(indexes.map(makeGateway));
-      const play = new FailingServerPlay(new Random(seed), gateways);
-      play.run(FAILS_TO_MS);
-      lost.push(play.failed / play.asked);
+      const simulation = new FailingServerSimulation(
+        new Random(seed),
+        gateways,
+      );
+      simulation.run(FAILS_TO_MS);
+      lost.push(simulation.failed / simulation.asked);
     }
     const mean = lost.reduce((sum, share) => sum + share) / lost.length;
     expect(mean).toBeLessThan(0.06);
   });
 });
 
-describe('the estimate of failures', () => {
-  it('is small without outcomes, and after one failure', () => {
+describe('OutcomeEstimate', () => {
+  it('is low without outcomes, and after one failure', () => {
     const estimate = new OutcomeEstimate();
     expect(estimate.failureShare(0)).toBeCloseTo(0.05);
     estimate.note({ended: 1, failed: 1}, 0);
     expect(estimate.failureShare(0)).toBeLessThan(0.2);
   });
 
-  it('follows the outcomes and forgets them', () => {
+  it('follows the outcomes and decays to the prior', () => {
     const estimate = new OutcomeEstimate();
     estimate.note({ended: 100, failed: 40}, 0);
     expect(estimate.failureShare(0)).toBeCloseTo(0.38, 1);
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_readings.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_load_reports.test.ts
@@ -2,20 +2,20 @@
 import {GatewayFleet} from '../../gateway_fleet.js';
 import {GatewayPeers} from '../../gateway_peers.js';
 import {PrefillRate} from '../../gateway_prefill_rate.js';
-import {GatewayReadings} from '../../gateway_readings.js';
+import {GatewayLoadReports} from '../../gateway_load_reports.js';
 import {type ServerState} from '../../gateway_server_state.js';
 import {makeBackendServer} from './backend_servers.js';
 
-/** One gateway's view of a hundred servers. */
+/** A gateway with a hundred servers. */
 class Gateway {
   readonly fleet = new GatewayFleet();
   readonly peers = new GatewayPeers();
-  readonly readings: GatewayReadings;
+  readonly readings: GatewayLoadReports;
   readonly name: string;
 
   constructor(name: string) {
     this.name = name;
-    this.readings = new GatewayReadings(
+    this.readings = new GatewayLoadReports(
       name,
       this.fleet,
       new PrefillRate(40),
@@ -32,8 +32,8 @@
     return this.fleet.find(`server-${at}`)!;
   }
 
-  /** Hands a report on as control does. */
-  tell(other: Gateway, now: number): boolean {
+  /** Distributes a report as control does. */
+  reportTo(other: Gateway, now: number): boolean {
     const report = this.readings.takeReport(now);
     if (!report) return false;
     const digest = {reports: [{...report, node: this.name}]};
@@ -43,43 +43,44 @@
   }
 }
 
-describe('what gateways tell each other', () => {
-  // Many gateways send one request each to the same server. Each by itself sees
-  // a server with one request; together they drown it.
-  it('counts the requests of all at a server', () => {
+describe('GatewayLoadReports', () => {
+  // Many gateways send one request each to the same server. Each one alone sees
+  // a server with one request, while together they overload it.
+  it('counts the requests of all gateways at a server', () => {
     const here = new Gateway('here');
     const there = new Gateway('there');
     there.server(3).inFlight = 5;
     here.server(3).inFlight = 2;
-    expect(there.tell(here, 1_000)).toBe(true);
+    expect(there.reportTo(here, 1_000)).toBe(true);
     expect(here.server(3).load(1_000)).toBe(7);
     expect(there.server(3).load(1_000)).toBe(5);
     there.server(3).inFlight = 0;
-    expect(there.tell(here, 2_000)).toBe(true);
+    expect(there.reportTo(here, 2_000)).toBe(true);
     expect(here.server(3).load(2_000)).toBe(2);
   });
 
-  // With a hundred servers a report each 20 ms from each gateway to each other
-  // would be most of their traffic. A prompt to be read can't wait so long.
-  it('tells numbers the more rarely the more servers there are', () => {
+  // With a hundred servers, a report every 20 ms from each gateway to each
+  // other one would be most of their traffic. Prefill reports can't wait that
+  // long.
+  it('reports request counts less often with more servers', () => {
     const here = new Gateway('here');
     const there = new Gateway('there');
     here.server(0).inFlight = 1;
-    expect(here.tell(there, 1_000)).toBe(true);
+    expect(here.reportTo(there, 1_000)).toBe(true);
     here.server(0).inFlight = 2;
-    expect(here.tell(there, 1_399)).toBe(false);
-    const tokens = {newTokens: 900, unreadTokens: 800};
-    here.readings.note(here.server(1), ['a'], tokens);
-    expect(here.tell(there, 1_399)).toBe(true);
+    expect(here.reportTo(there, 1_399)).toBe(false);
+    const tokens = {newTokens: 900, prefillTokens: 800};
+    here.readings.notePrefill(here.server(1), ['a'], tokens);
+    expect(here.reportTo(there, 1_399)).toBe(true);
     expect(there.server(0).load(1_399)).toBe(2);
-    expect(there.server(1).readingMs(40, 1_399)).toBe(20);
-    expect(here.tell(there, 2_898)).toBe(false);
+    expect(there.server(1).prefillWaitMs(40, 1_399)).toBe(20);
+    expect(here.reportTo(there, 2_898)).toBe(false);
   });
 
-  // Members of control are upgraded one by one, and gateways go on from one release to
-  // the other: one tells of each gateway, the next of all together. Counted twice, the
-  // servers with the most work would look drowned.
-  it('counts requests once when members of two releases tell', () => {
+  // Members of control are upgraded one by one, and gateways switch between
+  // them. One release reports each gateway separately, the other one the sum of
+  // all. Counted twice, the busiest servers would look overloaded.
+  it('counts requests once when members of two releases report', () => {
     const here = new Gateway('here');
     const tell = (node: string, requests: number, now: number): void => {
       const running = [{backendServer: 'server-3', requests}];
@@ -95,34 +96,34 @@
     expect(here.server(3).load(200)).toBe(5);
   });
 
-  // Guards against servers that look free while long requests fill them.
-  it('goes on counting requests that run for long', () => {
+  // Guards against servers that look idle while long requests occupy them.
+  it('keeps counting long-running requests', () => {
     const here = new Gateway('here');
     const there = new Gateway('there');
     there.server(0).inFlight = 4;
     for (let now = 0; now <= 10_000; now += 100) {
-      there.tell(here, now);
-      here.fleet.forgetSilentRouters(now);
+      there.reportTo(here, now);
+      here.fleet.expireRemoteRequests(now);
       expect(here.server(0).load(now)).toBe(4);
     }
   });
 
-  // A gateway is killed with requests under way. Nobody takes back what it told.
-  it('forgets what a gateway told that is gone', () => {
+  // A gateway is killed with requests in flight, and can't withdraw its report.
+  it('drops the counts of a gateway that stopped', () => {
     const here = new Gateway('here');
-    const gone = new Gateway('gone');
-    gone.server(0).inFlight = 9;
-    gone.tell(here, 0);
-    here.fleet.forgetSilentRouters(2_900);
+    const stopped = new Gateway('gone');
+    stopped.server(0).inFlight = 9;
+    stopped.reportTo(here, 0);
+    here.fleet.expireRemoteRequests(2_900);
     expect(here.server(0).load(2_900)).toBe(9);
-    here.fleet.forgetSilentRouters(3_100);
+    here.fleet.expireRemoteRequests(3_100);
     expect(here.server(0).load(3_100)).toBe(0);
   });
 });
 
-// A pool fails, and each gateway sends requests again by its part of a slack that
-// all share. Who reports takes a part; a gateway's own reports come back to it.
-it('a gateway knows how many others report', () => {
+// Gateways divide the retry slack among those that report. A gateway's own
+// reports come back in the digest and must not be counted.
+it('a gateway counts the other gateways that report', () => {
   const [one, two] = [new Gateway('one'), new Gateway('two')];
   const digest = {
     reports: ['one', 'two', 'three'].map(node => ({node, readings: []})),
--- /dev/null
+++ b/packages/lovagepond-gateway/src/gateway_drain_admission.ts
@@ -0,0 +1,66 @@
+/**
+ * Admission control of a draining gateway.
+ *
+ * Callers keep using their open connections. A stream that is admitted late in
+ * the grace period is cut off when the process exits and is lost to its caller,
+ * although another gateway would have served it.
+ */
+
+/**
+ * Weights of an observed duration in the estimate: longer or shorter than it.
+ */
+const LONGER_WEIGHT = 0.5;
+const SHORTER_WEIGHT = 0.01;
+
+/**
+ * Multiplies the estimate, which follows the longest of some hundred requests:
+ * a server may have become slower.
+ */
+const SAFETY_FACTOR = 1.5;
+
+/** Reserve before the process exits, milliseconds. */
+const END_MARGIN_MS = 300;
+
+/**
+ * Estimates how long requests take, and rejects those that can't finish before
+ * the process exits.
+ */
+export class GatewayDrainAdmission {
+  /** Estimated long duration by rule name, milliseconds. */
+  readonly #longDurations = new Map<string, number>();
+  #endsAt: number | undefined;
+
+  /** True once draining has begun. */
+  get isDraining(): boolean {
+    return this.#endsAt !== undefined;
+  }
+
+  /** @param endsAt when the process exits at the latest, monotonic ms */
+  begin(endsAt: number): void {
+    this.#endsAt = endsAt;
+  }
+
+  /**
+   * @param rule name of the rule that matched the request
+   * @param durationMs time from the request's arrival to its end, milliseconds
+   */
+  noteDuration(rule: string, durationMs: number): void {
+    const long = this.#longDurations.get(rule) ?? 0;
+    const weight = durationMs > long ? LONGER_WEIGHT : SHORTER_WEIGHT;
+    this.#longDurations.set(rule, long + (durationMs - long) * weight);
+  }
+
+  /**
+   * @param rule name of the rule that matches the request
+   * @param limitMs time left until the request's deadline, milliseconds
+   * @param now current time, monotonic milliseconds
+   * @returns false when the process is likely to exit before the response ends
+   */
+  admits(rule: string, limitMs: number, now: number): boolean {
+    if (this.#endsAt === undefined) return true;
+    const long = this.#longDurations.get(rule);
+    const expectedMs = long === undefined ? limitMs : long * SAFETY_FACTOR;
+    const neededMs = Math.min(limitMs, expectedMs) + END_MARGIN_MS;
+    return now + neededMs <= this.#endsAt;
+  }
+}
--- /dev/null
+++ b/packages/lovagepond-gateway/src/gateway_load_reports.ts
@@ -0,0 +1,172 @@
+/**
+ * Exchanges load reports with the other gateways: the requests of each gateway
+ * at the servers, their outcomes, and the prompts to be computed there.
+ */
+import {type lovagepond} from '@lovagepond/protocol';
+import {type GatewayFleet} from './gateway_fleet.js';
+import {type GatewayPeers} from './gateway_peers.js';
+import {type PrefillRate} from './gateway_prefill_rate.js';
+import {type ServerState} from './gateway_server_state.js';
+
+type WireReading = lovagepond.v1.PromptReading.$Properties;
+type WireRunning = lovagepond.v1.RunningRequests.$Properties;
+type WireReport = Pick<
+  lovagepond.v1.ReadingReport.$Properties,
+  'readings' | 'running'
+>;
+type WireDigest = lovagepond.v1.ReadingDigest.$Properties;
+
+/**
+ * Interval between reports of request counts, per listed server, milliseconds.
+ * Each report goes to all gateways. With a fixed interval, the traffic that a
+ * gateway receives would grow with the number of servers and of gateways. At 44
+ * servers a count is 0.2 s old, while requests last 0.05 to 2 s.
+ */
+const RUNNING_MS_PER_SERVER = 4;
+
+/**
+ * Interval after which an unchanged count is reported again, milliseconds. The
+ * other gateways discard a count that is not refreshed for 3 s.
+ */
+const REFRESH_INTERVAL_MS = 1_500;
+
+interface ReportedRequests {
+  readonly requests: number;
+  readonly at: number;
+}
+
+const NEVER_REPORTED: ReportedRequests = Object.freeze({
+  requests: 0,
+  at: -Infinity,
+});
+
+/** Tokens of a shared prefix at one server, as far as this gateway knows. */
+export interface PrefixTokens {
+  /** Tokens that the server did not hold before. */
+  readonly newTokens: number;
+  /** The part of them that it has to compute, as it can't fetch it. */
+  readonly prefillTokens: number;
+}
+
+/** Fewer tokens are computed before a report could reach the others. */
+const MIN_REPORTED_TOKENS = 64;
+
+/** Collects this gateway's load reports and applies those of the others. */
+export class GatewayLoadReports {
+  readonly #node: string;
+  readonly #fleet: GatewayFleet;
+  readonly #rate: PrefillRate;
+  readonly #peers: GatewayPeers;
+  #pendingReadings: WireReading[] = [];
+  #lastReported: ReadonlyMap<string, ReportedRequests> = new Map();
+  #runningReportedAt = Number.NEGATIVE_INFINITY;
+
+  /**
+   * @param node this gateway's name, which marks its own reports in a digest
+   * @param fleet the servers
+   * @param rate the engines' prefill rate
+   * @param peers records each other gateway that reports
+   */
+  constructor(
+    node: string,
+    fleet: GatewayFleet,
+    rate: PrefillRate,
+    peers: GatewayPeers,
+  ) {
+    this.#node = node;
+    this.#fleet = fleet;
+    this.#rate = rate;
+    this.#peers = peers;
+  }
+
+  /**
+   * Adds a prompt's shared prefix to the next report.
+   *
+   * @param state the server that the prompt is sent to
+   * @param sharedIds ids of the prompt's parts that other requests share
+   * @param tokens the prefix's tokens that are new there and to be computed
+   */
+  notePrefill(
+    state: ServerState,
+    sharedIds: readonly string[],
+    {newTokens, prefillTokens}: PrefixTokens,
+  ): void {
+    if (sharedIds.length === 0 || newTokens < MIN_REPORTED_TOKENS) return;
+    const prefix = sharedIds.map(id => `/${id}`).join('');
+    const backendServer = state.server.name;
+    this.#pendingReadings.push({backendServer, prefix, tokens: prefillTokens});
+  }
+
+  /**
+   * @param now current time, monotonic milliseconds
+   * @returns the report to send now, if any; its contents are not returned
+   *     again
+   */
+  takeReport(now: number): WireReport | undefined {
+    const readings = this.#pendingReadings;
+    this.#pendingReadings = [];
+    const intervalMs = RUNNING_MS_PER_SERVER * this.#fleet.size;
+    const isDue = now - this.#runningReportedAt >= intervalMs;
+    const running = isDue || readings.length > 0 ? this.#takeRunning(now) : [];
+    if (readings.length === 0 && running.length === 0) return undefined;
+    this.#runningReportedAt = now;
+    return {readings, running};
+  }
+
+  #takeRunning(now: number): WireRunning[] {
+    const changed: WireRunning[] = [];
+    const reported = new Map<string, ReportedRequests>();
+    for (const state of this.#fleet.all()) {
+      const {inFlight: requests, server} = state;
+      const before = this.#lastReported.get(server.name) ?? NEVER_REPORTED;
+      const isDue = requests > 0 && now - before.at >= REFRESH_INTERVAL_MS;
+      const hasChanged =
+        requests !== before.requests || state.hasUnreportedFailure;
+      reported.set(
+        server.name,
+        hasChanged || isDue ? {requests, at: now} : before,
+      );
+      if (!hasChanged && !isDue) continue;
+      const outcomes = state.takeUnreportedOutcomes();
+      changed.push({backendServer: server.name, requests, ...outcomes});
+    }
+    this.#lastReported = reported;
+    return changed;
+  }
+
+  /**
+   * @param digest reports of several gateways, as distributed by control
+   * @param now current time, monotonic milliseconds
+   */
+  apply(digest: WireDigest, now: number): void {
+    if (digest.routers) this.#peers.noteCount(digest.routers, now);
+    for (const {node, readings, running} of digest.reports ?? []) {
+      if (node === this.#node) continue;
+      if (node) this.#peers.note(node, now);
+      for (const reading of readings ?? []) this.#applyReading(reading, now);
+      for (const one of running ?? []) {
+        this.#applyRunning(node ?? '', one, now);
+      }
+    }
+  }
+
+  #applyRunning(gateway: string, reported: WireRunning, now: number): void {
+    const {backendServer, requests, ended, failed} = reported;
+    const state = this.#fleet.find(backendServer ?? '');
+    state?.noteRemoteRequests(gateway, requests ?? 0, now);
+    if (!ended) return;
+    state?.noteRemoteOutcomes({ended, failed: failed ?? 0}, now);
+  }
+
+  #applyReading(
+    {backendServer, prefix, tokens}: WireReading,
+    now: number,
+  ): void {
+    const state = this.#fleet.find(backendServer ?? '');
+    if (!state) return;
+    const {tokensPerMs} = this.#rate;
+    state.noteRemotePrefill((tokens ?? 0) / tokensPerMs, now);
+    const prefilledAt = now + state.prefillWaitMs(tokensPerMs, now);
+    state.noteWarm((prefix ?? '').split('/').slice(1), prefilledAt);
+  }
+}
--- a/packages/lovagepond-gateway/src/gateway_quarantine.ts
+++ b/packages/lovagepond-gateway/src/gateway_quarantine.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps requests that crash servers away from them: finds out which servers
- * crashed, tells control, and knows which requests control quarantines.
+ * Keeps requests that crash servers from running: detects crashed servers,
+ * reports them to control, and applies the quarantines that control decides on.
  */
 import {type Clock, type Logger, type ServerCrash} from '@lovagepond/core';
 import {type ControlUpdate} from '@lovagepond/router/control_link';
@@ -11,79 +11,86 @@
   SUSPECT_CRASHES,
 } from '@lovagepond/router/quarantine';
 import {type AttemptFailure} from './gateway_attempt.js';
-import {GatewayCrashWatch, type Reachability} from './gateway_crash_watch.js';
+import {
+  GatewayCrashDetector,
+  type Reachability,
+} from './gateway_crash_detector.js';
 import {type ServerState} from './gateway_server_state.js';
 
 type QuarantineUpdate = NonNullable<ControlUpdate['quarantine']>;
 
-/** What the class works with. */
-export interface QuarantineParts {
+/** Dependencies of {@link GatewayQuarantine}. */
+export interface QuarantineDependencies {
   readonly clock: Clock;
   readonly log: Logger;
-  /** @param address `host:port` of a server that may have ended */
+  /** @param address `host:port` of a server that may have crashed */
   readonly probe: (address: string) => Promise<Reachability>;
-  /** @returns whether control has recorded the report */
+  /** @returns true once control has recorded the report */
   readonly report: (report: CrashReport) => Promise<boolean>;
-  /** Ends requests under way that are quarantined. */
-  readonly takeBack: (fingerprint: string) => void;
+  /** Aborts the requests in flight with the fingerprint. */
+  readonly abortQuarantined: (fingerprint: string) => void;
 }
 
-/** One gateway's part in quarantines. */
+/** Applies and reports on quarantines in one gateway. */
 export class GatewayQuarantine {
-  readonly #parts: QuarantineParts;
+  readonly #deps: QuarantineDependencies;
   readonly #requests = new RequestQuarantine();
   readonly #reporter: CrashReporter;
-  readonly #watch = new GatewayCrashWatch((crash, now) => {
+  readonly #detector = new GatewayCrashDetector((crash, now) => {
     this.#noteCrash(crash, now);
   });
 
-  /** @param parts what it works with */
-  constructor(parts: QuarantineParts) {
-    this.#parts = parts;
-    const {clock, report} = parts;
+  /** @param deps its dependencies */
+  constructor(deps: QuarantineDependencies) {
+    this.#deps = deps;
+    const {clock, report} = deps;
     const quarantine = this.#requests;
     this.#reporter = new CrashReporter({clock, quarantine, report});
   }
 
-  /** Servers that crashed under requests of this gateway. */
+  /** Servers that crashed while they ran requests of this gateway. */
   get crashedServers(): number {
-    return this.#watch.crashes;
+    return this.#detector.crashes;
   }
 
-  /** Suspected requests that control tells of. */
+  /** Number of suspected requests that control lists. */
   get size(): number {
     return this.#requests.size;
   }
 
-  /** @param now present time, monotonic milliseconds; call it often */
+  /**
+   * Must be called periodically.
+   *
+   * @param now current time, monotonic milliseconds
+   */
   tick(now: number): void {
     this.#probe(now);
     this.#reporter.tick(now);
   }
 
   /**
-   * @param update all suspected requests
-   * @param now present time, monotonic milliseconds
+   * @param update the complete list of suspected requests
+   * @param now current time, monotonic milliseconds
    */
   useUpdate(update: QuarantineUpdate, now: number): void {
     for (const fingerprint of this.#requests.apply(update, now)) {
-      this.#parts.log.warn('request quarantined', {fingerprint});
-      this.#parts.takeBack(fingerprint);
+      this.#deps.log.warn('request quarantined', {fingerprint});
+      this.#deps.abortQuarantined(fingerprint);
     }
   }
 
   /**
    * @param listed names of the servers that control lists
-   * @param now present time, monotonic milliseconds
+   * @param now current time, monotonic milliseconds
    */
   useListed(listed: ReadonlySet<string>, now: number): void {
-    this.#watch.noteListed(listed, now);
+    this.#detector.noteListed(listed, now);
   }
 
   /**
    * @param fingerprint of a request
-   * @param now present time, monotonic milliseconds
-   * @returns time until it may run, milliseconds; undefined when it may now
+   * @param now current time, monotonic milliseconds
+   * @returns time until it may run, milliseconds; undefined if it may run now
    */
   quarantinedForMs(fingerprint: string, now: number): number | undefined {
     return this.#requests.quarantinedForMs(fingerprint, now);
@@ -91,19 +98,19 @@
 
   /**
    * @param fingerprint of a request
-   * @param now present time, monotonic milliseconds
-   * @returns true when a second try would put another server at risk
+   * @param now current time, monotonic milliseconds
+   * @returns true when a retry might crash another server
    */
   isSuspect(fingerprint: string, now: number): boolean {
     const crashes = this.#requests.find(fingerprint, now)?.crashes ?? 0;
-    return crashes + this.#watch.undecided(fingerprint) >= SUSPECT_CRASHES;
+    return crashes + this.#detector.undecided(fingerprint) >= SUSPECT_CRASHES;
   }
 
   /**
    * @param state a server
-   * @param fingerprint of the request that it failed
-   * @param failure how
-   * @param now present time, monotonic milliseconds
+   * @param fingerprint of the request that failed there
+   * @param failure how the attempt failed
+   * @param now current time, monotonic milliseconds
    */
   noteFailure(
     state: ServerState,
@@ -112,35 +119,35 @@
     now: number,
   ): void {
     if (failure.kind === 'broken' && failure.isLost) {
-      this.#watch.noteBroken(state, fingerprint, now);
+      this.#detector.noteConnectionLost(state, fingerprint, now);
       this.#probe(now);
     } else if (failure.kind === 'unsent' && failure.isRefused) {
-      this.#watch.noteEnded(state.server.name, now);
-    } else if (state.isGone) {
-      this.#watch.noteEnded(state.server.name, now);
+      this.#detector.noteExited(state.server.name, now);
+    } else if (state.isReplaced) {
+      this.#detector.noteExited(state.server.name, now);
     }
   }
 
   /**
-   * @param fingerprint of a request that a server answered whole
-   * @param now present time, monotonic milliseconds
+   * @param fingerprint of a request that got a complete response
+   * @param now current time, monotonic milliseconds
    */
   noteAnswered(fingerprint: string, now: number): void {
     this.#requests.noteAnswered(fingerprint, now);
   }
 
   #probe(now: number): void {
-    for (const {server} of this.#watch.takeProbes(now)) {
-      void this.#parts.probe(server.address).then(reachability => {
-        const probedAt = this.#parts.clock.now();
-        this.#watch.noteProbe(server.name, reachability, probedAt);
+    for (const {server} of this.#detector.takeDueProbes(now)) {
+      void this.#deps.probe(server.address).then(reachability => {
+        const probedAt = this.#deps.clock.now();
+        this.#detector.noteProbe(server.name, reachability, probedAt);
       });
     }
   }
 
   #noteCrash(crash: ServerCrash, now: number): void {
     const {server, requests, crashedAt} = crash;
-    this.#parts.log.warn('backend server crashed', {
+    this.#deps.log.warn('backend server crashed', {
       backendServer: server,
       requests: requests.join(' '),
       brokeMsAgo: Math.round(now - crashedAt),
@@ -148,7 +155,7 @@
     this.#reporter.noteCrash(crash, now);
     for (const fingerprint of requests) {
       const leftMs = this.quarantinedForMs(fingerprint, now);
-      if (leftMs !== undefined) this.#parts.takeBack(fingerprint);
+      if (leftMs !== undefined) this.#deps.abortQuarantined(fingerprint);
     }
   }
 }
--- a/packages/lovagepond-gateway/src/gateway_request_body.ts
+++ b/packages/lovagepond-gateway/src/gateway_request_body.ts
@@ -1,23 +1,23 @@
 /**
- * Reads a request's body whole before anything of it goes on: a request that
- * stops half way has then not run, and one that runs can be tried again.
+ * Buffers a request's body before anything of it is forwarded. An incomplete
+ * request then never runs at a server, and a forwarded one can be retried.
  */
 import {type IncomingMessage} from 'node:http';
 import {type ErrorKind} from '@lovagepond/core';
 
-/** Hears once how the reading ended. */
+/** Receives the result of reading a body; exactly one method is called. */
 export interface BodyListener {
   onWhole(body: Buffer): void;
   onRefused(error: ErrorKind): void;
-  /** The caller left; nobody is there to be answered. */
-  onGone(): void;
+  /** The caller disconnected, so that no response is needed. */
+  onDisconnected(): void;
 }
 
 /**
  * @param req the request
- * @param maxBytes largest body taken
- * @param limitMs longest time for the body, milliseconds
- * @param listener hears how it ended
+ * @param maxBytes largest accepted body, bytes
+ * @param limitMs time limit for the whole body, milliseconds
+ * @param listener receives the result
  */
 export function readBody(
   req: IncomingMessage,
@@ -28,11 +28,11 @@
   const chunks: Buffer[] = [];
   let size = 0;
   let isOver = false;
-  const end = (tell: () => void): void => {
+  const end = (notify: () => void): void => {
     if (isOver) return;
     isOver = true;
     clearTimeout(timer);
-    tell();
+    notify();
   };
   const refuse = (error: ErrorKind): void => {
     end(() => {
@@ -58,12 +58,12 @@
   });
   req.on('close', () => {
     end(() => {
-      listener.onGone();
+      listener.onDisconnected();
     });
   });
   req.on('error', () => {
     end(() => {
-      listener.onGone();
+      listener.onDisconnected();
     });
   });
 }
--- a/packages/lovagepond-gateway/src/gateway_retry_budget.ts
+++ b/packages/lovagepond-gateway/src/gateway_retry_budget.ts
@@ -1,26 +1,27 @@
 /**
- * One budget of second tries for all routers together.
+ * A retry budget shared by all gateways.
  *
- * A pool that fails under load gets each request several times over, which
- * keeps it failing. Each router spends a share of its own requests and an
- * equal part of the common slack: among as many as it has heard of, and no fewer
- * than the settings say, so that the sum holds also while few are heard of.
+ * Without a budget, retries multiply the load of a pool that fails under load,
+ * and keep it failing. Each gateway may spend a fraction of its own requests
+ * and an equal share of the common slack. The slack is divided among the
+ * gateways seen, but at least among the configured number, so that the total
+ * holds while few have been seen.
  */
 import {type GatewayPeers} from './gateway_peers.js';
 
 /** Settings of {@link GatewayRetryBudget}. */
 export interface GatewayBudgetSettings {
-  /** Second tries as a fraction of requests. */
+  /** Retries as a fraction of requests. */
   readonly retryFraction: number;
-  /** Sliding time in which both are counted, milliseconds. */
+  /** Sliding window in which both are counted, milliseconds. */
   readonly retryWindowMs: number;
-  /** Second tries that all routers together may make beside the fraction. */
+  /** Retries that all gateways together may make beyond the fraction. */
   readonly retrySlack: number;
-  /** Routers that are taken to share the slack, at least. */
+  /** Smallest number of gateways assumed to share the slack. */
   readonly retryShares: number;
 }
 
-/** Times of the events of one pool within the window. */
+/** Times of one pool's events within the window. */
 class SlidingCount {
   readonly #times: number[] = [];
   #start = 0;
@@ -39,16 +40,16 @@
   }
 }
 
-/** Counts first tries and second tries by pool. */
+/** Counts requests and retries by pool. */
 export class GatewayRetryBudget {
   readonly #settings: GatewayBudgetSettings;
   readonly #peers: GatewayPeers;
-  readonly #first = new Map<string, SlidingCount>();
-  readonly #second = new Map<string, SlidingCount>();
+  readonly #requests = new Map<string, SlidingCount>();
+  readonly #retries = new Map<string, SlidingCount>();
 
   /**
-   * @param settings fraction and slack
-   * @param peers the other routers
+   * @param settings the budget's size and window
+   * @param peers the other gateways
    */
   constructor(settings: GatewayBudgetSettings, peers: GatewayPeers) {
     this.#settings = settings;
@@ -56,35 +57,36 @@
   }
 
   /**
-   * @param pool the pool that a request goes to
-   * @param now present time, monotonic milliseconds
+   * @param pool the pool that a request is sent to
+   * @param now current time, monotonic milliseconds
    */
   noteRequest(pool: string, now: number): void {
-    countOf(this.#first, pool).add(now);
+    countOf(this.#requests, pool).add(now);
   }
 
   /**
-   * @param pool the pool of a second try
-   * @param now present time, monotonic milliseconds
-   * @returns false when the budget is spent; true spends one try
+   * @param pool the pool to retry in
+   * @param now current time, monotonic milliseconds
+   * @returns true if one retry was taken from the budget, false if it is
+   *     exhausted
    */
   trySpend(pool: string, now: number): boolean {
     const {retryFraction, retryWindowMs} = this.#settings;
     const since = now - retryWindowMs;
     const allowed =
-      countOf(this.#first, pool).count(since) * retryFraction +
+      countOf(this.#requests, pool).count(since) * retryFraction +
       this.#slackShare(since);
-    const second = countOf(this.#second, pool);
-    if (second.count(since) + 1 > allowed) return false;
-    second.add(now);
+    const retries = countOf(this.#retries, pool);
+    if (retries.count(since) + 1 > allowed) return false;
+    retries.add(now);
     return true;
   }
 
-  /** Who was heard of within the window may have spent its share in it. */
+  /** Counts the gateways that may have spent their share within the window. */
   #slackShare(since: number): number {
     const {retrySlack, retryShares} = this.#settings;
-    const routers = this.#peers.count(since) + 1;
-    return Math.floor(retrySlack / Math.max(retryShares, routers));
+    const gateways = this.#peers.count(since) + 1;
+    return Math.floor(retrySlack / Math.max(retryShares, gateways));
   }
 }
 
@@ -92,9 +94,9 @@
   counts: Map<string, SlidingCount>,
   pool: string,
 ): SlidingCount {
-  const known = counts.get(pool);
-  if (known) return known;
-  const made = new SlidingCount();
-  counts.set(pool, made);
-  return made;
+  const existing = counts.get(pool);
+  if (existing) return existing;
+  const created = new SlidingCount();
+  counts.set(pool, created);
+  return created;
 }
--- a/packages/lovagepond-gateway/src/gateway_server.ts
+++ b/packages/lovagepond-gateway/src/gateway_server.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP front of a gateway: takes requests apart as far as they must be
- * understood, and refuses what can't be a proper request.
+ * The HTTP listener of a gateway: decodes requests as far as needed, and
+ * rejects malformed ones.
  */
 import {
   createServer,
@@ -22,78 +22,81 @@
 import {type ClockReading} from './gateway_authority.js';
 import {CallerChannel} from './gateway_caller_channel.js';
 import {Exchange} from './gateway_exchange.js';
-import {type ExchangeParts} from './gateway_exchange_types.js';
-import {GatewayDeparture} from './gateway_departure.js';
+import {type ExchangeDependencies} from './gateway_exchange_types.js';
+import {GatewayDrainAdmission} from './gateway_drain_admission.js';
 import {readFacts, type RequestFacts} from './gateway_headers.js';
 import {type GatewaySettings} from './gateway_settings.js';
 import {fingerprintOf} from '@lovagepond/router/quarantine';
-import {WaitingRoom} from './gateway_waiting_room.js';
+import {StartupQueue} from './gateway_startup_queue.js';
 import {readBody} from './gateway_request_body.js';
 
-/** Limits until the configuration says them. */
-const FIRST_LIMITS: CallerLimits = {
+/** Limits used until the configuration sets them. */
+const DEFAULT_LIMITS: CallerLimits = {
   maxHeaderBytes: 16 * 1024,
   maxBodyBytes: 4 * 1024 * 1024,
   headerTimeoutMs: 3_000,
   idleTimeoutMs: 15_000,
 };
 
-/** Node's own limit on heads: above any that a configuration may set. */
+/** Node's limit on request heads; above any limit of a configuration, bytes. */
 const PARSER_HEAD_BYTES = 256 * 1024;
 
-/** How often slow senders are looked for, milliseconds. */
+/** Interval at which slow senders are checked for, milliseconds. */
 const SLOW_SENDER_CHECK_MS = 250;
 
-/** A caller may send up to the idle timeout: the server closes later. */
+/**
+ * Added to the idle timeout, milliseconds: a caller may still send a request
+ * just before it, so the listener closes the connection later.
+ */
 const IDLE_MARGIN_MS = 1_000;
 
 /**
- * How often a stopping gateway closes kept connections that have become idle,
- * milliseconds. An answer that began before the stop didn't say that its
- * connection ends, so its caller would send the next request on it.
+ * Interval at which a draining gateway closes idle keep-alive connections,
+ * milliseconds. A response that began before draining did not announce the
+ * close, so its caller would send the next request on the connection.
  */
 const IDLE_SWEEP_MS = 100;
 
-/** Assumed of a request that doesn't say how long its caller waits, ms. */
+/** Deadline assumed for requests without one, milliseconds. */
 const DEFAULT_DEADLINE_MS = 1_000;
 
-/** Error codes of Node's parser to error kinds. */
+/** Maps error codes of Node's HTTP parser to error kinds. */
 const PARSER_ERRORS: Readonly<Record<string, ErrorKind>> = {
   HPE_HEADER_OVERFLOW: 'headersTooLarge',
   ERR_HTTP_REQUEST_TIMEOUT: 'senderTooSlow',
 };
 
-/** What the front works with. */
-export interface GatewayServerParts extends ExchangeParts {
+/** Dependencies of {@link GatewayServer}. */
+export interface GatewayServerDependencies extends ExchangeDependencies {
   readonly admission: GatewayAdmission;
   readonly random: Random;
 }
 
-type FrontSettings = Pick<GatewaySettings, 'host' | 'port' | 'maxHeldBytes'>;
+type ListenerSettings = Pick<GatewaySettings, 'host' | 'port' | 'maxHeldBytes'>;
 
-/** Serves callers. */
+/** Accepts callers' connections and handles their requests. */
 export class GatewayServer {
-  readonly #settings: FrontSettings;
-  readonly #parts: GatewayServerParts;
+  readonly #settings: ListenerSettings;
+  readonly #deps: GatewayServerDependencies;
   readonly #clock: Clock;
   readonly #log: Logger;
   readonly #server: Server;
-  readonly #waiting = new WaitingRoom();
-  #limits = FIRST_LIMITS;
-  /** Answers that aren't delivered whole yet. */
-  #open = 0;
-  #heldBytes = 0;
-  /** Requests under way, by their fingerprints. */
+  readonly #startupQueue = new StartupQueue();
+  #limits = DEFAULT_LIMITS;
+  /** Responses that are not completely delivered. */
+  #openResponses = 0;
+  #bufferedBytes = 0;
+  /** Exchanges in flight, by request fingerprint. */
   readonly #exchanges = new Map<string, Set<Exchange>>();
-  readonly #departure = new GatewayDeparture();
+  readonly #drainAdmission = new GatewayDrainAdmission();
   #idleSweep: NodeJS.Timeout | undefined;
-  #idleListener: (() => void) | undefined;
+  #onAllDelivered: (() => void) | undefined;
 
-  constructor(settings: FrontSettings, parts: GatewayServerParts) {
+  constructor(settings: ListenerSettings, deps: GatewayServerDependencies) {
     this.#settings = settings;
-    this.#parts = parts;
-    this.#clock = parts.clock;
-    this.#log = parts.log;
+    this.#deps = deps;
+    this.#clock = deps.clock;
+    this.#log = deps.log;
     this.#server = createServer({
       maxHeaderSize: PARSER_HEAD_BYTES,
       connectionsCheckingInterval: SLOW_SENDER_CHECK_MS,
@@ -104,14 +107,14 @@
       this.#serve(req, res);
     });
     this.#server.on('clientError', (err: Error & {code?: string}, socket) => {
-      this.#answerBrokenRequest(err, socket as Socket);
+      this.#rejectUnparsable(err, socket as Socket);
     });
     this.useLimits(undefined);
   }
 
-  /** Requests whose answer isn't delivered yet. */
+  /** Requests whose response is not completely delivered. */
   get inFlight(): number {
-    return this.#open;
+    return this.#openResponses;
   }
 
   get port(): number {
@@ -119,9 +122,9 @@
     return address?.port ?? 0;
   }
 
-  /** @param limits the limits in force; the defaults when undefined */
+  /** @param limits limits for callers; the defaults when undefined */
   useLimits(limits: CallerLimits | undefined): void {
-    this.#limits = limits ?? FIRST_LIMITS;
+    this.#limits = limits ?? DEFAULT_LIMITS;
     const {headerTimeoutMs, idleTimeoutMs} = this.#limits;
     this.#server.headersTimeout = headerTimeoutMs;
     this.#server.keepAliveTimeout = idleTimeoutMs + IDLE_MARGIN_MS;
@@ -137,31 +140,31 @@
   }
 
   /**
-   * From now on each answer ends its connection, idle ones are closed, and what
-   * can't end in time isn't taken.
+   * Starts draining: each response closes its connection, idle connections are
+   * closed, and requests that can't finish in time are rejected.
    *
-   * @param endsAt when the process ends at the latest, monotonic milliseconds
+   * @param endsAt when the process exits at the latest, monotonic milliseconds
    */
-  beginClosing(endsAt: number): void {
-    this.#departure.begin(endsAt);
-    // It may never know enough to decide on them.
-    this.#waiting.refuseAll();
+  beginDraining(endsAt: number): void {
+    this.#drainAdmission.begin(endsAt);
+    // A configuration to decide on them may never arrive.
+    this.#startupQueue.refuseAll();
     this.#idleSweep = setInterval(() => {
       this.#server.closeIdleConnections();
     }, IDLE_SWEEP_MS);
   }
 
-  /** Takes no new connections, and resolves once all answers are delivered. */
+  /** Stops listening, and resolves once all responses are delivered. */
   async finish(): Promise<void> {
     this.#server.close();
     this.#server.closeIdleConnections();
-    if (this.#open === 0) return;
+    if (this.#openResponses === 0) return;
     await new Promise<void>(resolve => {
-      this.#idleListener = resolve;
+      this.#onAllDelivered = resolve;
     });
   }
 
-  /** Ends at once. */
+  /** Closes the listener and all connections immediately. */
   stop(): void {
     clearInterval(this.#idleSweep);
     this.#server.close();
@@ -169,20 +172,21 @@
   }
 
   /**
-   * Called when there may be enough to decide on what waits.
+   * Decides on the queued requests if the configuration and the server list
+   * allow it. Called after each change of these.
    *
-   * @returns true when there is
+   * @returns true when requests can be decided on
    */
-  retryWaiting(): boolean {
-    if (this.#parts.admission.isStarting(this.#readClock())) return false;
-    this.#waiting.retryAll();
+  retryQueued(): boolean {
+    if (this.#deps.admission.isStarting(this.#readClock())) return false;
+    this.#startupQueue.retryAll();
     return true;
   }
 
-  /** @param fingerprint of requests that must not run any longer */
-  takeBack(fingerprint: string): void {
+  /** @param fingerprint of the quarantined requests to abort */
+  abortQuarantined(fingerprint: string): void {
     const copies = [...(this.#exchanges.get(fingerprint) ?? [])];
-    for (const exchange of copies) exchange.takeBack();
+    for (const exchange of copies) exchange.abortQuarantined();
   }
 
   #readClock(): ClockReading {
@@ -192,30 +196,30 @@
   #serve(req: IncomingMessage, res: ServerResponse): void {
     const caller = new CallerChannel(
       res,
-      this.#parts.random,
-      () => this.#departure.isClosing,
+      this.#deps.random,
+      () => this.#drainAdmission.isDraining,
     );
-    this.#open += 1;
+    this.#openResponses += 1;
     res.once('close', () => {
-      this.#open -= 1;
-      if (this.#open === 0) this.#idleListener?.();
+      this.#openResponses -= 1;
+      if (this.#openResponses === 0) this.#onAllDelivered?.();
     });
-    const facts = readFacts(req.headers, this.#parts.names);
+    const facts = readFacts(req.headers, this.#deps.names);
     const fault = this.#findFault(req);
     if (fault) {
       this.#refuse(caller, facts, fault);
       return;
     }
     const at = this.#readClock();
-    if (!this.#parts.admission.isStarting(at)) {
+    if (!this.#deps.admission.isStarting(at)) {
       this.#admit(req, facts, caller, at.now);
       return;
     }
-    if (this.#departure.isClosing) {
+    if (this.#drainAdmission.isDraining) {
       this.#refuse(caller, facts, 'notReady');
       return;
     }
-    this.#waiting.add(
+    this.#startupQueue.add(
       facts.deadlineMs ?? DEFAULT_DEADLINE_MS,
       () => {
         this.#admit(req, facts, caller, at.now);
@@ -235,7 +239,7 @@
     if (req.destroyed) return;
     const at = this.#readClock();
     const head = {host: req.headers.host ?? '', path: req.url ?? '', facts};
-    const admission = this.#parts.admission.admit(head, arrivedAt, at);
+    const admission = this.#deps.admission.admit(head, arrivedAt, at);
     if (!admission.ok) {
       this.#refuse(caller, facts, admission.error);
       return;
@@ -243,12 +247,12 @@
     const {admitted} = admission;
     const {name} = admitted.rule;
     const limitMs = admitted.deadlineAt - at.now;
-    if (!this.#departure.mayTake(name, limitMs, at.now)) {
+    if (!this.#drainAdmission.admits(name, limitMs, at.now)) {
       this.#refuse(caller, facts, 'notReady');
       return;
     }
     const done = (): void => {
-      this.#departure.noteEnded(name, this.#clock.now() - arrivedAt);
+      this.#drainAdmission.noteDuration(name, this.#clock.now() - arrivedAt);
     };
     readBody(req, this.#limits.maxBodyBytes, limitMs, {
       onWhole: body => {
@@ -258,7 +262,7 @@
         this.#refuse(caller, facts, error);
         done();
       },
-      onGone: done,
+      onDisconnected: done,
     });
   }
 
@@ -273,22 +277,22 @@
     caller: CallerChannel,
     done: () => void,
   ): void {
-    if (this.#heldBytes + body.length > this.#settings.maxHeldBytes) {
+    if (this.#bufferedBytes + body.length > this.#settings.maxHeldBytes) {
       this.#refuse(caller, facts, 'overloaded');
       done();
       return;
     }
-    this.#heldBytes += body.length;
+    this.#bufferedBytes += body.length;
     const {method = 'GET', url: path = '/', rawHeaders} = req;
     const workspace = admitted.workspace ?? '';
     const fingerprint = fingerprintOf({method, path, workspace, body});
     const exchange = new Exchange(
       {...admitted, method, path, rawHeaders, body, fingerprint, facts},
-      this.#parts,
+      this.#deps,
       caller,
       () => {
-        this.#heldBytes -= body.length;
-        this.#forget(fingerprint, exchange);
+        this.#bufferedBytes -= body.length;
+        this.#removeExchange(fingerprint, exchange);
         done();
       },
     );
@@ -297,7 +301,7 @@
     exchange.start();
   }
 
-  #forget(fingerprint: string, exchange: Exchange): void {
+  #removeExchange(fingerprint: string, exchange: Exchange): void {
     const copies = this.#exchanges.get(fingerprint);
     copies?.delete(exchange);
     if (copies?.size === 0) this.#exchanges.delete(fingerprint);
@@ -315,19 +319,21 @@
 
   #refuse(caller: CallerChannel, facts: RequestFacts, error: ErrorKind): void {
     caller.refuse(error);
-    this.#parts.counters.noteRefused(error);
+    this.#deps.counters.noteRefused(error);
     this.#log.info('request refused', {
       request: facts.requestId,
       reason: error,
       status: answerFor(error).status,
-      revision: this.#parts.admission.configuration.revision,
+      revision: this.#deps.admission.configuration.revision,
     });
   }
 
-  /** No request could be read, so no handler will answer. */
-  #answerBrokenRequest(err: Error & {code?: string}, socket: Socket): void {
+  /** Responds to a request that Node could not parse; no handler sees it. */
+  #rejectUnparsable(err: Error & {code?: string}, socket: Socket): void {
     const kind = PARSER_ERRORS[err.code ?? ''] ?? 'badRequest';
-    this.#log.info('request unreadable', {reason: err.code ?? err.message});
+    this.#log.info('request could not be parsed', {
+      reason: err.code ?? err.message,
+    });
     if (!socket.writable || err.code === 'ECONNRESET') {
       socket.destroy();
       return;
--- /dev/null
+++ b/packages/lovagepond-gateway/src/gateway_startup_queue.ts
@@ -0,0 +1,66 @@
+/**
+ * Queues requests that arrive before the configuration and the server list.
+ *
+ * After a restart both arrive within some hundred milliseconds. A rejected
+ * request would be retried only later than that. It therefore waits for a small
+ * fraction of its time before it is rejected.
+ */
+
+/**
+ * Longest wait, milliseconds. If control has not responded by then, it will be
+ * unavailable for longer.
+ */
+const MAX_WAIT_MS = 600;
+
+/** Fraction of a request's time that it may wait in the queue. */
+const MAX_WAIT_FRACTION = 0.2;
+
+/** Queue limit; further requests are rejected. */
+const MAX_QUEUED = 2_000;
+
+interface QueuedRequest {
+  readonly timer: NodeJS.Timeout;
+  readonly retry: () => void;
+  readonly refuse: () => void;
+}
+
+/** Holds requests until they can be decided on, or for a limited time. */
+export class StartupQueue {
+  readonly #queued = new Set<QueuedRequest>();
+
+  /**
+   * @param timeLeftMs time until the request's deadline, milliseconds
+   * @param retry decides on the request
+   * @param refuse rejects the request when its wait is over
+   */
+  add(timeLeftMs: number, retry: () => void, refuse: () => void): void {
+    if (this.#queued.size >= MAX_QUEUED) {
+      refuse();
+      return;
+    }
+    const waitMs = Math.min(MAX_WAIT_MS, timeLeftMs * MAX_WAIT_FRACTION);
+    const timer = setTimeout(() => {
+      this.#queued.delete(queued);
+      refuse();
+    }, waitMs);
+    const queued = {timer, retry, refuse};
+    this.#queued.add(queued);
+  }
+
+  /** Decides on all queued requests, in the order of their arrival. */
+  retryAll(): void {
+    for (const {retry} of this.#takeAll()) retry();
+  }
+
+  /** Rejects all queued requests. */
+  refuseAll(): void {
+    for (const {refuse} of this.#takeAll()) refuse();
+  }
+
+  #takeAll(): readonly QueuedRequest[] {
+    const queued = [...this.#queued];
+    this.#queued.clear();
+    for (const {timer} of queued) clearTimeout(timer);
+    return queued;
+  }
+}
--- a/packages/lovagepond-router/src/__tests__/fakes/router_fakes.ts
+++ b/packages/lovagepond-router/src/__tests__/fakes/router_fakes.ts
@@ -17,7 +17,7 @@
   type ServerUnaryCall,
 } from '@grpc/grpc-js';
 import {
-  type AnswerSink,
+  type ResponseSink,
   type CallerHandler,
   type CallerRequest,
 } from '@lovagepond/caller';
@@ -260,7 +260,7 @@
 }
 
 /** Records what a caller receives. */
-export class FakeSink implements AnswerSink {
+export class FakeSink implements ResponseSink {
   text = '';
   status = 0;
   failure: Failure | undefined;
--- a/packages/lovagepond-router/src/router_request_runner.ts
+++ b/packages/lovagepond-router/src/router_request_runner.ts
@@ -2,7 +2,7 @@
  * Runs one request: performs the actions of its state machine and reports the
  * resulting events.
  */
-import {type AnswerSink, type CallerRequest} from '@lovagepond/caller';
+import {type ResponseSink, type CallerRequest} from '@lovagepond/caller';
 import {type Failure, makeFailure, type Unregister} from '@lovagepond/core';
 import {type lovagepond} from '@lovagepond/protocol';
 import {type SidecarConnection} from './router_connections.js';
@@ -76,7 +76,7 @@
   readonly returning: boolean;
   readonly #context: RunnerContext;
   #eligible: Eligible;
-  readonly #sink: AnswerSink;
+  readonly #sink: ResponseSink;
   readonly #machine: RequestMachine;
   #placed: Placed | undefined;
   #stream: AttemptStream | undefined;
@@ -90,7 +90,7 @@
     context: RunnerContext,
     request: CallerRequest,
     eligible: Eligible,
-    sink: AnswerSink,
+    sink: ResponseSink,
   ) {
     this.request = request;
     this.fingerprint = fingerprintOf({
