--- a/packages/lovagepond-cli/src/command_line.ts
+++ b/packages/lovagepond-cli/src/command_line.ts
@@ -5,7 +5,7 @@
  * no more than its role needs.
  */
 import {EXIT_CODE, EXIT_CODE_MEANINGS} from '@lovagepond/process/exit_codes';
-import {endSoon} from '@lovagepond/process/process_end';
+import {exitOnStalledOutput} from '@lovagepond/process/process_end';
 import {Command, CommanderError, Option} from 'commander';
 import {
   PROGRAM_NAME,
@@ -51,7 +51,7 @@
       .action(async (options: {settings: string}) => {
         const {runRole} = await import('./command_role.js');
         process.exitCode = await runRole(role, options.settings);
-        endSoon();
+        exitOnStalledOutput();
       });
   }
 }
--- a/packages/lovagepond-core/src/__tests__/unit/core_control_addresses.test.ts
+++ b/packages/lovagepond-core/src/__tests__/unit/core_control_addresses.test.ts
@@ -8,10 +8,10 @@
 const seed = integer();
 
 /** @returns where it goes in so many steps */
-function visit(known: ControlAddresses, steps: number): string[] {
+function selectRepeatedly(control: ControlAddresses, steps: number): string[] {
   return Array.from({length: steps}, () => {
-    known.moveOn();
-    return known.current;
+    control.selectNext();
+    return control.current;
   });
 }
 
@@ -22,11 +22,11 @@
     assert(
       property(addresses, addresses, seed, (fromSettings, named, number) => {
         const known = new ControlAddresses(fromSettings, new Random(number));
-        known.learn(named);
-        known.noteHeard();
+        known.setDiscovered(named);
+        known.noteContact();
         const all = new Set([...fromSettings, ...named]);
         const others = [...all].filter(other => other !== known.current);
-        const visited = visit(known, others.length);
+        const visited = selectRepeatedly(known, others.length);
         expect(visited.sort()).toEqual(others.sort());
       }),
     );
@@ -34,26 +34,26 @@
 
   it('asks those that control named before those of the settings', () => {
     const known = new ControlAddresses(['a', 'b'], new Random(1));
-    known.learn(['c', 'd']);
-    expect(visit(known, 2).sort()).toEqual(['c', 'd']);
+    known.setDiscovered(['c', 'd']);
+    expect(selectRepeatedly(known, 2).sort()).toEqual(['c', 'd']);
   });
 
   it('goes around again when all were asked in vain', () => {
     const known = new ControlAddresses(['a', 'b'], new Random(1));
-    const visited = visit(known, 6);
+    const visited = selectRepeatedly(known, 6);
     expect(visited.filter(one => one === 'a')).toHaveLength(3);
   });
 
   it('keeps the only one that it knows', () => {
     const known = new ControlAddresses(['a'], new Random(1));
-    expect(visit(known, 3)).toEqual(['a', 'a', 'a']);
+    expect(selectRepeatedly(known, 3)).toEqual(['a', 'a', 'a']);
   });
 
   it('keeps what it knows when a member knows none', () => {
     const known = new ControlAddresses(['a'], new Random(1));
-    known.learn(['b']);
-    known.learn([]);
-    expect(visit(known, 1)).toEqual(['b']);
+    known.setDiscovered(['b']);
+    known.setDiscovered([]);
+    expect(selectRepeatedly(known, 1)).toEqual(['b']);
   });
 
   it('spreads those that lost the same member', () => {
--- a/packages/lovagepond-core/src/core_configuration.ts
+++ b/packages/lovagepond-core/src/core_configuration.ts
@@ -192,7 +192,7 @@
     .join('');
 }
 
-function findDoubles(
+function findDuplicateNames(
   section: string,
   items: readonly {readonly name: string}[],
 ): ConfigurationFault[] {
@@ -209,7 +209,7 @@
 }
 
 /** Two selectors with one match would make the choice depend on their order. */
-function findDoubleMatches(
+function findDuplicateMatches(
   content: ConfigurationContent,
 ): ConfigurationFault[] {
   const seen = new Set<string>();
@@ -226,7 +226,9 @@
   return faults;
 }
 
-function findWrongWeights(content: ConfigurationContent): ConfigurationFault[] {
+function findInvalidWeights(
+  content: ConfigurationContent,
+): ConfigurationFault[] {
   const pools = new Set(content.pools.map(item => item.name));
   const faults: ConfigurationFault[] = [];
   content.selectors.forEach(({poolWeights}, index) => {
@@ -243,7 +245,9 @@
 }
 
 /** A key of two workspaces would not tell whose request it is. */
-function findSharedKeys(content: ConfigurationContent): ConfigurationFault[] {
+function findSharedApiKeys(
+  content: ConfigurationContent,
+): ConfigurationFault[] {
   const owners = new Map<string, string>();
   const faults: ConfigurationFault[] = [];
   content.workspaces.forEach(({name: owner, apiKeys}, index) => {
@@ -294,14 +298,14 @@
   }
   const content = parsed.data;
   const faults = [
-    ...findDoubles('pools', content.pools),
-    ...findDoubles('selectors', content.selectors),
-    ...findDoubles('workspaces', content.workspaces),
-    ...findDoubles('requestKinds', content.requestKinds),
+    ...findDuplicateNames('pools', content.pools),
+    ...findDuplicateNames('selectors', content.selectors),
+    ...findDuplicateNames('workspaces', content.workspaces),
+    ...findDuplicateNames('requestKinds', content.requestKinds),
     ...findUnknownNames(content),
-    ...findDoubleMatches(content),
-    ...findWrongWeights(content),
-    ...findSharedKeys(content),
+    ...findDuplicateMatches(content),
+    ...findInvalidWeights(content),
+    ...findSharedApiKeys(content),
   ];
   return faults.length > 0 ? {ok: false, faults} : {ok: true, content};
 }
--- a/packages/lovagepond-core/src/core_configuration_delta.ts
+++ b/packages/lovagepond-core/src/core_configuration_delta.ts
@@ -70,7 +70,7 @@
   after: ConfigurationContent,
 ): ConfigurationContent {
   const shared = CONFIGURATION_SECTIONS.map(section => {
-    const known = byName(before[section]);
+    const known = indexByName(before[section]);
     const objects = after[section].map((object: NamedObject) => {
       const former = known.get(object.name);
       return former && isSameObject(former, object) ? former : object;
@@ -95,20 +95,20 @@
   for (const section of CONFIGURATION_SECTIONS) {
     const before: readonly NamedObject[] = base.content[section];
     const after: readonly NamedObject[] = next.content[section];
-    const known = byName(before);
-    const wanted = byName(after);
+    const known = indexByName(before);
+    const remaining = indexByName(after);
     const changed = after.filter(object => {
       const former = known.get(object.name);
       return !former || !isSameObject(former, object);
     });
-    const gone = before.filter(({name}) => !wanted.has(name));
+    const gone = before.filter(({name}) => !remaining.has(name));
     put[section] = changed;
     removed[section] = gone.map(({name}) => name);
-    const made = applySection(before, changed, removed[section]);
-    const isWanted =
-      made.length === after.length &&
-      made.every(({name}, at) => name === after[at]?.name);
-    if (!isWanted) return undefined;
+    const applied = applySection(before, changed, removed[section]);
+    const isReproduced =
+      applied.length === after.length &&
+      applied.every(({name}, at) => name === after[at]?.name);
+    if (!isReproduced) return undefined;
   }
   return {
     baseRevision: base.revision,
@@ -159,7 +159,7 @@
   }
 }
 
-function byName(
+function indexByName(
   objects: readonly NamedObject[],
 ): ReadonlyMap<string, NamedObject> {
   return new Map(objects.map(object => [object.name, object]));
@@ -173,11 +173,11 @@
 ): readonly NamedObject[] {
   const gone = new Set(removed);
   const changed = new Map(put.map(object => [object.name, object]));
-  const made: NamedObject[] = [];
+  const result: NamedObject[] = [];
   for (const object of before) {
     if (gone.has(object.name)) continue;
-    made.push(changed.get(object.name) ?? object);
+    result.push(changed.get(object.name) ?? object);
     changed.delete(object.name);
   }
-  return [...made, ...changed.values()];
+  return [...result, ...changed.values()];
 }
--- a/packages/lovagepond-core/src/core_control_addresses.ts
+++ b/packages/lovagepond-core/src/core_control_addresses.ts
@@ -15,22 +15,22 @@
  * be gone, but after a long absence nobody else may be left of those named.
  */
 export class ControlAddresses {
-  readonly #fromSettings: readonly string[];
+  readonly #configured: readonly string[];
   readonly #random: Random;
-  #named: readonly string[] = [];
+  #discovered: readonly string[] = [];
   /** Asked in vain since a member was last heard. */
   readonly #tried = new Set<string>();
   #current = '';
 
   /**
-   * @param fromSettings `host:port` of the members that the settings name
+   * @param configured `host:port` of the members that the settings name
    * @param random draws the next one: processes that lost the same member would
    *     else all go on to the same other one
    */
-  constructor(fromSettings: readonly string[], random: Random) {
-    this.#fromSettings = fromSettings;
+  constructor(configured: readonly string[], random: Random) {
+    this.#configured = configured;
     this.#random = random;
-    this.moveOn();
+    this.selectNext();
   }
 
   /** `host:port` of the member to ask; empty when none is known. */
@@ -39,17 +39,17 @@
   }
 
   /** @param addresses `host:port` of all members, as one of them knows them */
-  learn(addresses: readonly string[]): void {
-    if (addresses.length > 0) this.#named = [...addresses];
+  setDiscovered(addresses: readonly string[]): void {
+    if (addresses.length > 0) this.#discovered = [...addresses];
   }
 
   /** Called when the present member has been heard. */
-  noteHeard(): void {
+  noteContact(): void {
     this.#tried.clear();
   }
 
   /** Leaves the present member for one that hasn't been tried lately. */
-  moveOn(): void {
+  selectNext(): void {
     this.#tried.add(this.#current);
     let untried = this.#findUntried();
     if (untried.length === 0) {
@@ -62,7 +62,9 @@
 
   #findUntried(): readonly string[] {
     const isUntried = (address: string): boolean => !this.#tried.has(address);
-    const named = this.#named.filter(isUntried);
-    return named.length > 0 ? named : this.#fromSettings.filter(isUntried);
+    const discovered = this.#discovered.filter(isUntried);
+    return discovered.length > 0
+      ? discovered
+      : this.#configured.filter(isUntried);
   }
 }
--- a/packages/lovagepond-core/src/core_crash_evidence.ts
+++ b/packages/lovagepond-core/src/core_crash_evidence.ts
@@ -52,16 +52,16 @@
 const QUARANTINE_CRASHES = 3;
 
 /** Crashes after which it is, whatever else the servers ran. */
-const CERTAIN_CRASHES = 5;
+const CONCLUSIVE_CRASHES = 5;
 
 /** Crashes from which on every router is told of a request. */
-const TOLD_CRASHES = 2;
+const SUSPECT_CRASHES = 2;
 
 /**
  * So many crashes within this time have a common cause, such as a loss of power,
  * and count once; milliseconds.
  */
-const COMMON_CRASHES = 3;
+const COMMON_CAUSE_CRASHES = 3;
 const COMMON_CAUSE_MS = 200;
 
 /** Crashes kept for one request. */
@@ -98,19 +98,21 @@
    * @returns requests that are quarantined by this crash
    */
   noteCrash(crash: ServerCrash, now: number): readonly string[] {
-    this.#forgetOld(now);
+    this.#dropExpired(now);
     const known = this.#recent.get(crash.server);
     const crashedAt = known?.crashedAt ?? crash.crashedAt;
-    const together = new Set([...(known?.requests ?? []), ...crash.requests]);
-    const requests = [...together].slice(0, MAX_REQUESTS_OF_CRASH);
+    const union = new Set([...(known?.requests ?? []), ...crash.requests]);
+    const requests = [...union].slice(0, MAX_REQUESTS_OF_CRASH);
     if (requests.length === known?.requests.length) return [];
     const {server} = crash;
     this.#recent.set(server, {server, requests, crashedAt});
     dropOldest(this.#recent, MAX_RECENT_CRASHES);
-    const isExplained = requests.some(request => this.#isHeld(request, now));
+    const isAttributed = requests.some(request =>
+      this.#isQuarantined(request, now),
+    );
     for (const request of requests) {
-      if (isExplained && !this.#isHeld(request, now)) continue;
-      this.#count(request, {server, at: crashedAt});
+      if (isAttributed && !this.#isQuarantined(request, now)) continue;
+      this.#addCrash(request, {server, at: crashedAt});
     }
     this.#dropExcess();
     this.#version += 1;
@@ -148,7 +150,7 @@
     const all = [...this.#evidence.values()];
     return all
       .map(evidence => toSuspect(evidence, now))
-      .filter(({crashes}) => crashes >= TOLD_CRASHES);
+      .filter(({crashes}) => crashes >= SUSPECT_CRASHES);
   }
 
   /** @returns the serialized form */
@@ -170,7 +172,7 @@
     for (const one of recent) this.#recent.set(one.server, one);
   }
 
-  #count(request: string, crash: CountedCrash): void {
+  #addCrash(request: string, crash: CountedCrash): void {
     const known = this.#evidence.get(request);
     const isCounted = known?.crashes.some(one => one.server === crash.server);
     if (isCounted) return;
@@ -190,29 +192,31 @@
   #decide(requests: readonly string[], now: number): string[] {
     const quarantined: string[] = [];
     for (const request of requests) {
-      const count = this.#crashesOf(request);
+      const count = this.#countCrashesOf(request);
       if (count < QUARANTINE_CRASHES) continue;
-      const isCertain = count >= CERTAIN_CRASHES;
-      if (!isCertain && this.#hasRival(request, count, now)) continue;
+      const isConclusive = count >= CONCLUSIVE_CRASHES;
+      if (!isConclusive && this.#hasEqualSuspect(request, count, now)) continue;
       if (this.#quarantine(request, now)) quarantined.push(request);
     }
-    for (const request of quarantined) this.#explainCrashes(request, now);
+    for (const request of quarantined) this.#attributeCrashes(request, now);
     return quarantined;
   }
 
   /** Another request may as well have crashed the servers. */
-  #hasRival(request: string, count: number, now: number): boolean {
-    return this.#besides(request).some(
-      other => !this.#isHeld(other, now) && this.#crashesOf(other) >= count,
+  #hasEqualSuspect(request: string, count: number, now: number): boolean {
+    return this.#concurrentRequestsOf(request).some(
+      other =>
+        !this.#isQuarantined(other, now) &&
+        this.#countCrashesOf(other) >= count,
     );
   }
 
   /** Crashes that a quarantined request explains count against no other. */
-  #explainCrashes(request: string, now: number): void {
-    const servers = this.#serversOf(request);
-    for (const other of this.#besides(request)) {
+  #attributeCrashes(request: string, now: number): void {
+    const servers = this.#crashedServersOf(request);
+    for (const other of this.#concurrentRequestsOf(request)) {
       const evidence = this.#evidence.get(other);
-      if (!evidence || this.#isHeld(other, now)) continue;
+      if (!evidence || this.#isQuarantined(other, now)) continue;
       evidence.crashes = evidence.crashes.filter(
         ({server}) => !servers.has(server),
       );
@@ -220,15 +224,15 @@
     }
   }
 
-  #serversOf(request: string): ReadonlySet<string> {
+  #crashedServersOf(request: string): ReadonlySet<string> {
     const crashes = this.#evidence.get(request)?.crashes ?? [];
     return new Set(crashes.map(({server}) => server));
   }
 
   /** @returns the other requests of all its crashes */
-  #besides(request: string): readonly string[] {
+  #concurrentRequestsOf(request: string): readonly string[] {
     const all = new Set<string>();
-    for (const server of this.#serversOf(request)) {
+    for (const server of this.#crashedServersOf(request)) {
       const others = this.#recent.get(server)?.requests ?? [];
       for (const other of others) all.add(other);
     }
@@ -236,25 +240,25 @@
     return [...all];
   }
 
-  #isHeld(request: string, now: number): boolean {
+  #isQuarantined(request: string, now: number): boolean {
     return (this.#evidence.get(request)?.quarantinedUntil ?? 0) > now;
   }
 
   #quarantine(request: string, now: number): boolean {
     const evidence = this.#evidence.get(request);
-    if (!evidence || this.#isHeld(request, now)) return false;
+    if (!evidence || this.#isQuarantined(request, now)) return false;
     const lengthMs = FIRST_QUARANTINE_MS * 2 ** evidence.quarantines;
     evidence.quarantines += 1;
     evidence.quarantinedUntil = now + Math.min(lengthMs, LONGEST_QUARANTINE_MS);
     return true;
   }
 
-  #crashesOf(request: string): number {
+  #countCrashesOf(request: string): number {
     const evidence = this.#evidence.get(request);
     return evidence ? countCrashes(evidence.crashes) : 0;
   }
 
-  #forgetOld(now: number): void {
+  #dropExpired(now: number): void {
     for (const [request, {crashes, quarantinedUntil}] of this.#evidence) {
       const last = Math.max(quarantinedUntil ?? 0, crashes.at(-1)?.at ?? 0);
       if (now - last <= RETENTION_MS) return;
@@ -293,7 +297,7 @@
     const together = times.filter(
       time => time >= first && time - first <= COMMON_CAUSE_MS,
     ).length;
-    count += together >= COMMON_CRASHES ? 1 : together;
+    count += together >= COMMON_CAUSE_CRASHES ? 1 : together;
     from += together;
   }
   return count;
--- a/packages/lovagepond-core/src/core_errors.ts
+++ b/packages/lovagepond-core/src/core_errors.ts
@@ -41,7 +41,7 @@
   return {status, disposition: NOT_RUN, retryable, anotherAttempt, message};
 }
 
-function uncertain(
+function mayHaveRun(
   status: number,
   message: string,
   disposition: Disposition = MAY_HAVE_RUN,
@@ -56,7 +56,7 @@
 }
 
 const RETRYABLE = {retryable: true} as const;
-const ELSEWHERE = {retryable: true, anotherAttempt: true} as const;
+const RETRYABLE_ELSEWHERE = {retryable: true, anotherAttempt: true} as const;
 
 /** Kind to answer. The keys are the closed list of error kinds. */
 export const ERROR_ANSWERS = {
@@ -80,37 +80,45 @@
   overloaded: refused(
     503,
     'All eligible servers are at their bound.',
-    ELSEWHERE,
+    RETRYABLE_ELSEWHERE,
   ),
   deadlineUnreachable: refused(
     503,
     'The expected wait is longer than the deadline allows.',
-    ELSEWHERE,
+    RETRYABLE_ELSEWHERE,
   ),
-  draining: refused(503, 'The backend server is leaving.', ELSEWHERE),
-  notReady: refused(503, 'The process is not ready yet.', ELSEWHERE),
+  draining: refused(503, 'The backend server is leaving.', RETRYABLE_ELSEWHERE),
+  notReady: refused(503, 'The process is not ready yet.', RETRYABLE_ELSEWHERE),
   staleRevision: refused(
     503,
     'The router holds an older configuration.',
-    ELSEWHERE,
+    RETRYABLE_ELSEWHERE,
   ),
   wrongIncarnation: refused(
     503,
     'The process has restarted since it was chosen.',
-    ELSEWHERE,
+    RETRYABLE_ELSEWHERE,
   ),
   servedElsewhere: refused(
     503,
     "Another backend server holds the chat's context.",
-    ELSEWHERE,
+    RETRYABLE_ELSEWHERE,
   ),
   handedOver: refused(
     503,
     'A backend server with room took the held request.',
-    ELSEWHERE,
+    RETRYABLE_ELSEWHERE,
+  ),
+  revoked: refused(
+    503,
+    'The attempt was taken back in time.',
+    RETRYABLE_ELSEWHERE,
+  ),
+  unreachable: refused(
+    503,
+    'No connection could be made.',
+    RETRYABLE_ELSEWHERE,
   ),
-  revoked: refused(503, 'The attempt was taken back in time.', ELSEWHERE),
-  unreachable: refused(503, 'No connection could be made.', ELSEWHERE),
   quarantined: refused(
     503,
     'Backend servers crashed each time they ran this request.',
@@ -122,22 +130,22 @@
     RETRYABLE,
   ),
   notLeader: refused(503, 'Control has no leader at this moment.', RETRYABLE),
-  callerGone: uncertain(499, 'The caller closed the connection.'),
-  backendFailed: uncertain(502, 'The backend server failed.'),
-  answerTruncated: uncertain(502, 'The answer ended before it was whole.'),
-  backendSilent: uncertain(504, 'The backend server went silent.'),
-  deadlineExceeded: uncertain(504, 'The deadline passed during the answer.'),
-  inProgress: uncertain(409, 'A call with this key is still running.'),
-  outcomeUnknown: uncertain(
+  callerGone: mayHaveRun(499, 'The caller closed the connection.'),
+  backendFailed: mayHaveRun(502, 'The backend server failed.'),
+  answerTruncated: mayHaveRun(502, 'The answer ended before it was whole.'),
+  backendSilent: mayHaveRun(504, 'The backend server went silent.'),
+  deadlineExceeded: mayHaveRun(504, 'The deadline passed during the answer.'),
+  inProgress: mayHaveRun(409, 'A call with this key is still running.'),
+  outcomeUnknown: mayHaveRun(
     409,
     'A call with this key was dispatched; its outcome is not known.',
   ),
-  answerNotKept: uncertain(
+  answerNotKept: mayHaveRun(
     410,
     'A call with this key has run; its answer is no longer kept.',
     RAN,
   ),
-  internal: uncertain(500, 'The request failed inside lovagepond.'),
+  internal: mayHaveRun(500, 'The request failed inside lovagepond.'),
 } as const satisfies Record<string, ErrorAnswer>;
 
 /** A kind from the closed list. */
--- a/packages/lovagepond-core/src/core_packing.ts
+++ b/packages/lovagepond-core/src/core_packing.ts
@@ -8,7 +8,7 @@
 import {gunzipSync, gzipSync} from 'node:zlib';
 
 /** Shorter texts are left as they are. */
-const PACK_FROM_BYTES = 1_024;
+const MIN_PACKED_BYTES = 1_024;
 
 /** Refuses what would unpack to more: no configuration is this large. */
 const MAX_UNPACKED_BYTES = 64 * 1024 * 1024;
@@ -22,7 +22,7 @@
  */
 export function packText(text: string): Uint8Array {
   const bytes = new TextEncoder().encode(text);
-  return bytes.length < PACK_FROM_BYTES ? bytes : gzipSync(bytes);
+  return bytes.length < MIN_PACKED_BYTES ? bytes : gzipSync(bytes);
 }
 
 /**
--- a/packages/lovagepond-core/src/core_registration.ts
+++ b/packages/lovagepond-core/src/core_registration.ts
@@ -8,14 +8,16 @@
 /**
  * Merges several unregister functions into one.
  *
- * @param parts the functions, run last to first
+ * @param unregisters the functions, run last to first
  * @returns one function that runs each part once
  */
-export function mergeRegister(...parts: readonly Unregister[]): Unregister {
-  let pending = [...parts];
+export function mergeRegister(
+  ...unregisters: readonly Unregister[]
+): Unregister {
+  let pending = [...unregisters];
   return () => {
-    const running = pending.reverse();
+    const reversed = pending.reverse();
     pending = [];
-    for (const unregister of running) unregister();
+    for (const unregister of reversed) unregister();
   };
 }
--- a/packages/lovagepond-process/src/index.ts
+++ b/packages/lovagepond-process/src/index.ts
@@ -3,7 +3,7 @@
   EXIT_CODE_MEANINGS,
   type ExitCode,
 } from './exit_codes_constants.js';
-export {type DroppedLines, LogBound} from './log_bound.js';
+export {type DroppedLines, LogLimiter} from './log_limiter.js';
 export {SystemClock} from './process_clock.js';
 export {
   Lifecycle,
@@ -26,10 +26,10 @@
 } from './metrics_registry.js';
 export {PlatformServer, type PlatformView} from './process_server.js';
 export {registerSignals} from './process_signals.js';
-export {endSoon} from './process_end.js';
+export {exitOnStalledOutput} from './process_end.js';
 export {registerProcessMetrics} from './process_metrics.js';
 export {
-  type ProcessParts,
+  type ProcessDependencies,
   ProcessRunner,
   type ProcessSettings,
 } from './process_runner.js';
--- a/packages/lovagepond-process/src/log_bound.ts
+++ b/packages/lovagepond-process/src/log_limiter.ts
@@ -12,7 +12,7 @@
  * all are: some seconds of lines, and room for as many warnings, which tell why
  * requests failed.
  */
-const MAX_WAITING_BYTES: Readonly<Record<LogLevel, number>> = {
+const MAX_BUFFERED_BYTES: Readonly<Record<LogLevel, number>> = {
   debug: 512 * 1024,
   info: 512 * 1024,
   warn: 1024 * 1024,
@@ -22,7 +22,7 @@
 /** Numbers of lines dropped, by level. */
 export type DroppedLines = Readonly<Record<LogLevel, number>>;
 
-const NONE: DroppedLines = Object.freeze({
+const NO_DROPPED_LINES: DroppedLines = Object.freeze({
   debug: 0,
   info: 0,
   warn: 0,
@@ -30,16 +30,16 @@
 });
 
 /** Counts what it lets pass by. */
-export class LogBound {
-  #dropped = NONE;
+export class LogLimiter {
+  #dropped = NO_DROPPED_LINES;
 
   /**
    * @param level a line's level
-   * @param waitingBytes bytes that the reader hasn't taken yet
+   * @param bufferedBytes bytes that the reader hasn't taken yet
    * @returns false when the line is to be dropped; it is then counted
    */
-  accepts(level: LogLevel, waitingBytes: number): boolean {
-    if (waitingBytes < MAX_WAITING_BYTES[level]) return true;
+  accepts(level: LogLevel, bufferedBytes: number): boolean {
+    if (bufferedBytes < MAX_BUFFERED_BYTES[level]) return true;
     this.#dropped = {...this.#dropped, [level]: this.#dropped[level] + 1};
     return false;
   }
@@ -47,7 +47,7 @@
   /** @returns what was dropped since the last call; undefined when nothing was */
   takeDropped(): DroppedLines | undefined {
     const dropped = this.#dropped;
-    this.#dropped = NONE;
-    return dropped === NONE ? undefined : dropped;
+    this.#dropped = NO_DROPPED_LINES;
+    return dropped === NO_DROPPED_LINES ? undefined : dropped;
   }
 }
--- a/packages/lovagepond-process/src/process_end.ts
+++ b/packages/lovagepond-process/src/process_end.ts
@@ -3,7 +3,7 @@
  */
 
 /** Time that the reader gets to take the last lines, milliseconds. */
-const LAST_LINES_MS = 500;
+const STALLED_OUTPUT_MS = 500;
 
 /**
  * To be called when all work is done and the exit code is set. The process ends by
@@ -11,8 +11,8 @@
  * until it is killed, and its exit code with it. Whatever else is still open is left
  * to end in good order: `process.exit` waits for nothing.
  */
-export function endSoon(): void {
+export function exitOnStalledOutput(): void {
   setTimeout(() => {
     if (process.stdout.writableLength > 0) process.exit();
-  }, LAST_LINES_MS).unref();
+  }, STALLED_OUTPUT_MS).unref();
 }
--- a/packages/lovagepond-process/src/process_logger.ts
+++ b/packages/lovagepond-process/src/process_logger.ts
@@ -7,7 +7,7 @@
 import './roarr_environment.js';
 import {type LogFields, type Logger} from '@lovagepond/core';
 import {Roarr} from 'roarr';
-import {LogBound} from './log_bound.js';
+import {LogLimiter} from './log_limiter.js';
 
 /** Levels from the most to the least talkative. */
 export const LOG_LEVEL = {
@@ -34,11 +34,11 @@
   message: string,
 ) => void;
 
-const bound = new LogBound();
+const limiter = new LogLimiter();
 
 const writeWithRoarr: LogWriter = (level, fields, message) => {
-  if (!bound.accepts(level, process.stdout.writableLength)) return;
-  const dropped = bound.takeDropped();
+  if (!limiter.accepts(level, process.stdout.writableLength)) return;
+  const dropped = limiter.takeDropped();
   if (dropped) Roarr.warn({...dropped}, 'log lines dropped');
   Roarr[level]({...fields}, message);
 };
--- a/packages/lovagepond-process/src/process_runner.ts
+++ b/packages/lovagepond-process/src/process_runner.ts
@@ -33,7 +33,7 @@
 }
 
 /** What {@link ProcessRunner} works with. */
-export interface ProcessParts {
+export interface ProcessDependencies {
   readonly role: Role;
   readonly clock: Clock;
   readonly log: Logger;
@@ -66,13 +66,13 @@
 /** Runs a role from start to exit code. */
 export class ProcessRunner {
   readonly #settings: ProcessSettings;
-  readonly #parts: ProcessParts;
+  readonly #deps: ProcessDependencies;
   readonly #lifecycle: Lifecycle;
   readonly #server: PlatformServer;
   #finish: (exitCode: ExitCode) => void = () => undefined;
   readonly #handlers: ActionHandlers = {
     withdrawReadiness: ({delayMs}) => {
-      this.#parts.log.info('readiness withdrawn', {delayMs});
+      this.#deps.log.info('readiness withdrawn', {delayMs});
       setTimeout(() => {
         this.handle('delayOver');
       }, delayMs);
@@ -82,21 +82,21 @@
       this.#finish(exitCode);
     },
     reload: () => {
-      this.#parts.reload(this);
+      this.#deps.reload(this);
     },
     dump: () => {
       this.#writeDump();
     },
   };
 
-  constructor(settings: ProcessSettings, parts: ProcessParts) {
+  constructor(settings: ProcessSettings, deps: ProcessDependencies) {
     this.#settings = settings;
-    this.#parts = parts;
+    this.#deps = deps;
     this.#lifecycle = new Lifecycle(settings);
     this.#server = new PlatformServer(settings.address, {
-      isReady: () => this.#lifecycle.isRunning && parts.role.isReady(),
-      renderDump: () => renderDump(parts.role.dump()),
-      metrics: parts.metrics,
+      isReady: () => this.#lifecycle.isRunning && deps.role.isReady(),
+      renderDump: () => renderDump(deps.role.dump()),
+      metrics: deps.metrics,
     });
   }
 
@@ -107,7 +107,7 @@
    * @throws when an address or the data folder can't be opened
    */
   async run(): Promise<ExitCode> {
-    const {role, log, clock} = this.#parts;
+    const {role, log, clock} = this.#deps;
     const loadedAt = clock.now();
     const ended = new Promise<ExitCode>(resolve => {
       this.#finish = resolve;
@@ -139,7 +139,7 @@
 
   /** @param event a signal's event, or a step of the planned stop */
   handle(event: LifecycleEvent): void {
-    const actions = this.#lifecycle.handle(event, this.#parts.clock.now());
+    const actions = this.#lifecycle.handle(event, this.#deps.clock.now());
     for (const action of actions) {
       const handler = this.#handlers[action.kind] as (
         action: LifecycleAction,
@@ -149,7 +149,7 @@
   }
 
   async #drain(limitMs: number): Promise<void> {
-    const {role, log} = this.#parts;
+    const {role, log} = this.#deps;
     log.info('draining', {limitMs});
     try {
       await role.drain(limitMs);
@@ -160,7 +160,7 @@
   }
 
   #writeDump(): void {
-    const {role, clock, log} = this.#parts;
+    const {role, clock, log} = this.#deps;
     const dump = role.dump();
     const file = join(
       this.#settings.dataFolder,
--- a/packages/lovagepond-process/src/settings_units.ts
+++ b/packages/lovagepond-process/src/settings_units.ts
@@ -31,7 +31,7 @@
 
 type Parser<Value> = (text: string) => Value | undefined;
 
-function makeUnit<Value>(
+function makeTextSchema<Value>(
   parse: Parser<Value>,
   expected: string,
 ): z.ZodType<Value, string> {
@@ -88,7 +88,7 @@
 
 /** @returns a duration such as `250ms` or `4s`, in milliseconds */
 export function duration(): z.ZodType<number, string> {
-  return makeUnit(
+  return makeTextSchema(
     text => parseQuantity(text, DURATION_UNITS),
     'a duration with its unit ms, s, m or h, such as 250ms or 4s',
   );
@@ -96,7 +96,7 @@
 
 /** @returns a size such as `16kB` or `64MB`, in bytes */
 export function size(): z.ZodType<number, string> {
-  return makeUnit(
+  return makeTextSchema(
     text => parseQuantity(text, SIZE_UNITS),
     'a size with its unit B, kB, MB or GB, such as 16kB or 64MB',
   );
@@ -104,7 +104,7 @@
 
 /** @returns a share such as `20%`, as a fraction */
 export function percentage(): z.ZodType<number, string> {
-  return makeUnit(text => {
+  return makeTextSchema(text => {
     const match = /^(\d+(?:\.\d+)?)%$/.exec(text);
     const value = Number(match?.[1]) / PERCENT;
     return match && value <= 1 ? value : undefined;
@@ -117,7 +117,7 @@
  * @returns a whole number
  */
 export function integer(min: number, max: number): z.ZodType<number, string> {
-  return makeUnit(text => {
+  return makeTextSchema(text => {
     const value = Number(text);
     const fits = /^-?\d+$/.test(text) && value >= min && value <= max;
     return fits ? value : undefined;
@@ -130,7 +130,7 @@
  * @returns a number with or without a decimal part
  */
 export function decimal(min: number, max: number): z.ZodType<number, string> {
-  return makeUnit(text => {
+  return makeTextSchema(text => {
     const value = Number(text);
     const fits = /^-?\d+(\.\d+)?$/.test(text) && value >= min && value <= max;
     return fits ? value : undefined;
@@ -139,7 +139,7 @@
 
 /** @returns `true`, `yes`, `on`, `false`, `no` or `off` */
 export function boolean(): z.ZodType<boolean, string> {
-  return makeUnit(
+  return makeTextSchema(
     text => BOOLEANS[text.toLowerCase()],
     'true or false (also yes, on, no, off)',
   );
@@ -147,12 +147,15 @@
 
 /** @returns an address such as `10.0.0.7:7400` */
 export function hostPort(): z.ZodType<HostPort, string> {
-  return makeUnit(parseHostPort, 'an address host:port, such as 10.0.0.7:7400');
+  return makeTextSchema(
+    parseHostPort,
+    'an address host:port, such as 10.0.0.7:7400',
+  );
 }
 
 /** @returns a URL of the http scheme, without a slash at its end */
 export function httpUrl(): z.ZodType<string, string> {
-  return makeUnit(text => {
+  return makeTextSchema(text => {
     const match = /^https?:\/\/[^\s/]+(\/\S*)?$/.test(text);
     return match ? text.replace(/\/$/, '') : undefined;
   }, 'a URL such as http://127.0.0.1:8000');
@@ -160,7 +163,7 @@
 
 /** @returns a name of letters, digits, `.`, `_` and `-` */
 export function nameText(): z.ZodType<string, string> {
-  return makeUnit(
+  return makeTextSchema(
     text => (/^[A-Za-z0-9][A-Za-z0-9_.-]{0,62}$/.test(text) ? text : undefined),
     'a name of up to 63 letters, digits, dots, dashes and underscores',
   );
@@ -168,7 +171,7 @@
 
 /** @returns any text that isn't empty, such as a path */
 export function filledText(): z.ZodType<string, string> {
-  return makeUnit(text => text || undefined, 'a text that is not empty');
+  return makeTextSchema(text => text || undefined, 'a text that is not empty');
 }
 
 /**
@@ -178,7 +181,7 @@
 export function oneOf<Value extends string>(
   ...values: readonly Value[]
 ): z.ZodType<Value, string> {
-  return makeUnit(
+  return makeTextSchema(
     text => values.find(value => value === text),
     `one of ${values.join(', ')}`,
   );
--- a/packages/lovagepond-router/src/router_control_link.ts
+++ b/packages/lovagepond-router/src/router_control_link.ts
@@ -293,7 +293,7 @@
 
   #noteHeard(): void {
     this.#isHeard = true;
-    this.#addresses.noteHeard();
+    this.#addresses.noteContact();
     this.#parts.log.info('control subscription holds', {address: this.address});
   }
 
@@ -322,7 +322,7 @@
   #learnMembers({controlMembers}: ControlUpdate): void {
     const addresses = controlMembers?.addresses;
     if (!addresses) return;
-    this.#addresses.learn(addresses);
+    this.#addresses.setDiscovered(addresses);
     this.#parts.log.info('control members known', {
       addresses: addresses.join(' '),
     });
@@ -333,7 +333,7 @@
     const address = this.address;
     this.#parts.log.info('control subscription lost', {address, reason});
     this.#close();
-    this.#addresses.moveOn();
+    this.#addresses.selectNext();
     this.#failures += 1;
     const delay = this.#nextDelay();
     this.#retryTimer = setTimeout(() => {
--- a/packages/lovagepond-sidecar/src/sidecar_control_feed.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_control_feed.ts
@@ -101,9 +101,9 @@
     call.on('data', (update: ControlUpdate) => {
       if (this.#call !== call) return;
       this.#heardAt = this.#parts.clock.now();
-      this.#addresses.noteHeard();
+      this.#addresses.noteContact();
       const {addresses} = update.controlMembers ?? {};
-      if (addresses) this.#addresses.learn(addresses);
+      if (addresses) this.#addresses.setDiscovered(addresses);
       this.#parts.onUpdate(update, this.#heardAt);
     });
     const onLost = (err?: Error): void => {
@@ -119,7 +119,7 @@
   #restart(reason: string): void {
     this.#parts.log.debug('subscribing at another member', {reason});
     this.#close();
-    this.#addresses.moveOn();
+    this.#addresses.selectNext();
     const pauseMs = RETRY_MS * (0.5 + this.#parts.random.next());
     this.#retryTimer = setTimeout(() => {
       this.start();
--- a/packages/lovagepond-sidecar/src/sidecar_control_link.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_control_link.ts
@@ -40,7 +40,7 @@
 
   /** @param addresses `host:port` of all members of control */
   learnMembers(addresses: readonly string[]): void {
-    this.#addresses.learn(addresses);
+    this.#addresses.setDiscovered(addresses);
   }
 
   /**
@@ -115,11 +115,11 @@
   #follow(asked: string, answer: LeaderHint | undefined): void {
     if (asked !== this.address) return;
     if (answer === undefined) {
-      if (asked === this.#addresses.current) this.#addresses.moveOn();
+      if (asked === this.#addresses.current) this.#addresses.selectNext();
       this.#leader = '';
       return;
     }
-    this.#addresses.noteHeard();
+    this.#addresses.noteContact();
     if (answer.leader) this.#leader = answer.leader;
   }
 }
