--- a/packages/lovagepond-core/src/__tests__/unit/core_configuration.test.ts
+++ b/packages/lovagepond-core/src/__tests__/unit/core_configuration.test.ts
@@ -6,7 +6,7 @@
 } from '../../core_configuration.js';
 
 describe('checkConfiguration', () => {
-  it('names every fault by its place in one report', () => {
+  it('reports all faults with their places', () => {
     const check = checkConfiguration({
       pools: [{name: 'p', kind: 'engine', loadBound: 0.5}],
       selectors: [
@@ -18,7 +18,7 @@
     expect(places).toEqual(['pools[0].loadBound', 'selectors[0].pools']);
   });
 
-  it('refuses double and unknown names', () => {
+  it('rejects duplicate and unknown names', () => {
     const check = checkConfiguration({
       workspaces: [{name: 'a'}, {name: 'a'}],
       selectors: [
@@ -29,7 +29,7 @@
     expect(places).toEqual(['workspaces[1].name', 'selectors[0].workspaces']);
   });
 
-  it('survives the way between processes', () => {
+  it('is unchanged after encoding and decoding', () => {
     const check = checkConfiguration({workspaces: [{name: 'a'}]});
     if (!check.ok) throw new Error('expected a valid configuration');
     const configuration = {revision: 7, content: check.content};
@@ -38,7 +38,7 @@
     expect(decodeConfiguration(new Uint8Array([1, 2]))).toBeUndefined();
   });
 
-  it('packs a large one, and refuses a damaged one', () => {
+  it('compresses a large configuration and rejects a damaged one', () => {
     const workspaces = Array.from({length: 480}, (_, n) => ({name: `w${n}`}));
     const check = checkConfiguration({workspaces});
     if (!check.ok) throw new Error('expected a valid configuration');
--- a/packages/lovagepond-core/src/__tests__/unit/core_configuration_delta.test.ts
+++ b/packages/lovagepond-core/src/__tests__/unit/core_configuration_delta.test.ts
@@ -63,8 +63,8 @@
   return {revision, content: made};
 }
 
-describe('a delta between configurations', () => {
-  it('makes the later one, or says that it cannot', () => {
+describe('configuration delta', () => {
+  it('produces the later configuration when it can be expressed', () => {
     assert(
       property(content, content, (before, after) => {
         const [base, next] = [at(3, before), at(7, after)];
@@ -76,7 +76,7 @@
     );
   });
 
-  it('can tell what is added, changed and removed in place', () => {
+  it('expresses added, changed and removed objects', () => {
     assert(
       property(content, content, (before, more) => {
         const changed = before.selectors.map((selector, index) =>
@@ -92,21 +92,21 @@
     );
   });
 
-  // A gateway that lacks a change in between would else go on with a
-  // configuration that nobody ever accepted.
-  it('applies to no other configuration than its base', () => {
+  // Guards against a gateway that missed a change and would combine the delta
+  // with its older configuration into one that was never accepted.
+  it('applies only to its base revision', () => {
     const empty = configurationSchema.parse({});
     const delta = makeDelta(at(2, empty), at(3, empty))!;
     expect(applyDelta(at(1, empty), delta)).toBeUndefined();
     expect(applyDelta(at(3, empty), delta)).toBeUndefined();
   });
 
-  it('is not read from what is none', () => {
+  it('rejects bytes that are not an encoded delta', () => {
     expect(decodeDelta(Buffer.from('{"revision":1}'))).toBeUndefined();
     expect(decodeDelta(Buffer.from('\u001f'))).toBeUndefined();
   });
 
-  it('shares what has not changed, and says the same', () => {
+  it('shares unchanged objects without changing the content', () => {
     assert(
       property(content, content, (before, after) => {
         const shared = shareObjects(before, after);
--- a/packages/lovagepond-core/src/__tests__/unit/core_control_addresses.test.ts
+++ b/packages/lovagepond-core/src/__tests__/unit/core_control_addresses.test.ts
@@ -7,7 +7,7 @@
 const addresses = uniqueArray(address, {maxLength: 8});
 const seed = integer();
 
-/** @returns where it goes in so many steps */
+/** @returns the addresses selected in the given number of steps */
 function selectRepeatedly(control: ControlAddresses, steps: number): string[] {
   return Array.from({length: steps}, () => {
     control.selectNext();
@@ -15,10 +15,10 @@
   });
 }
 
-describe('the addresses of control', () => {
-  // All members but one are gone, and it may be any: each must be asked before
-  // another is asked twice.
-  it('asks each known member once before any twice', () => {
+describe('ControlAddresses', () => {
+  // When all members but one are gone, each has to be tried once before any is
+  // tried again.
+  it('selects each known member once before any twice', () => {
     assert(
       property(addresses, addresses, seed, (fromSettings, named, number) => {
         const known = new ControlAddresses(fromSettings, new Random(number));
@@ -32,31 +32,31 @@
     );
   });
 
-  it('asks those that control named before those of the settings', () => {
+  it('selects discovered members before configured ones', () => {
     const known = new ControlAddresses(['a', 'b'], new Random(1));
     known.setDiscovered(['c', 'd']);
     expect(selectRepeatedly(known, 2).sort()).toEqual(['c', 'd']);
   });
 
-  it('goes around again when all were asked in vain', () => {
+  it('starts over when all members have failed', () => {
     const known = new ControlAddresses(['a', 'b'], new Random(1));
     const visited = selectRepeatedly(known, 6);
     expect(visited.filter(one => one === 'a')).toHaveLength(3);
   });
 
-  it('keeps the only one that it knows', () => {
+  it('keeps the only known member', () => {
     const known = new ControlAddresses(['a'], new Random(1));
     expect(selectRepeatedly(known, 3)).toEqual(['a', 'a', 'a']);
   });
 
-  it('keeps what it knows when a member knows none', () => {
+  it('keeps the discovered members when a member reports none', () => {
     const known = new ControlAddresses(['a'], new Random(1));
     known.setDiscovered(['b']);
     known.setDiscovered([]);
     expect(selectRepeatedly(known, 1)).toEqual(['b']);
   });
 
-  it('spreads those that lost the same member', () => {
+  it('spreads processes that lost the same member over the others', () => {
     const next = Array.from({length: 32}, (_, number) => {
       const known = new ControlAddresses(['a', 'b', 'c'], new Random(number));
       return known.current;
--- a/packages/lovagepond-core/src/__tests__/unit/core_crash_evidence.test.ts
+++ b/packages/lovagepond-core/src/__tests__/unit/core_crash_evidence.test.ts
@@ -5,7 +5,7 @@
 const SECOND_MS = 1_000;
 const HOUR_MS = 3_600 * SECOND_MS;
 
-/** Crashes of servers s1, s2 and so on, a second apart. */
+/** Records the crash of server s1, s2 and so on; crashes are a second apart. */
 function crash(
   evidence: CrashEvidence,
   number: number,
@@ -25,7 +25,7 @@
 }
 
 describe('CrashEvidence', () => {
-  // Guards against a request that crashes one server after the other.
+  // Guards against a request that crashes one server after another.
   it('quarantines a request at its third crash', () => {
     const evidence = new CrashEvidence();
     expect(crash(evidence, 1, 'bad', 'a')).toEqual([]);
@@ -36,8 +36,8 @@
     expect(quarantinedUntil(evidence, 'a', at)).toBeUndefined();
   });
 
-  // Guards against the refusal of a request that was only beside the guilty one.
-  it('waits while two requests are at the same crashes', () => {
+  // Guards against quarantining a request that only ran beside the cause.
+  it('waits while two requests are involved in the same crashes', () => {
     const evidence = new CrashEvidence();
     for (const number of [1, 2, 3]) crash(evidence, number, 'bad', 'beside');
     expect(evidence.find('bad', 3 * SECOND_MS)?.crashes).toBe(3);
@@ -46,8 +46,9 @@
     expect(quarantinedUntil(evidence, 'beside', 4_000)).toBeUndefined();
   });
 
-  // Guards against the refusal of a request that was beside another guilty one each time.
-  it('counts crashes that a quarantined request explains against no other', () => {
+  // Guards against quarantining a request that ran beside a different cause at
+  // each of its crashes.
+  it('attributes the crashes of a quarantined request to no other request', () => {
     const evidence = new CrashEvidence();
     for (const number of [1, 2]) crash(evidence, number, 'bad', 'beside');
     expect(crash(evidence, 3, 'bad')).toEqual(['bad']);
@@ -59,7 +60,7 @@
     expect(evidence.find('beside', 5 * SECOND_MS)?.crashes).toBe(1);
   });
 
-  it('looks at the requests of all crashes, not of the last alone', () => {
+  it('compares the requests of all crashes, not only of the last one', () => {
     const evidence = new CrashEvidence();
     crash(evidence, 1, 'x', 'y');
     crash(evidence, 2, 'x', 'y');
@@ -68,13 +69,13 @@
     expect(crash(evidence, 5, 'x')).toEqual(['x']);
   });
 
-  it('quarantines both once five servers crashed under them', () => {
+  it('quarantines both of two requests after five common crashes', () => {
     const evidence = new CrashEvidence();
     for (const number of [1, 2, 3, 4]) crash(evidence, number, 'x', 'y');
     expect(crash(evidence, 5, 'x', 'y')).toEqual(['x', 'y']);
   });
 
-  it('counts one crash that several routers report once', () => {
+  it('counts a crash once when several routers report it', () => {
     const evidence = new CrashEvidence();
     for (const at of [0, 10, 20]) {
       const same = {server: 's', requests: ['r'], crashedAt: at};
@@ -83,8 +84,9 @@
     expect(evidence.find('r', 20)?.crashes).toBe(1);
   });
 
-  // Guards against a loss of power being put down to a request that ran on many.
-  it('counts crashes of many servers at once as one', () => {
+  // Guards against attributing a power failure to a request that ran on many of
+  // the servers.
+  it('counts simultaneous crashes of many servers as one', () => {
     const evidence = new CrashEvidence();
     for (const at of [0, 50, 100, 150]) {
       const together = {server: `p${at}`, requests: ['r'], crashedAt: at};
@@ -95,7 +97,7 @@
     expect(crash(evidence, 2, 'r')).toEqual(['r']);
   });
 
-  it('lets a request run again after its time, and longer the next time', () => {
+  it('ends a quarantine after its time and doubles the next one', () => {
     const evidence = new CrashEvidence();
     for (const number of [1, 2, 3]) crash(evidence, number, 'bad');
     const again = 3 * SECOND_MS + HOUR_MS;
@@ -105,7 +107,7 @@
     expect(quarantinedUntil(evidence, 'bad', again)).toBe(again + 2 * HOUR_MS);
   });
 
-  it('forgets a request that was answered or lifted', () => {
+  it('drops the evidence against a request', () => {
     const evidence = new CrashEvidence();
     for (const number of [1, 2, 3]) crash(evidence, number, 'bad');
     expect(evidence.forget('bad')).toBe(true);
@@ -114,16 +116,16 @@
     expect(crash(evidence, 4, 'bad')).toEqual([]);
   });
 
-  it('tells of requests from their second crash on', () => {
+  it('lists requests as suspects from their second crash on', () => {
     const evidence = new CrashEvidence();
     crash(evidence, 1, 'once', 'twice');
     crash(evidence, 2, 'twice');
-    const told = evidence.suspects(2 * SECOND_MS).map(({request}) => request);
-    expect(told).toEqual(['twice']);
+    const listed = evidence.suspects(2 * SECOND_MS).map(({request}) => request);
+    expect(listed).toEqual(['twice']);
   });
 
-  // Guards against routers that keep what a member no longer has.
-  it('counts a restore as a change', () => {
+  // Guards against routers that keep evidence which a member no longer has.
+  it('increments the version on restore', () => {
     const evidence = new CrashEvidence();
     crash(evidence, 1, 'x');
     const {version} = evidence;
@@ -132,7 +134,7 @@
     expect(evidence.find('x', 0)).toBeUndefined();
   });
 
-  it('goes on from its serialized form', () => {
+  it('restores its state from a snapshot', () => {
     const evidence = new CrashEvidence();
     for (const number of [1, 2]) crash(evidence, number, 'bad', 'a');
     const copy = new CrashEvidence();
@@ -142,7 +144,7 @@
     expect(quarantinedUntil(evidence, 'bad', 3_000)).toBeUndefined();
   });
 
-  it('keeps quarantined requests when there are too many others', () => {
+  it('evicts other requests before quarantined ones', () => {
     const evidence = new CrashEvidence();
     for (const number of [1, 2, 3]) crash(evidence, number, 'bad');
     for (let number = 4; number < 24; number += 1) {
--- a/packages/lovagepond-core/src/__tests__/unit/core_labels.test.ts
+++ b/packages/lovagepond-core/src/__tests__/unit/core_labels.test.ts
@@ -21,7 +21,7 @@
     expect(matches(text, labels as Record<string, string>)).toBe(expected);
   });
 
-  it('quotes the term at fault', () => {
+  it('quotes the invalid term', () => {
     expect(parseLabelExpression('tier=gold, =x')).toEqual({
       ok: false,
       message: 'not a label term: "=x"',
--- a/packages/lovagepond-core/src/__tests__/unit/core_load_digest.test.ts
+++ b/packages/lovagepond-core/src/__tests__/unit/core_load_digest.test.ts
@@ -6,7 +6,7 @@
 const STEP = 2 ** (1 / 12.5);
 
 describe('load digest', () => {
-  it('keeps a load within half a step and never reorders loads', () => {
+  it('keeps a load within one step and never reorders loads', () => {
     const tokens = fc.integer({min: 64, max: 40_000_000});
     fc.assert(
       fc.property(tokens, tokens, (first, second) => {
@@ -21,7 +21,7 @@
     );
   });
 
-  it('tells an idle server from a busy one', () => {
+  it('distinguishes an idle server from a busy one', () => {
     expect(encodeLoad(0)).toBe(0);
     expect(decodeLoad(0)).toBe(0);
     expect(encodeLoad(64)).toBeGreaterThan(0);
--- a/packages/lovagepond-core/src/__tests__/unit/core_packing.test.ts
+++ b/packages/lovagepond-core/src/__tests__/unit/core_packing.test.ts
@@ -7,25 +7,25 @@
   timeoutMs: 12_000,
 }));
 
-describe('packed text', () => {
-  it('is the same again, long or short', () => {
+describe('packText and unpackText', () => {
+  it('restores short and long texts', () => {
     for (const text of ['{}', JSON.stringify(routes)]) {
       expect(unpackText(packText(text))).toBe(text);
     }
   });
 
-  // Members of an earlier version wrote their logs unpacked.
-  it('may be plain', () => {
+  // Members of an earlier version wrote their logs uncompressed.
+  it('reads uncompressed text', () => {
     const text = JSON.stringify(routes);
     expect(unpackText(new TextEncoder().encode(text))).toBe(text);
   });
 
-  it('is an eighth of a large configuration or less', () => {
+  it('reduces a large configuration to less than an eighth', () => {
     const text = JSON.stringify(routes);
     expect(packText(text).length).toBeLessThan(text.length / 8);
   });
 
-  it('is refused when it would unpack to more than allowed', () => {
+  it('rejects a text that exceeds the size limit', () => {
     const packed = packText(JSON.stringify(routes));
     expect(() => unpackText(packed, 1_000)).toThrow();
   });
--- a/packages/lovagepond-core/src/__tests__/unit/core_published.test.ts
+++ b/packages/lovagepond-core/src/__tests__/unit/core_published.test.ts
@@ -5,7 +5,7 @@
 import {mergeRegister} from '../../core_registration.js';
 
 describe('Published', () => {
-  it('shows listeners a whole state and the former one', () => {
+  it('passes the new and the previous state to listeners', () => {
     const published = new Published({revision: 1});
     const seen: number[][] = [];
     const unregister = published.register((state, former) => {
@@ -18,7 +18,7 @@
     expect(seen).toEqual([[1, 2]]);
   });
 
-  it('refuses an update inside an update and keeps the former state', () => {
+  it('rejects an update inside an update and keeps the state', () => {
     const published = new Published({revision: 1});
     const nested = (): void => {
       published.update(current => published.update(() => current));
@@ -29,7 +29,7 @@
     expect(published.read()).toEqual({revision: 2});
   });
 
-  it('hands out state that can not be changed', () => {
+  it('returns state that cannot be changed', () => {
     const state = new Published({revision: 1}).read();
     expect(() => {
       state.revision = 2;
--- a/packages/lovagepond-core/src/__tests__/unit/core_random.test.ts
+++ b/packages/lovagepond-core/src/__tests__/unit/core_random.test.ts
@@ -1,8 +1,9 @@
 import {expect, test} from 'vitest';
 import {Random} from '../../core_random.js';
 
-// A thousand routers start in one second with seeds from the clock. When their
-// first draws agree, all of them retry, probe or pick a member together.
+// Guards against synchronized processes: a thousand routers that start within
+// one second get neighbouring seeds from the clock. With equal first draws, all
+// of them would retry, probe or pick a member at the same time.
 test('first draws of neighbouring seeds are spread', () => {
   const buckets = new Array<number>(10).fill(0);
   for (let seed = 0; seed < 1_000; seed += 1) {
--- a/packages/lovagepond-core/src/core_commands.ts
+++ b/packages/lovagepond-core/src/core_commands.ts
@@ -1,15 +1,15 @@
 /**
  * Typed commands and the bus that hands them to listeners.
  *
- * A feature registers listeners on the bus at start and keeps no reference to
- * the feature that dispatches.
+ * Features register listeners at start, so that the dispatching feature and the
+ * handling feature need no reference to each other.
  */
 import {type Unregister} from './core_registration.js';
 
-/** A command constant; `Payload` is what travels with each dispatch. */
+/** A command constant; `Payload` is the type of each dispatch's argument. */
 export interface Command<Payload> {
   readonly name: string;
-  /** Phantom: carries the payload's type and is never set. */
+  /** Phantom field: carries the payload's type and is never set. */
   readonly payload?: Payload;
 }
 
@@ -26,14 +26,14 @@
   return Object.freeze({name});
 }
 
-/** Hands commands to listeners, in the order of their registration. */
+/** Dispatches commands to listeners in the order of their registration. */
 export class CommandBus {
   readonly #listeners = new Map<Command<never>, Set<CommandListener<never>>>();
 
   /**
    * @param command the command to listen for
    * @param listener called with each payload
-   * @returns a function that takes the registration back
+   * @returns a function that removes the listener
    */
   register<Payload>(
     command: Command<Payload>,
@@ -50,7 +50,7 @@
 
   /**
    * @param command the command to dispatch
-   * @param payload what listeners get
+   * @param payload the argument for the listeners
    * @returns true when a listener handled it
    */
   dispatch<Payload>(command: Command<Payload>, payload: Payload): boolean {
--- a/packages/lovagepond-core/src/core_configuration.ts
+++ b/packages/lovagepond-core/src/core_configuration.ts
@@ -1,13 +1,14 @@
 /**
  * The operators' configuration: pools, selectors and workspaces.
  *
- * Immutable once accepted; each accepted change makes the next revision.
+ * A configuration is immutable once accepted; each accepted change creates the
+ * next revision.
  */
 import {z} from './core_schema.js';
 import {type Labels, parseLabelExpression} from './core_labels.js';
 import {packText, unpackText} from './core_packing.js';
 
-/** What a pool's backend servers are. */
+/** Kind of a pool's backend servers. */
 export const POOL_KIND = {ENGINE: 'engine', SERVICE: 'service'} as const;
 
 const name = z.string().regex(/^[A-Za-z0-9][A-Za-z0-9_.-]{0,62}$/);
@@ -21,35 +22,35 @@
   name,
   kind: z.enum(['engine', 'service']),
   labels: z.record(z.string(), z.string()).default({}),
-  /** No server is loaded beyond this multiple of the pool's mean load. */
+  /** Upper bound of a server's load, as a multiple of the pool's mean load. */
   loadBound: z.number().min(1.05).max(16).default(1.5),
-  /** 0 weighs only skew, 1 weighs only cache reuse. */
+  /** Placement weight: 0 considers only load skew, 1 only cache reuse. */
   reuseWeight: z.number().min(0).max(1).default(0.5),
-  /** Longest time a request is held in a sidecar's queue, milliseconds. */
+  /** Longest time that a request waits in a sidecar's queue, milliseconds. */
   maxHoldMs: z.number().int().min(0).max(600_000).default(8_000),
-  /** Prompt tokens a second a server rebuilds when a context is cold. */
+  /** Prompt tokens per second that a server processes for a cold context. */
   prefillTokensPerSecond: z.number().positive().default(8_000),
-  /** Answer tokens a second one server generates over all of its streams. */
+  /** Answer tokens per second that one server generates over all streams. */
   decodeTokensPerSecond: z.number().positive().default(2_400),
-  /** Path of the health check of servers that are reached directly. */
+  /** Health check path of servers without a sidecar. */
   healthPath: z.string().startsWith('/').optional(),
   /** Connections that one server accepts from all routers together. */
   connectionLimit: z.number().int().positive().optional(),
-  /** Requests that one engine batches; later ones wait in its queue. */
+  /** Requests that one engine batches; further ones wait in its queue. */
   engineSlots: z.number().int().positive().optional(),
-  /** Tokens that one engine's context memory holds. */
+  /** Capacity of one engine's context memory, tokens. */
   contextTokens: z.number().int().positive().optional(),
   /**
-   * Context tokens that a server takes over from another server of the pool
-   * in a millisecond; absent where servers can't.
+   * Context tokens per millisecond that a server fetches from another server
+   * of the pool; absent where servers can't fetch contexts.
    */
   contextFetchTokensPerMs: z.number().positive().optional(),
 });
 
-/** Which forwarded requests a selector takes: the longest prefix decides. */
+/** Forwarded requests that a selector matches; the longest prefix wins. */
 const requestMatch = z.strictObject({
   host: z.string().min(1),
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   pathPrefix: z.string().startsWith('/').endsWith('/'),
 });
 
@@ -66,56 +67,56 @@
   requestKinds: z.array(z.string()).min(1),
   /** Prefixes of chat names; the empty list means any chat. */
   chatPrefixes: z.array(z.string()).default([]),
-  /** Which pools, by their labels. */
+  /** Label expression for the eligible pools. */
   pools: labelExpression,
-  /** Which backend servers of those pools, by their labels. */
+  /** Label expression for the eligible backend servers of those pools. */
   backendServers: labelExpression.default(''),
-  /** A higher number is tried first; the first match decides. */
+  /** Selectors are tried in descending priority; the first match decides. */
   priority: z.number().int().default(0),
   /** Set on selectors of forwarded requests; the others serve chats. */
   match: requestMatch.optional(),
-  /** Shares of the pools that forwarded requests are spread over. */
+  /** Weights by which forwarded requests are distributed over the pools. */
   poolWeights: z.array(poolWeight).optional(),
-  /** Forwarded requests need no API key. */
+  /** True when forwarded requests need no API key. */
   public: z.boolean().optional(),
 });
 
 const workspace = z.strictObject({
   name,
-  /** Share in the fair queue against the other workspaces. */
+  /** Weight in the fair queue, relative to the other workspaces. */
   weight: z.number().positive().default(1),
-  /** Priority of its requests, 0 (lowest) to 9. */
+  /** Priority of the workspace's requests, 0 (lowest) to 9. */
   priority: z.number().int().min(0).max(9).default(5),
-  /** Upper bound of outstanding tokens at one sidecar; 0 means none. */
+  /** Limit of outstanding tokens at one sidecar; 0 means no limit. */
   maxQueuedTokens: z.number().int().min(0).default(0),
-  /** Keys that callers of forwarded requests name the workspace by. */
+  /** API keys that identify the workspace in forwarded requests. */
   apiKeys: z.array(z.string().min(1)).optional(),
-  /** Takes the place of the request kind's priority, 0 (lowest) to 9. */
+  /** Overrides the request kind's priority, 0 (lowest) to 9. */
   requestPriority: z.number().int().min(0).max(9).optional(),
 });
 
 const requestKind = z.strictObject({
   name,
-  /** The call must never run twice; it needs an idempotency key. */
+  /** The call must not run twice and needs an idempotency key. */
   nonRepeatable: z.boolean().default(false),
-  /** Facts of forwarded requests of this kind. */
+  /** Settings of forwarded requests of this kind. */
   forwarding: z
     .strictObject({
-      /** Longest time that a caller is kept waiting, milliseconds. */
+      /** Request timeout, milliseconds. */
       timeoutMs: z.number().int().positive(),
-      /** Answered (streams: begun) within it a request is on time, ms. */
+      /** Target time until the answer (streams: its first event), ms. */
       targetLatencyMs: z.number().positive(),
-      /** Backend servers that one request may be given to. */
+      /** Backend servers that one request may be sent to, one by one. */
       maxAttempts: z.number().int().positive(),
       /** 0 (lowest) to 9. */
       priority: z.number().int().min(0).max(9),
-      /** The answer is a stream of numbered events. */
+      /** True when the answer is a stream of numbered events. */
       streaming: z.boolean(),
-      /** A broken stream may be continued at another server. */
+      /** True when a broken stream may be resumed at another server. */
       resumable: z.boolean(),
-      /** Requests name the parts of their prompt and are placed by them. */
+      /** True when requests are placed by the prompt parts that they name. */
       sticky: z.boolean(),
-      /** Longest pause between events that is on time, milliseconds. */
+      /** Target for the longest pause between events, milliseconds. */
       targetGapMs: z.number().positive().optional(),
     })
     .optional(),
@@ -124,9 +125,9 @@
 const callerLimits = z.strictObject({
   maxHeaderBytes: z.number().int().positive(),
   maxBodyBytes: z.number().int().positive(),
-  /** Time a caller has to send a request's head, milliseconds. */
+  /** Time limit for receiving a request's headers, milliseconds. */
   headerTimeoutMs: z.number().int().positive(),
-  /** Time a connection may be idle between requests, milliseconds. */
+  /** Keep-alive time of a connection between requests, milliseconds. */
   idleTimeoutMs: z.number().int().positive(),
 });
 
@@ -138,46 +139,46 @@
   requestKinds: z.array(requestKind).default([]),
   /** Limits on callers of forwarded requests. */
   callerLimits: callerLimits.optional(),
-  /** The number that the operators' own system gave this configuration. */
+  /** Version number of this configuration in the operators' own system. */
   documentVersion: z.number().int().min(0).optional(),
 });
 
-/** Backend servers that can stand in for each other, with their load bound. */
+/** A group of interchangeable backend servers, with their load bound. */
 export type Pool = Readonly<z.infer<typeof pool>>;
-/** A rule: which requests may go to which backend servers. */
+/** A rule that maps requests to the backend servers that may run them. */
 export type Selector = Readonly<z.infer<typeof selector>>;
-/** One customer, with the limits that it is held to. */
+/** One customer, with its limits. */
 export type Workspace = Readonly<z.infer<typeof workspace>>;
-/** A kind of requests, and whether a call of it may be repeated. */
+/** A kind of request, and whether a call of this kind may be repeated. */
 export type RequestKind = Readonly<z.infer<typeof requestKind>>;
-/** What callers of forwarded requests may send, and how slowly. */
+/** Size and time limits for callers of forwarded requests. */
 export type CallerLimits = Readonly<z.infer<typeof callerLimits>>;
-/** What a forwarded request of one kind needs. */
+/** Settings of forwarded requests of one kind. */
 export type Forwarding = NonNullable<RequestKind['forwarding']>;
-/** All that operators configure, checked, without its revision. */
+/** A configuration's validated content, without its revision. */
 export type ConfigurationContent = Readonly<
   z.infer<typeof configurationSchema>
 >;
 
-/** An accepted configuration. Revision 0 is the empty one before any change. */
+/** An accepted configuration. Revision 0 is the initial empty one. */
 export interface Configuration {
   readonly revision: number;
   readonly content: ConfigurationContent;
 }
 
-/** A fault in a configuration, named by its place. */
+/** One fault in a configuration, with its place. */
 export interface ConfigurationFault {
   /** For example `selectors[2].pools`. */
   readonly place: string;
   readonly message: string;
 }
 
-/** A checked configuration, or all of its faults. */
+/** A valid configuration, or all of its faults. */
 export type ConfigurationCheck =
   | {readonly ok: true; readonly content: ConfigurationContent}
   | {readonly ok: false; readonly faults: readonly ConfigurationFault[]};
 
-/** The configuration of a process that has none yet. */
+/** The configuration of a process before it has received any. */
 export const EMPTY_CONFIGURATION: Configuration = Object.freeze({
   revision: 0,
   content: configurationSchema.parse({}),
@@ -201,14 +202,14 @@
   items.forEach((item, index) => {
     if (seen.has(item.name)) {
       const place = `${section}[${index}].name`;
-      faults.push({place, message: `"${item.name}" stands twice`});
+      faults.push({place, message: `"${item.name}" is defined twice`});
     }
     seen.add(item.name);
   });
   return faults;
 }
 
-/** Two selectors with one match would make the choice depend on their order. */
+/** With two equal matches, the choice would depend on the selectors' order. */
 function findDuplicateMatches(
   content: ConfigurationContent,
 ): ConfigurationFault[] {
@@ -219,7 +220,10 @@
     const text = `${match.host.toLowerCase()} ${match.pathPrefix}`;
     if (seen.has(text)) {
       const place = `selectors[${index}].match`;
-      faults.push({place, message: `"${text}" stands twice`});
+      faults.push({
+        place,
+        message: `"${text}" is matched by an earlier selector too`,
+      });
     }
     seen.add(text);
   });
@@ -244,7 +248,7 @@
   return faults;
 }
 
-/** A key of two workspaces would not tell whose request it is. */
+/** An API key must identify one workspace. */
 function findSharedApiKeys(
   content: ConfigurationContent,
 ): ConfigurationFault[] {
@@ -256,7 +260,10 @@
       owners.set(key, owner);
       if (other === owner) continue;
       const place = `workspaces[${index}].apiKeys`;
-      faults.push({place, message: `a key is that of "${other}" too`});
+      faults.push({
+        place,
+        message: `an API key also belongs to workspace "${other}"`,
+      });
     }
   });
   return faults;
@@ -282,10 +289,10 @@
 }
 
 /**
- * Checks a configuration as a whole.
+ * Validates a whole configuration.
  *
  * @param input parsed JSON from an operator
- * @returns the content with defaults filled in, or every fault by its place
+ * @returns the content with defaults filled in, or all faults with their places
  */
 export function checkConfiguration(input: unknown): ConfigurationCheck {
   const parsed = configurationSchema.safeParse(input);
@@ -312,17 +319,17 @@
 
 /**
  * @param configuration an accepted configuration
- * @returns its JSON as UTF-8 bytes, as it travels between processes; packed by
- *     gzip when it is large, as it is pushed whole to every process
+ * @returns the configuration as JSON in UTF-8, compressed by gzip when it is
+ *     large, since the whole configuration is pushed to every process
  */
 export function encodeConfiguration(configuration: Configuration): Uint8Array {
   return packText(JSON.stringify(configuration));
 }
 
 /**
- * @param bytes what {@link encodeConfiguration} made, perhaps by another
+ * @param bytes the result of {@link encodeConfiguration}, perhaps of another
  *     version of the program
- * @returns the configuration, or undefined when it can't be read
+ * @returns the configuration, or undefined when the bytes can't be decoded
  */
 export function decodeConfiguration(
   bytes: Uint8Array,
@@ -342,9 +349,9 @@
 }
 
 /**
- * @param labels a pool's own labels
- * @param poolName its name, matched as the label `pool`
- * @returns the labels a selector's pool expression is matched against
+ * @param labels the pool's configured labels
+ * @param poolName the pool's name, which becomes the label `pool`
+ * @returns the labels that a selector's pool expression is matched against
  */
 export function labelsOfPool(labels: Labels, poolName: string): Labels {
   return {...labels, pool: poolName};
--- a/packages/lovagepond-core/src/core_configuration_delta.ts
+++ b/packages/lovagepond-core/src/core_configuration_delta.ts
@@ -1,9 +1,10 @@
 /**
- * What changes between two configurations, to be pushed in place of the whole.
+ * Configuration deltas, pushed to subscribers instead of whole configurations.
  *
- * Operators send all of a configuration for each change of it. Where it has many
- * rules, and changes come in quick succession, gateways with a part of a core would do
- * little else than decode it. What has changed is mostly a rule or two.
+ * Operators submit the whole configuration for each change, although mostly
+ * only one or two rules differ. With many rules and frequent changes, a gateway
+ * with a fraction of a CPU core would spend most of its time on decoding
+ * configurations.
  */
 import {z} from './core_schema.js';
 import {
@@ -32,10 +33,10 @@
 const names = z.array(z.string()).default([]);
 
 const deltaSchema = z.strictObject({
-  /** The revision that it applies to. */
+  /** The revision that the delta applies to. */
   baseRevision: z.number().int().min(0),
   revision: z.number().int().min(0),
-  /** Objects that are new or other, and all that stands beside the lists. */
+  /** Added and changed objects, and all fields beside the lists. */
   put: configurationSchema,
   removed: z.strictObject({
     pools: names,
@@ -45,25 +46,25 @@
   }),
 });
 
-/** What turns one configuration into a later one. */
+/** The changes from one configuration to a later one. */
 export type ConfigurationDelta = Readonly<z.infer<typeof deltaSchema>>;
 
 /**
  * @param before an object of one configuration
  * @param after an object of another
- * @returns true when they say the same
+ * @returns true when both have the same content
  */
 export function isSameObject(before: NamedObject, after: NamedObject): boolean {
   return before === after || JSON.stringify(before) === JSON.stringify(after);
 }
 
 /**
- * Takes the objects that haven't changed over from the configuration before, so
- * that the revisions that are kept share them, and comparing them is quick.
+ * Reuses the unchanged objects of the previous configuration, so that retained
+ * revisions share them and comparing two revisions is fast.
  *
- * @param before the configuration in force
- * @param after the next one
- * @returns the next one, made of the objects of the one before where it can be
+ * @param before the current configuration
+ * @param after the next configuration
+ * @returns the next configuration, with the unchanged objects of `before`
  */
 export function shareObjects(
   before: ConfigurationContent,
@@ -81,10 +82,10 @@
 }
 
 /**
- * @param base the configuration that the receiver holds
- * @param next a later one
- * @returns the difference; undefined when it can't be told, as objects have
- *     changed places
+ * @param base the receiver's configuration
+ * @param next a later configuration
+ * @returns the delta; undefined when the order of objects has changed, which a
+ *     delta can't express
  */
 export function makeDelta(
   base: Configuration,
@@ -119,9 +120,10 @@
 }
 
 /**
- * @param base the configuration held
- * @param delta a difference
- * @returns the later configuration; undefined when it applies to another one
+ * @param base the current configuration
+ * @param delta a delta
+ * @returns the later configuration; undefined when the delta is for another
+ *     base revision
  */
 export function applyDelta(
   base: Configuration,
@@ -138,17 +140,17 @@
 }
 
 /**
- * @param delta a difference
- * @returns its JSON as UTF-8 bytes, packed by gzip when it is long
+ * @param delta a delta
+ * @returns the delta as JSON in UTF-8, compressed by gzip when it is long
  */
 export function encodeDelta(delta: ConfigurationDelta): Uint8Array {
   return packText(JSON.stringify(delta));
 }
 
 /**
- * @param bytes what {@link encodeDelta} made, perhaps by another version of the
- *     program
- * @returns the difference, or undefined when it can't be read
+ * @param bytes the result of {@link encodeDelta}, perhaps of another version of
+ *     the program
+ * @returns the delta, or undefined when the bytes can't be decoded
  */
 export function decodeDelta(bytes: Uint8Array): ConfigurationDelta | undefined {
   try {
@@ -165,7 +167,7 @@
   return new Map(objects.map(object => [object.name, object]));
 }
 
-/** What changed keeps its place, what is new comes last. */
+/** Changed objects keep their positions; new objects are appended. */
 function applySection(
   before: readonly NamedObject[],
   put: readonly NamedObject[],
--- a/packages/lovagepond-core/src/core_control_addresses.ts
+++ b/packages/lovagepond-core/src/core_control_addresses.ts
@@ -1,31 +1,33 @@
 /**
- * Decides which member of control a process asks next.
+ * Selects the member of control that a process connects to.
  */
 import {type Random} from './core_random.js';
 
 /**
- * The members of control that a process knows: those that its settings name, and
- * those that control has named since.
+ * The known addresses of control members: those configured in the settings file
+ * and those discovered from control since.
  *
- * Settings are read at the start. With these addresses alone, a gateway whose
- * three hosts of control had been replaced one after the other heard of no
- * further change: it answered callers 503 for good, beside a group that worked.
- * Each member knows the whole group, so whoever has heard one of them lately can
- * reach the next one. The settings' addresses come last: the processes there may
- * be gone, but after a long absence nobody else may be left of those named.
+ * Settings are read only at start. With the configured addresses alone, a
+ * gateway would lose control for good once its three control hosts have been
+ * replaced one after the other: it would receive no further update and answer
+ * callers with 503, although control works. Each member reports the addresses
+ * of the whole group, so a process that was connected recently can reach
+ * another member. Configured addresses are tried last, as these members may
+ * have been replaced. They are still needed after a long disconnection, when
+ * all discovered members may be gone.
  */
 export class ControlAddresses {
   readonly #configured: readonly string[];
   readonly #random: Random;
   #discovered: readonly string[] = [];
-  /** Asked in vain since a member was last heard. */
+  /** Addresses that failed since the last contact with a member. */
   readonly #tried = new Set<string>();
   #current = '';
 
   /**
-   * @param configured `host:port` of the members that the settings name
-   * @param random draws the next one: processes that lost the same member would
-   *     else all go on to the same other one
+   * @param configured `host:port` of the members in the settings file
+   * @param random selects the next member, so that processes that lost the same
+   *     member spread over the others
    */
   constructor(configured: readonly string[], random: Random) {
     this.#configured = configured;
@@ -33,22 +35,22 @@
     this.selectNext();
   }
 
-  /** `host:port` of the member to ask; empty when none is known. */
+  /** `host:port` of the selected member; empty when none is known. */
   get current(): string {
     return this.#current;
   }
 
-  /** @param addresses `host:port` of all members, as one of them knows them */
+  /** @param addresses `host:port` of all members, as reported by one of them */
   setDiscovered(addresses: readonly string[]): void {
     if (addresses.length > 0) this.#discovered = [...addresses];
   }
 
-  /** Called when the present member has been heard. */
+  /** Called when the selected member has answered. */
   noteContact(): void {
     this.#tried.clear();
   }
 
-  /** Leaves the present member for one that hasn't been tried lately. */
+  /** Selects another member, if possible one that has not failed meanwhile. */
   selectNext(): void {
     this.#tried.add(this.#current);
     let untried = this.#findUntried();
--- a/packages/lovagepond-core/src/core_crash_evidence.ts
+++ b/packages/lovagepond-core/src/core_crash_evidence.ts
@@ -1,31 +1,33 @@
 /**
- * Which requests crash the backend servers that run them.
+ * Finds requests that crash the backend servers that run them (poison-pill
+ * requests), and quarantines them.
  *
- * A server that crashes takes all its requests along, and all but one of them are
- * innocent. A request is quarantined once it was at three crashes and none of the
- * requests beside it was at as many. Its crashes then count against no other. One
- * whole answer anywhere acquits it.
+ * All requests of a server fail when it crashes, but only one of them caused
+ * the crash. A request is quarantined after three crashes, unless another
+ * request that ran on the same servers was involved in as many. The crashes are
+ * then attributed to the quarantined request and no longer count for others.
+ * One complete answer from any server clears a request.
  *
  * Deterministic: the same calls in the same order give the same state.
  */
 
-/** A server that ended while it ran requests. */
+/** A server that crashed while it ran requests. */
 export interface ServerCrash {
-  /** Names one life of the server. */
+  /** Identifies one run of the server; changes when the server restarts. */
   readonly server: string;
-  /** Fingerprints of the requests that it ran. */
+  /** Fingerprints of the requests that the server ran. */
   readonly requests: readonly string[];
-  /** Milliseconds, by the clock of the caller of all methods. */
+  /** Milliseconds, by the same clock as `now` of all methods. */
   readonly crashedAt: number;
 }
 
-/** What is known of one request. */
+/** The evidence against one request. */
 export interface Suspect {
-  /** Its fingerprint. */
+  /** The request's fingerprint. */
   readonly request: string;
-  /** Servers that crashed while they ran it; those at the same time count once. */
+  /** Crashes of servers that ran it; those with a common cause count once. */
   readonly crashes: number;
-  /** When its quarantine ends, milliseconds; undefined when it isn't in one. */
+  /** End of the quarantine, milliseconds; undefined when not quarantined. */
   readonly quarantinedUntil: number | undefined;
 }
 
@@ -38,7 +40,7 @@
   readonly request: string;
   crashes: CountedCrash[];
   quarantinedUntil: number | undefined;
-  /** Quarantines until now. */
+  /** Number of quarantines so far, including the current one. */
   quarantines: number;
 }
 
@@ -48,54 +50,54 @@
   readonly recent: readonly ServerCrash[];
 }
 
-/** Crashes after which a request may be quarantined. */
+/** Number of crashes at which a request may be quarantined. */
 const QUARANTINE_CRASHES = 3;
 
-/** Crashes after which it is, whatever else the servers ran. */
+/** Number of crashes at which a request is quarantined in any case. */
 const CONCLUSIVE_CRASHES = 5;
 
-/** Crashes from which on every router is told of a request. */
+/** Number of crashes at which a request is published to all routers. */
 const SUSPECT_CRASHES = 2;
 
 /**
- * So many crashes within this time have a common cause, such as a loss of power,
- * and count once; milliseconds.
+ * This many crashes within this time (milliseconds) are assumed to have a
+ * common cause, such as a power failure, and count as one.
  */
 const COMMON_CAUSE_CRASHES = 3;
 const COMMON_CAUSE_MS = 200;
 
-/** Crashes kept for one request. */
+/** Crashes retained for one request. */
 const MAX_CRASHES = 16;
 
-/** Length of a request's first quarantine, doubled with each further one, ms. */
+/** Length of a request's first quarantine, doubled for each further one, ms. */
 const FIRST_QUARANTINE_MS = 3_600_000;
 const LONGEST_QUARANTINE_MS = 24 * FIRST_QUARANTINE_MS;
 
-/** Evidence without a further crash is forgotten after this time, milliseconds. */
+/** Time without a further crash after which evidence expires, milliseconds. */
 const RETENTION_MS = 24 * FIRST_QUARANTINE_MS;
 
 const MAX_REQUESTS = 4_096;
 const MAX_RECENT_CRASHES = 512;
 const MAX_REQUESTS_OF_CRASH = 512;
 
-/** Collects crashes and decides on quarantines. */
+/** Records crashes and decides which requests to quarantine. */
 export class CrashEvidence {
   readonly #evidence = new Map<string, Evidence>();
   readonly #recent = new Map<string, ServerCrash>();
   #version = 0;
 
-  /** Rises with each change of {@link suspects}. */
+  /** Incremented with each change of {@link suspects}. */
   get version(): number {
     return this.#version;
   }
 
   /**
-   * Reports of one crash by several routers add up, and one that is told again
-   * changes nothing.
+   * Records a crash. Reports of one crash by several routers are merged, and a
+   * repeated report has no effect.
    *
-   * @param crash the server and the requests that the caller knows it ran
-   * @param now present time, milliseconds
-   * @returns requests that are quarantined by this crash
+   * @param crash the server and the requests that the reporter had sent to it
+   * @param now current time, milliseconds
+   * @returns requests that are now quarantined because of this crash
    */
   noteCrash(crash: ServerCrash, now: number): readonly string[] {
     this.#dropExpired(now);
@@ -120,11 +122,11 @@
   }
 
   /**
-   * Forgets what is known of a request, as a server answered it whole or an
-   * operator says so.
+   * Drops the evidence against a request, because a server answered it
+   * completely or an operator lifted its quarantine.
    *
-   * @param request its fingerprint
-   * @returns false when nothing was known
+   * @param request the request's fingerprint
+   * @returns false when there was no evidence
    */
   forget(request: string): boolean {
     if (!this.#evidence.delete(request)) return false;
@@ -133,9 +135,9 @@
   }
 
   /**
-   * @param request a fingerprint
-   * @param now present time, milliseconds
-   * @returns what is known of it
+   * @param request the request's fingerprint
+   * @param now current time, milliseconds
+   * @returns the evidence against the request, if there is any
    */
   find(request: string, now: number): Suspect | undefined {
     const evidence = this.#evidence.get(request);
@@ -143,8 +145,8 @@
   }
 
   /**
-   * @param now present time, milliseconds
-   * @returns requests that every router should know of
+   * @param now current time, milliseconds
+   * @returns the requests to publish to all routers
    */
   suspects(now: number): readonly Suspect[] {
     const all = [...this.#evidence.values()];
@@ -159,7 +161,10 @@
     return structuredClone({evidence, recent: [...this.#recent.values()]});
   }
 
-  /** @param snapshot what {@link snapshot} gave; absent in older ones */
+  /**
+   * @param snapshot the result of {@link snapshot}; undefined when an older
+   *     version of the program wrote the state
+   */
   restore(snapshot: CrashEvidenceSnapshot | undefined): void {
     this.#evidence.clear();
     this.#recent.clear();
@@ -184,7 +189,7 @@
     };
     evidence.crashes.push(crash);
     if (evidence.crashes.length > MAX_CRASHES) evidence.crashes.shift();
-    // The request that was at a crash last goes last.
+    // Keeps the map in order of the latest crash, for expiry and eviction.
     this.#evidence.delete(request);
     this.#evidence.set(request, evidence);
   }
@@ -202,7 +207,7 @@
     return quarantined;
   }
 
-  /** Another request may as well have crashed the servers. */
+  /** @returns true when another request may equally have caused the crashes */
   #hasEqualSuspect(request: string, count: number, now: number): boolean {
     return this.#concurrentRequestsOf(request).some(
       other =>
@@ -211,7 +216,7 @@
     );
   }
 
-  /** Crashes that a quarantined request explains count against no other. */
+  /** Removes the quarantined request's crashes from the other requests. */
   #attributeCrashes(request: string, now: number): void {
     const servers = this.#crashedServersOf(request);
     for (const other of this.#concurrentRequestsOf(request)) {
@@ -229,7 +234,7 @@
     return new Set(crashes.map(({server}) => server));
   }
 
-  /** @returns the other requests of all its crashes */
+  /** @returns the other requests that were involved in the request's crashes */
   #concurrentRequestsOf(request: string): readonly string[] {
     const all = new Set<string>();
     for (const server of this.#crashedServersOf(request)) {
@@ -266,7 +271,7 @@
     }
   }
 
-  /** Quarantined requests stay longest. */
+  /** Evicts the oldest evidence, that of quarantined requests last. */
   #dropExcess(): void {
     while (this.#evidence.size > MAX_REQUESTS) {
       const all = [...this.#evidence.values()];
@@ -288,7 +293,7 @@
   return {request, crashes: countCrashes(crashes), quarantinedUntil};
 }
 
-/** Counts crashes that share a cause once. */
+/** Counts crashes, those with a common cause as one. */
 function countCrashes(crashes: readonly CountedCrash[]): number {
   const times = crashes.map(({at}) => at).sort((a, b) => a - b);
   let count = 0;
--- a/packages/lovagepond-core/src/core_errors.ts
+++ b/packages/lovagepond-core/src/core_errors.ts
@@ -1,14 +1,15 @@
 /**
- * The closed list of error kinds, and the table from kind to answer.
+ * The closed list of error kinds, and the HTTP answer for each kind.
  *
- * Every failure that a caller or an operator can see is one of these kinds.
+ * Every failure that is reported to a caller or an operator has one of these
+ * kinds.
  */
 
-/** What is known about the request's execution. */
+/** Whether the request was executed. */
 export const DISPOSITION = {
-  /** No backend server got the request, and none will. */
+  /** No backend server received the request, and none will. */
   NOT_RUN: 'notRun',
-  /** A backend server may have run the request, in part or in full. */
+  /** A backend server may have run the request, partly or completely. */
   MAY_HAVE_RUN: 'mayHaveRun',
   /** A backend server has run the request. */
   RAN: 'ran',
@@ -17,16 +18,16 @@
 /** One of the values of {@link DISPOSITION}. */
 export type Disposition = (typeof DISPOSITION)[keyof typeof DISPOSITION];
 
-/** How one kind of error is answered. */
+/** The answer for one kind of error. */
 export interface ErrorAnswer {
   /** HTTP status. */
   readonly status: number;
   readonly disposition: Disposition;
-  /** The answer tells the caller when to come back. */
+  /** The answer tells the caller when to retry. */
   readonly retryable: boolean;
-  /** A router may try another backend server without asking the caller. */
+  /** A router may retry at another backend server on its own. */
   readonly anotherAttempt: boolean;
-  /** Text for the caller when the place of failure gives no better one. */
+  /** Text for the caller when a failure has no message of its own. */
   readonly message: string;
 }
 
@@ -58,7 +59,7 @@
 const RETRYABLE = {retryable: true} as const;
 const RETRYABLE_ELSEWHERE = {retryable: true, anotherAttempt: true} as const;
 
-/** Kind to answer. The keys are the closed list of error kinds. */
+/** Answers by kind. The keys are the closed list of error kinds. */
 export const ERROR_ANSWERS = {
   badRequest: refused(400, 'The request is malformed.'),
   badDeadline: refused(400, 'The deadline is not a time that can be met.'),
@@ -148,21 +149,22 @@
   internal: mayHaveRun(500, 'The request failed inside lovagepond.'),
 } as const satisfies Record<string, ErrorAnswer>;
 
-/** A kind from the closed list. */
+/** One of the keys of {@link ERROR_ANSWERS}. */
 export type ErrorKind = keyof typeof ERROR_ANSWERS;
 
-/** A failure as it travels between parts: a tagged union over `kind`. */
+/** A failure as it is passed between components and processes. */
 export interface Failure {
   readonly kind: ErrorKind;
   readonly message: string;
-  /** Milliseconds until the caller may come back; 0 when not retryable. */
+  /** Milliseconds until the caller may retry; 0 when not retryable. */
   readonly retryAfterMs: number;
 }
 
 /**
- * @param kind a kind of the closed list
- * @param details a better message, or when to come back (milliseconds)
- * @returns the failure, completed from the table
+ * @param kind an error kind
+ * @param details a more specific message, or the delay before a retry
+ *     (milliseconds)
+ * @returns the failure, with the kind's default message unless one is given
  */
 export function makeFailure(
   kind: ErrorKind,
@@ -176,22 +178,22 @@
 }
 
 /**
- * @param text a kind as another process wrote it
- * @returns the kind, or `internal` when this version doesn't know it
+ * @param text an error kind received from another process
+ * @returns the kind, or `internal` when this version doesn't support it
  */
 export function parseErrorKind(text: string): ErrorKind {
   return Object.hasOwn(ERROR_ANSWERS, text) ? (text as ErrorKind) : 'internal';
 }
 
 /**
- * @param kind a kind of the closed list
- * @returns its row of the table
+ * @param kind an error kind
+ * @returns the answer for this kind
  */
 export function answerFor(kind: ErrorKind): ErrorAnswer {
   return ERROR_ANSWERS[kind];
 }
 
-/** A result or a failure. */
+/** A value, or the failure that occurred instead. */
 export type Result<Value> =
   | {readonly ok: true; readonly value: Value}
   | {readonly ok: false; readonly failure: Failure};
--- a/packages/lovagepond-core/src/core_invariant.ts
+++ b/packages/lovagepond-core/src/core_invariant.ts
@@ -1,8 +1,8 @@
 /**
- * Checks of what can only be broken by a fault in this program.
+ * Checks of conditions that only a bug in this program can break.
  */
 
-/** Thrown by {@link invariant}: a fault of the program, never of its input. */
+/** Thrown by {@link invariant}: a bug in the program, never invalid input. */
 export class InvariantError extends Error {
   /** The number of the broken invariant, unique in the code base. */
   readonly code: number;
@@ -19,7 +19,7 @@
  *
  * @param condition what must be true
  * @param code number of this invariant, unique in the code base
- * @param message what is broken, for the log
+ * @param message the violated condition, for the log
  * @throws InvariantError when the condition is false
  */
 export function invariant(
--- a/packages/lovagepond-core/src/core_labels.ts
+++ b/packages/lovagepond-core/src/core_labels.ts
@@ -1,7 +1,7 @@
 /**
  * Labels on pools and backend servers, and the expressions that match them.
  *
- * An expression is a list of terms joined by commas; all must hold:
+ * An expression is a comma-separated list of terms, all of which must match:
  * `tier=gold`, `tier!=gold`, `tier` (present), `!tier` (absent),
  * `zone in (a|b)`. The empty expression matches everything.
  */
@@ -16,7 +16,7 @@
   | {readonly kind: 'present'; readonly key: string}
   | {readonly kind: 'absent'; readonly key: string};
 
-/** A parsed expression, or what is wrong with its text. */
+/** A parsed expression, or the message about its first invalid term. */
 export type LabelExpression =
   | {readonly ok: true; readonly terms: readonly LabelTerm[]}
   | {readonly ok: false; readonly message: string};
@@ -50,7 +50,7 @@
  * Parses a label expression.
  *
  * @param text the expression, for example `tier=gold, zone in (a|b)`
- * @returns the terms, or a message that quotes the term at fault
+ * @returns the terms, or a message that quotes the first invalid term
  */
 export function parseLabelExpression(text: string): LabelExpression {
   const terms: LabelTerm[] = [];
@@ -79,7 +79,7 @@
 /**
  * @param terms a parsed expression
  * @param labels the labels to test
- * @returns true when all terms hold
+ * @returns true when all terms match
  */
 export function matchesLabels(
   terms: readonly LabelTerm[],
--- a/packages/lovagepond-core/src/core_load_digest.ts
+++ b/packages/lovagepond-core/src/core_load_digest.ts
@@ -1,9 +1,10 @@
 /**
- * One byte of load for each backend server, so that the load of 640 servers
- * travels in 640 bytes.
+ * The load digest: one byte of load for each backend server, so that the load
+ * of 640 servers takes 640 bytes.
  *
- * The scale is logarithmic: a step is about 5.7%, from 64 tokens to about
- * 64 million, which is finer than the lag of an engine's own report.
+ * The scale is logarithmic, from 64 tokens to about 64 million. A step is about
+ * 5.7%, less than the error that the delay of an engine's own load report
+ * causes.
  */
 
 const SMALLEST_TOKENS = 64;
@@ -11,7 +12,7 @@
 const MAX_CODE = 255;
 
 /**
- * @param tokens outstanding work in tokens
+ * @param tokens outstanding work, in tokens
  * @returns a code from 0 to 255
  */
 export function encodeLoad(tokens: number): number {
@@ -25,8 +26,8 @@
 );
 
 /**
- * @param code what {@link encodeLoad} gave
- * @returns outstanding work in tokens, within a step of the true value
+ * @param code the result of {@link encodeLoad}
+ * @returns outstanding work in tokens, within one step of the encoded value
  */
 export function decodeLoad(code: number): number {
   return DECODED[code] ?? 0;
--- a/packages/lovagepond-core/src/core_membership.ts
+++ b/packages/lovagepond-core/src/core_membership.ts
@@ -1,14 +1,14 @@
 /**
- * What every role knows about the backend servers that announced themselves.
+ * The membership view: the backend servers that have announced themselves.
  */
 import {type Labels} from './core_labels.js';
 
-/** A backend server's state towards new work. */
+/** Whether a backend server accepts new requests. */
 export const SERVER_STATE = {
-  /** Announced, not yet proven or damped after flapping: gets no work. */
+  /** Announced, but unconfirmed or damped after flapping: gets no requests. */
   JOINING: 'joining',
   READY: 'ready',
-  /** Leaving: finishes what it has and gets nothing new. */
+  /** Finishes its current requests and gets no new ones. */
   DRAINING: 'draining',
 } as const;
 
@@ -18,40 +18,41 @@
 /** One backend server as its sidecar announced it. */
 export interface BackendServer {
   readonly name: string;
-  /** New with each start of its sidecar. */
+  /** Changes with each start of the sidecar. */
   readonly incarnation: string;
   readonly pool: string;
   readonly labels: Labels;
   readonly availabilityZone: string;
   readonly region: string;
-  /** `host:port` of its sidecar. */
+  /** `host:port` of the sidecar. */
   readonly address: string;
   readonly state: ServerState;
-  /** Tokens it may have outstanding before it is full by itself. */
+  /** Outstanding tokens at which the server is full. */
   readonly capacityTokens: number;
   readonly models: readonly string[];
-  /** Position of its byte in the load digest. */
+  /** Position of the server's byte in the load digest. */
   readonly slot: number;
   /**
-   * Requests it processes at once, of a server that has no sidecar: `address`
-   * is then its own, and routers send to it directly. Absent or 0 for a
-   * server behind a sidecar.
+   * Requests that a server without a sidecar processes concurrently. Routers
+   * send to such a server directly, and `address` is its own. Absent or 0 for
+   * a server behind a sidecar.
    */
   readonly directSlots?: number;
   /**
-   * Where shared prompts have their home, of a server without a sidecar: a
-   * place outlives its server. Empty while the server stands by.
+   * Stable position to which shared prompts are assigned, for a server without
+   * a sidecar. A successor takes over the place of a server that leaves. Empty
+   * while the server is on standby.
    */
   readonly place?: string;
 }
 
-/** The list of backend servers at one version. Immutable. */
+/** All backend servers at one version. Immutable. */
 export interface Membership {
   readonly version: number;
   readonly servers: ReadonlyMap<string, BackendServer>;
 }
 
-/** The membership of a process that has heard of no backend server yet. */
+/** The membership before the first update from control. */
 export const EMPTY_MEMBERSHIP: Membership = Object.freeze({
   version: 0,
   servers: new Map(),
--- a/packages/lovagepond-core/src/core_packing.ts
+++ b/packages/lovagepond-core/src/core_packing.ts
@@ -1,16 +1,17 @@
 /**
- * Packs long texts that travel to many processes, and between members.
+ * Compresses long texts that are sent to many processes and between members of
+ * control.
  *
- * A configuration of some hundred routes is 90 kB of JSON. Each change goes to
- * every member and every gateway, mostly over the links between availability
- * zones; packed it is a tenth of that.
+ * A configuration of some hundred routes is 90 kB of JSON. Each change is sent
+ * to every member and every gateway, mostly across availability zones.
+ * Compression reduces its size to a tenth.
  */
 import {gunzipSync, gzipSync} from 'node:zlib';
 
-/** Shorter texts are left as they are. */
+/** Shorter texts are not compressed. */
 const MIN_PACKED_BYTES = 1_024;
 
-/** Refuses what would unpack to more: no configuration is this large. */
+/** Larger texts are rejected: no configuration reaches this size. */
 const MAX_UNPACKED_BYTES = 64 * 1024 * 1024;
 
 /** First byte of a gzip stream; JSON starts with `{`. */
@@ -18,7 +19,7 @@
 
 /**
  * @param text JSON of an object
- * @returns its UTF-8 bytes, packed by gzip when it is long
+ * @returns the text's UTF-8 bytes, compressed by gzip when it is long
  */
 export function packText(text: string): Uint8Array {
   const bytes = new TextEncoder().encode(text);
@@ -26,10 +27,11 @@
 }
 
 /**
- * @param bytes what {@link packText} made, or plain JSON
- * @param maxBytes the longest text that is taken
+ * @param bytes the result of {@link packText}, or uncompressed JSON
+ * @param maxBytes the largest size that compressed bytes may expand to
  * @returns the text
- * @throws RangeError when it would be longer, Error when it can't be read
+ * @throws RangeError when the text exceeds `maxBytes`, Error when the bytes are
+ *     damaged
  */
 export function unpackText(
   bytes: Uint8Array,
--- a/packages/lovagepond-core/src/core_published.ts
+++ b/packages/lovagepond-core/src/core_published.ts
@@ -4,13 +4,12 @@
 import {invariant} from './core_invariant.js';
 import {type Unregister} from './core_registration.js';
 
-/** Called after each publication with the new and the former state. */
+/** Called after each publication with the new and the previous state. */
 export type PublishedListener<State> = (state: State, former: State) => void;
 
 /**
- * Holds one state value. Readers see a whole state or the next whole state,
- * never one that is half changed: an update works on a pending copy, which
- * replaces the published value in one step.
+ * Holds one state value. An update builds the next state beside the published
+ * one and replaces it in one step, so readers never see a partial change.
  */
 export class Published<State extends object> {
   #state: State;
@@ -21,17 +20,19 @@
     this.#state = Object.freeze(initial);
   }
 
-  /** @returns the state published last */
+  /** @returns the currently published state */
   read(): State {
     return this.#state;
   }
 
   /**
-   * @param change makes the next state from the current one; must not update
-   * @returns the state now published
+   * @param change returns the next state for the current one; must not call
+   *     `update` itself
+   * @returns the newly published state
+   * @throws InvariantError when `change` calls `update`
    */
   update(change: (current: State) => State): State {
-    invariant(!this.#updating, 1, 'an update started inside an update');
+    invariant(!this.#updating, 1, 'Published.update called inside an update');
     this.#updating = true;
     const former = this.#state;
     try {
@@ -49,7 +50,7 @@
 
   /**
    * @param listener called after each update that changed the state
-   * @returns a function that takes the registration back
+   * @returns a function that removes the listener
    */
   register(listener: PublishedListener<State>): Unregister {
     this.#listeners.add(listener);
--- a/packages/lovagepond-core/src/core_random.ts
+++ b/packages/lovagepond-core/src/core_random.ts
@@ -1,5 +1,5 @@
 /**
- * Seeded random numbers, passed to every decider that draws.
+ * Seeded random numbers, injected into all code that makes random choices.
  */
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {type RandomGenerator} from 'pure-rand/types/RandomGenerator';
@@ -8,8 +8,8 @@
 
 /**
  * Spreads a seed over all bits. The generator's first number is the seed's
- * complement: processes seeded from the clock in the same second would all
- * draw the same first delay, and come back or probe together.
+ * complement, so without mixing, processes seeded from the clock within one
+ * second would draw the same first delay and retry or probe at the same time.
  */
 function mixSeed(seed: number): number {
   let mixed = seed ^ (seed >>> 16);
@@ -19,7 +19,7 @@
   return mixed ^ (mixed >>> 16);
 }
 
-/** A source of random numbers that repeats itself for the same seed. */
+/** A generator that yields the same sequence for the same seed. */
 export class Random {
   readonly #generator: RandomGenerator;
 
@@ -51,7 +51,8 @@
 
   /**
    * @param mean the mean of the distribution, in any unit
-   * @returns an exponentially distributed number, as between random arrivals
+   * @returns an exponentially distributed number, such as the time between the
+   *     arrivals of a Poisson process
    */
   exponential(mean: number): number {
     return -mean * Math.log(1 - this.next());
--- a/packages/lovagepond-core/src/core_registration.ts
+++ b/packages/lovagepond-core/src/core_registration.ts
@@ -1,15 +1,15 @@
 /**
- * Joins the unregister functions that features return when they register.
+ * Unregister functions, which features return when they register.
  */
 
-/** Takes back one registration. Calling it again has no effect. */
+/** Removes one registration. Calling it again has no effect. */
 export type Unregister = () => void;
 
 /**
  * Merges several unregister functions into one.
  *
- * @param unregisters the functions, run last to first
- * @returns one function that runs each part once
+ * @param unregisters the functions, called in reverse order
+ * @returns one function that calls each of them once
  */
 export function mergeRegister(
   ...unregisters: readonly Unregister[]
--- a/packages/lovagepond-core/src/core_role.ts
+++ b/packages/lovagepond-core/src/core_role.ts
@@ -1,22 +1,22 @@
 /**
- * What every role (router, sidecar, control) offers the program that runs it,
- * and what it is given.
+ * Interfaces between a role (router, sidecar, control) and the program that
+ * runs it.
  */
 
-/** Present time. Deciders never read it: shells pass it in. */
+/** Reads the current time. Decision code takes the time as an argument. */
 export interface Clock {
-  /** @returns monotonic milliseconds; only differences have a meaning */
+  /** @returns monotonic milliseconds; only differences are meaningful */
   now(): number;
   /** @returns milliseconds since the Unix epoch */
   wallTime(): number;
 }
 
-/** Values that may stand in a log line: ids and numbers, never bodies. */
+/** Fields of a log line: ids and numbers, never request bodies. */
 export type LogFields = Readonly<
   Record<string, string | number | boolean | undefined>
 >;
 
-/** Structured log, implemented over a library by the platform package. */
+/** Structured log, implemented over a library by the process package. */
 export interface Logger {
   debug(message: string, fields?: LogFields): void;
   info(message: string, fields?: LogFields): void;
@@ -24,7 +24,7 @@
   error(message: string, fields?: LogFields): void;
 }
 
-/** A process's state as versioned JSON: bounded in size, without secrets. */
+/** A process's state as versioned JSON, bounded in size and without secrets. */
 export interface StateDump {
   readonly version: number;
   readonly role: string;
@@ -33,18 +33,19 @@
 
 /** One running role. */
 export interface Role {
-  /** Binds its addresses and starts; resolves when it can be reached. */
+  /** Binds its addresses and starts; resolves once it accepts connections. */
   start(): Promise<void>;
-  /** @returns true when the platform's balancer may send it work */
+  /** @returns true when the platform's load balancer may send it requests */
   isReady(): boolean;
   /**
-   * Graceful shutdown: readiness goes first, then requests in flight finish.
+   * Shuts down gracefully: withdraws readiness, then waits for the requests in
+   * flight.
    *
-   * @param limitMs longest time to wait for them, milliseconds
+   * @param limitMs longest time to wait for those requests, milliseconds
    */
   drain(limitMs: number): Promise<void>;
-  /** Ends at once; drain first to cut nothing. */
+  /** Stops at once and aborts requests in flight; call `drain` before. */
   stop(): Promise<void>;
-  /** @returns its state for an operator */
+  /** @returns the role's state, for operators */
   dump(): StateDump;
 }
--- a/packages/lovagepond-core/src/core_schema.ts
+++ b/packages/lovagepond-core/src/core_schema.ts
@@ -1,9 +1,9 @@
 /**
- * The schema library, set for processes that must be up soon.
+ * The schema library, configured for fast process starts.
  *
- * By default it writes and compiles a parser for each schema at its first use. A
- * process reads its settings and its first configuration once, and waits for that
- * compilation longer than the parser ever saves.
+ * By default zod generates and compiles a parser for each schema at its first
+ * use. A process parses its settings and its first configuration once, so this
+ * compilation takes longer than the compiled parsers save.
  */
 import {z} from 'zod';
 
