--- a/packages/lovagepond-process/src/__tests__/unit/log_limiter.test.ts
+++ b/packages/lovagepond-process/src/__tests__/unit/log_limiter.test.ts
@@ -4,7 +4,7 @@
 const HALF_FULL = 512 * 1024;
 const FULL = 1024 * 1024;
 
-test('drops routine lines first, and all once there is no room', () => {
+test('drops routine lines first, and all lines once the buffer is full', () => {
   const limiter = new LogLimiter();
   expect(limiter.accepts('info', HALF_FULL - 1)).toBe(true);
   expect(limiter.takeDropped()).toBeUndefined();
--- a/packages/lovagepond-process/src/__tests__/unit/process_components.test.ts
+++ b/packages/lovagepond-process/src/__tests__/unit/process_components.test.ts
@@ -9,7 +9,7 @@
 } from '../../index.js';
 
 describe('lifecycle', () => {
-  it('withdraws readiness, then drains, then ends', () => {
+  it('withdraws readiness, drains, and then ends', () => {
     const lifecycle = new Lifecycle({
       announceDelayMs: 500,
       drainLimitMs: 9_000,
@@ -28,7 +28,7 @@
     ]);
   });
 
-  it('tells a drain that met its limit and a second signal by exit code', () => {
+  it('reports an exceeded drain limit and a second signal by exit codes', () => {
     const slow = new Lifecycle({announceDelayMs: 0, drainLimitMs: 100});
     slow.handle('terminate', 0);
     slow.handle('delayOver', 0);
@@ -41,7 +41,7 @@
 });
 
 describe('state dump', () => {
-  it('blanks secrets, keeps counts of tokens, and says what was cut', () => {
+  it('redacts secrets, keeps token counts, and counts omitted items', () => {
     const state = {
       adminToken: 'x1',
       runningTokens: 7,
--- a/packages/lovagepond-process/src/__tests__/unit/settings_file.test.ts
+++ b/packages/lovagepond-process/src/__tests__/unit/settings_file.test.ts
@@ -41,7 +41,7 @@
 }
 
 describe('settings', () => {
-  it('turns units into plain numbers and fills in defaults', () => {
+  it('parses values with units and fills in defaults', () => {
     const check = checkSettings(parseSettings('r.ini', GOOD), SCHEMA);
     expect(check).toMatchObject({
       ok: true,
@@ -58,7 +58,7 @@
     });
   });
 
-  it('names several faults in one report by file, section and key', () => {
+  it('reports several faults at once by file, section and key', () => {
     const text = `stray = 1
 [process]
 labels =
@@ -74,16 +74,16 @@
 x = 1
 `;
     const faults = faultsOf(text).join('\n');
-    expect(faults).toContain('r.ini: stray: stands outside of any section');
+    expect(faults).toContain('r.ini: stray: is outside of any section');
     expect(faults).toMatch(/r\.ini: \[process\] zone: is missing; a name of/);
     expect(faults).toMatch(/\[net\] limit: "4" is not a duration .* 250ms/);
-    expect(faults).toContain('r.ini: [net] buffer: stands twice; keep one');
+    expect(faults).toContain('r.ini: [net] buffer: is set twice; keep one');
     expect(faults).toMatch(/\[net\] budget: "120%" is not a percentage/);
     expect(faults).toMatch(/\[net\] colour: unknown key; known: listen, admin/);
     expect(faults).toMatch(/\[nett\]: unknown section; known: process, net/);
   });
 
-  it('finds overlapping addresses, also between files', () => {
+  it('finds overlapping addresses, also across files', () => {
     const text = GOOD.replace('[::1]:7001', '0.0.0.0:7000');
     expect(faultsOf(text)).toEqual([
       'r.ini: [net] admin: 0.0.0.0:7000 is taken by [net] listen of r.ini; choose another port',
@@ -98,7 +98,7 @@
     ]);
   });
 
-  it('tells which changed keys a reload takes', () => {
+  it('distinguishes reloadable changes from those that need a restart', () => {
     const text = GOOD.replace('250ms', '1s').replace('muc-riem', 'muc-ost');
     const before = checkSettings(parseSettings('r.ini', GOOD), SCHEMA);
     const after = checkSettings(parseSettings('r.ini', text), SCHEMA);
--- a/packages/lovagepond-process/src/log_limiter.ts
+++ b/packages/lovagepond-process/src/log_limiter.ts
@@ -1,16 +1,16 @@
 /**
- * Decides which log lines are dropped while their reader is slow.
+ * Drops log lines while the reader of standard output is slow.
  *
- * Lines that nobody reads are kept in memory by the stream. Without a bound, a
- * log collector that stalls would make each process grow until it is ended for it:
- * at 400 lines a second by 0.1 MB a second.
+ * The output stream buffers unread lines in memory. Without a limit, a stalled
+ * log collector would make each process grow until it runs out of memory: by
+ * 0.1 MB per second at 400 lines per second.
  */
 import {type LogLevel} from './process_logger.js';
 
 /**
- * Bytes that may wait for the reader before routine lines are dropped, and before
- * all are: some seconds of lines, and room for as many warnings, which tell why
- * requests failed.
+ * Buffered bytes at which lines of a level are dropped. The lower limit holds
+ * some seconds of routine lines. The higher one leaves as much room again for
+ * warnings and errors, which show why requests failed.
  */
 const MAX_BUFFERED_BYTES: Readonly<Record<LogLevel, number>> = {
   debug: 512 * 1024,
@@ -19,7 +19,7 @@
   error: 1024 * 1024,
 };
 
-/** Numbers of lines dropped, by level. */
+/** Number of dropped lines by level. */
 export type DroppedLines = Readonly<Record<LogLevel, number>>;
 
 const NO_DROPPED_LINES: DroppedLines = Object.freeze({
@@ -29,14 +29,14 @@
   error: 0,
 });
 
-/** Counts what it lets pass by. */
+/** Decides on each line whether it is written, and counts the dropped ones. */
 export class LogLimiter {
   #dropped = NO_DROPPED_LINES;
 
   /**
-   * @param level a line's level
-   * @param bufferedBytes bytes that the reader hasn't taken yet
-   * @returns false when the line is to be dropped; it is then counted
+   * @param level the line's level
+   * @param bufferedBytes bytes that the reader has not consumed yet
+   * @returns false when the line must be dropped; it is then counted
    */
   accepts(level: LogLevel, bufferedBytes: number): boolean {
     if (bufferedBytes < MAX_BUFFERED_BYTES[level]) return true;
@@ -44,7 +44,7 @@
     return false;
   }
 
-  /** @returns what was dropped since the last call; undefined when nothing was */
+  /** @returns lines dropped since the last call; undefined when none were */
   takeDropped(): DroppedLines | undefined {
     const dropped = this.#dropped;
     this.#dropped = NO_DROPPED_LINES;
--- a/packages/lovagepond-process/src/metrics_registry.ts
+++ b/packages/lovagepond-process/src/metrics_registry.ts
@@ -1,9 +1,9 @@
 /**
- * Metrics of one process, in the text format that prom-client writes.
+ * Metrics of one process, rendered by prom-client in its text format.
  *
- * Values are kept by the roles and read at each scrape, so the library is loaded
- * by the first scrape: nothing is lost meanwhile, and a process that starts on a
- * slow host serves its first request sooner.
+ * The roles keep the values, and each scrape reads them. The library can
+ * therefore be loaded at the first scrape without losing values, so that a
+ * process that starts on a slow host serves its first request sooner.
  */
 import type * as PromClient from 'prom-client';
 
@@ -13,13 +13,13 @@
   readonly value: number;
 }
 
-/** A metric whose values are kept elsewhere and read at each scrape. */
+/** A metric whose values are kept elsewhere and are read at each scrape. */
 export interface ObservedMetric {
   readonly kind: 'counter' | 'gauge';
   readonly name: string;
   readonly help: string;
   readonly labelNames: readonly string[];
-  /** @returns the present values */
+  /** @returns the current values */
   read(): readonly Sample[];
 }
 
@@ -50,37 +50,37 @@
   },
 };
 
-/** The registry's text and how to name its format. */
+/** The rendered metrics with their content type. */
 export interface RenderedMetrics {
   readonly contentType: string;
   readonly text: string;
 }
 
-/** All metrics of one process, each name made once. */
+/** All metrics of one process, with unique names. */
 export class MetricsRegistry {
   readonly #labels: Readonly<Record<string, string>>;
   readonly #observed = new Map<string, ObservedMetric>();
   #registry: Promise<PromClient.Registry> | undefined;
 
-  /** @param labels labels of every metric, such as role and process name */
+  /** @param labels default labels of all metrics, such as role and name */
   constructor(labels: Readonly<Record<string, string>> = {}) {
     this.#labels = labels;
   }
 
   /**
-   * Adds a metric whose values a role keeps by itself, before the first scrape.
+   * Registers a metric. Must be called before the first scrape.
    *
-   * @param metric how to name and read it
-   * @throws when the name is taken
+   * @param metric the metric's name, labels and function to read it
+   * @throws when a metric of this name is already registered
    */
   observe(metric: ObservedMetric): void {
     const {name} = metric;
     const isTaken = this.#observed.has(name);
-    if (isTaken) throw new Error(`metric ${name} stands twice`);
+    if (isTaken) throw new Error(`metric ${name} is already registered`);
     this.#observed.set(name, metric);
   }
 
-  /** @returns every metric in the text format */
+  /** @returns all metrics in the text format */
   async render(): Promise<RenderedMetrics> {
     this.#registry ??= this.#build();
     const registry = await this.#registry;
--- a/packages/lovagepond-process/src/process_clock.ts
+++ b/packages/lovagepond-process/src/process_clock.ts
@@ -1,9 +1,9 @@
 /**
- * The process's clock.
+ * The system clock.
  */
 import {type Clock} from '@lovagepond/core';
 
-/** Reads the host's clocks; the monotonic one counts from the process's start. */
+/** Reads the host's clocks; the monotonic one starts with the process. */
 export class SystemClock implements Clock {
   now(): number {
     return performance.now();
--- a/packages/lovagepond-process/src/process_lifecycle.ts
+++ b/packages/lovagepond-process/src/process_lifecycle.ts
@@ -1,13 +1,13 @@
 /**
- * Decides how a process ends, reloads and dumps: a decider without I/O.
+ * State machine for shutdown, reload and dump of a process, without I/O.
  *
- * A planned stop withdraws readiness first and waits until balancers have
- * seen it; closing the address at once would have callers refused for as
- * long as the balancer still lists this process.
+ * A graceful shutdown first withdraws readiness and waits until the load
+ * balancers have noticed. If the address were closed at once, callers' requests
+ * would be refused for as long as a balancer still lists this process.
  */
 import {EXIT_CODE, type ExitCode} from './exit_codes_constants.js';
 
-/** What happens to a process from outside. */
+/** Signals, and completed steps of a graceful shutdown. */
 export const LIFECYCLE_EVENT = {
   TERMINATE: 'terminate',
   RELOAD: 'reload',
@@ -20,7 +20,7 @@
 export type LifecycleEvent =
   (typeof LIFECYCLE_EVENT)[keyof typeof LIFECYCLE_EVENT];
 
-/** What the process must do now. */
+/** An action that the process must perform. */
 export type LifecycleAction =
   | {readonly kind: 'withdrawReadiness'; readonly delayMs: number}
   | {readonly kind: 'drain'; readonly limitMs: number}
@@ -28,18 +28,18 @@
   | {readonly kind: 'reload'}
   | {readonly kind: 'dump'};
 
-/** Limits of a planned stop. */
+/** Time limits of a graceful shutdown. */
 export interface LifecycleSettings {
-  /** Time between loss of readiness and the drain, milliseconds. */
+  /** Time between withdrawing readiness and draining, milliseconds. */
   readonly announceDelayMs: number;
-  /** Longest time for requests in flight, milliseconds. */
+  /** Longest time to wait for requests in flight, milliseconds. */
   readonly drainLimitMs: number;
 }
 
 type Phase = 'running' | 'announcing' | 'draining' | 'ended';
 type Handler = (now: number) => LifecycleAction[];
 
-/** The phases of one process from start to end. */
+/** Tracks the phases of one process from start to end. */
 export class Lifecycle {
   #settings: LifecycleSettings;
   #phase: Phase = 'running';
@@ -56,20 +56,20 @@
     this.#settings = settings;
   }
 
-  /** @param settings limits of the next planned stop */
+  /** @param settings time limits of the next graceful shutdown */
   configure(settings: LifecycleSettings): void {
     this.#settings = settings;
   }
 
-  /** True until the first signal to end. */
+  /** True until the first termination signal. */
   get isRunning(): boolean {
     return this.#phase === 'running';
   }
 
   /**
-   * @param event what happened
+   * @param event the event to process
    * @param now monotonic milliseconds
-   * @returns what to do, in order
+   * @returns the actions to perform, in order
    */
   handle(event: LifecycleEvent, now: number): LifecycleAction[] {
     return this.#handlers[event](now);
--- a/packages/lovagepond-process/src/process_logger.ts
+++ b/packages/lovagepond-process/src/process_logger.ts
@@ -1,15 +1,15 @@
 /**
- * Structured logs: one JSON line for each message, on standard output.
+ * Structured logs: one JSON line per message on standard output.
  *
- * Fields are ids and numbers. Bodies and tokens can't be passed by type, and
- * nothing here reads them.
+ * Fields are ids and numbers. The type of the fields excludes request bodies,
+ * and the logger has no access to bodies or tokens.
  */
 import './roarr_environment.js';
 import {type LogFields, type Logger} from '@lovagepond/core';
 import {Roarr} from 'roarr';
 import {LogLimiter} from './log_limiter.js';
 
-/** Levels from the most to the least talkative. */
+/** Log levels in ascending severity. */
 export const LOG_LEVEL = {
   DEBUG: 'debug',
   INFO: 'info',
@@ -27,7 +27,7 @@
   error: 3,
 };
 
-/** Takes one message of a level; roarr's own methods by default. */
+/** Writes one message; by default with roarr. */
 export type LogWriter = (
   level: LogLevel,
   fields: LogFields,
@@ -43,16 +43,16 @@
   Roarr[level]({...fields}, message);
 };
 
-/** The {@link Logger} of a process, over roarr. */
+/** Implements {@link Logger} with roarr. */
 export class RoarrLogger implements Logger {
   readonly #context: LogFields;
   readonly #write: LogWriter;
   #level: LogLevel;
 
   /**
-   * @param level the least level that is written
-   * @param context fields that stand in each line, such as role and name
-   * @param write where lines go; tests pass their own
+   * @param level the lowest level that is written
+   * @param context fields added to each line, such as role and name
+   * @param write writes the lines; tests pass their own function
    */
   constructor(
     level: LogLevel,
@@ -64,7 +64,7 @@
     this.#write = write;
   }
 
-  /** @param level the least level that is written from now on */
+  /** @param level the lowest level that is written from now on */
   setLevel(level: LogLevel): void {
     this.#level = level;
   }
--- a/packages/lovagepond-process/src/process_metrics.ts
+++ b/packages/lovagepond-process/src/process_metrics.ts
@@ -1,11 +1,11 @@
 /**
- * Metrics of the process itself, read when they are asked for.
+ * Memory and CPU metrics of the process, read at each scrape.
  */
 import {type MetricsRegistry} from './metrics_registry.js';
 
 const MICROSECONDS = 1_000_000;
 
-/** @param metrics the process's registry */
+/** @param metrics the registry to add the metrics to */
 export function registerProcessMetrics(metrics: MetricsRegistry): void {
   metrics.observe({
     kind: 'gauge',
--- a/packages/lovagepond-process/src/process_runner.ts
+++ b/packages/lovagepond-process/src/process_runner.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one role as a process: platform server, signals, planned stop.
+ * Runs one role as a process: platform server, signals, graceful shutdown.
  */
 import {mkdirSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
@@ -26,19 +26,19 @@
 
 /** Settings of {@link ProcessRunner}. */
 export interface ProcessSettings extends LifecycleSettings {
-  /** Address of health, readiness, metrics and dump. */
+  /** Listen address for health, readiness, metrics and dump. */
   readonly address: HostPort;
-  /** Where a dump by signal is written. */
+  /** Folder for state dumps requested by signal. */
   readonly dataFolder: string;
 }
 
-/** What {@link ProcessRunner} works with. */
+/** Dependencies of {@link ProcessRunner}. */
 export interface ProcessDependencies {
   readonly role: Role;
   readonly clock: Clock;
   readonly log: Logger;
   readonly metrics: MetricsRegistry;
-  /** Reads the settings again and takes over what may change. */
+  /** Reads the settings again and applies the reloadable ones. */
   readonly reload: (runner: ProcessRunner) => void;
 }
 
@@ -49,10 +49,11 @@
 };
 
 /**
- * Where a start's time went. Both clocks count from the start of the process.
+ * Returns log fields that show how long the steps of the start took. Both times
+ * count from the start of the process.
  *
  * @param loadedAt when all code was loaded and the settings were read, ms
- * @param startedAt when the role listened, ms
+ * @param startedAt when the role listened on its addresses, ms
  */
 function describeStart(loadedAt: number, startedAt: number): LogFields {
   const {user, system} = process.cpuUsage();
@@ -63,7 +64,7 @@
   };
 }
 
-/** Runs a role from start to exit code. */
+/** Runs one role from its start until the exit code is known. */
 export class ProcessRunner {
   readonly #settings: ProcessSettings;
   readonly #deps: ProcessDependencies;
@@ -101,7 +102,7 @@
   }
 
   /**
-   * Starts the role and serves until a signal ends it.
+   * Starts the role and runs it until a signal stops it.
    *
    * @returns the exit code
    * @throws when an address or the data folder can't be opened
@@ -132,12 +133,12 @@
     }
   }
 
-  /** @param settings limits of the next planned stop, after a reload */
+  /** @param settings reloaded time limits of the next graceful shutdown */
   configure(settings: LifecycleSettings): void {
     this.#lifecycle.configure(settings);
   }
 
-  /** @param event a signal's event, or a step of the planned stop */
+  /** @param event a signal, or a completed step of the graceful shutdown */
   handle(event: LifecycleEvent): void {
     const actions = this.#lifecycle.handle(event, this.#deps.clock.now());
     for (const action of actions) {
--- a/packages/lovagepond-process/src/process_server.ts
+++ b/packages/lovagepond-process/src/process_server.ts
@@ -1,6 +1,6 @@
 /**
- * What the platform asks of each process over HTTP: liveness, readiness for
- * its balancer, metrics, and the state dump.
+ * HTTP endpoints for the platform: liveness, readiness for its load balancer,
+ * metrics, and the state dump.
  */
 import {createServer, type Server} from 'node:http';
 import {type AddressInfo} from 'node:net';
@@ -11,9 +11,9 @@
 const STATUS_OK = 200;
 const STATUS_UNAVAILABLE = 503;
 
-/** What the server reports. */
+/** Provides the data that the server reports. */
 export interface PlatformView {
-  /** True while the balancer may send work. */
+  /** True while the load balancer may send requests. */
   isReady(): boolean;
   /** The state dump as JSON, bounded and without secrets. */
   renderDump(): string;
@@ -26,8 +26,8 @@
   readonly #server: Server;
 
   /**
-   * @param address where to listen; loopback unless the settings say else
-   * @param view what to report
+   * @param address address to listen on; loopback unless configured otherwise
+   * @param view provides the reported data
    */
   constructor(address: HostPort, view: PlatformView) {
     this.#address = address;
@@ -50,7 +50,7 @@
     return {host, port: (this.#server.address() as AddressInfo).port};
   }
 
-  /** Closes the address and its connections. */
+  /** Closes the listening socket and all connections. */
   async stop(): Promise<void> {
     this.#server.closeAllConnections();
     await new Promise<void>(resolve => {
--- a/packages/lovagepond-process/src/process_signals.ts
+++ b/packages/lovagepond-process/src/process_signals.ts
@@ -1,7 +1,7 @@
 /**
- * Maps the signals of the operating system to lifecycle events.
+ * Maps operating system signals to lifecycle events.
  *
- * SIGUSR1 stays free: Node opens its inspector on it.
+ * SIGUSR1 is not used, because Node starts its inspector on it.
  */
 import {type Unregister} from '@lovagepond/core';
 import {type LifecycleEvent} from './process_lifecycle.js';
@@ -14,8 +14,8 @@
 ];
 
 /**
- * @param listener called with the event of each signal
- * @returns a function that gives the signals back to their defaults
+ * @param listener called with the event of each received signal
+ * @returns a function that removes the signal handlers
  */
 export function registerSignals(
   listener: (event: LifecycleEvent) => void,
--- a/packages/lovagepond-process/src/roarr_environment.ts
+++ b/packages/lovagepond-process/src/roarr_environment.ts
@@ -1,7 +1,7 @@
 /**
- * Switches roarr on before it is loaded.
+ * Enables roarr before its module is loaded.
  *
- * roarr looks at this variable once, when its module is evaluated, and stays
- * silent without it: a process would then run with no logs at all.
+ * roarr reads this variable once, when its module is evaluated, and writes no
+ * logs when the variable is not set.
  */
 process.env['ROARR_LOG'] ??= 'true';
--- a/packages/lovagepond-process/src/settings_errors.ts
+++ b/packages/lovagepond-process/src/settings_errors.ts
@@ -1,8 +1,8 @@
 /**
- * Faults of settings files, each named by its place.
+ * Faults in settings files, each with its place.
  */
 
-/** One fault and what would be right. */
+/** One fault, with its place and the expected value. */
 export interface SettingsFault {
   readonly file: string;
   /** Empty for a fault of the file as a whole. */
@@ -12,7 +12,7 @@
   readonly message: string;
 }
 
-/** Thrown when a process can't start with its settings. */
+/** Thrown when a process can't start because its settings are invalid. */
 export class SettingsError extends Error {
   readonly faults: readonly SettingsFault[];
 
@@ -24,7 +24,7 @@
 }
 
 /**
- * @param fault a fault
+ * @param fault the fault to format
  * @returns one line: file, section, key and message
  */
 export function formatFault(fault: SettingsFault): string {
--- a/packages/lovagepond-process/src/settings_file.ts
+++ b/packages/lovagepond-process/src/settings_file.ts
@@ -1,5 +1,5 @@
 /**
- * Reads a settings file and checks it as a whole.
+ * Reads and validates a whole settings file.
  */
 import {readFileSync} from 'node:fs';
 import {resolve} from 'node:path';
@@ -15,19 +15,19 @@
 } from './settings_schema.js';
 import {formatHostPort, type HostPort} from './settings_units.js';
 
-/** Sections and keys as they stand in the file. */
+/** Sections and keys with their unparsed values. */
 export type RawSettings = Readonly<
   Record<string, Readonly<Record<string, string>>>
 >;
 
-/** A file's text parsed, before any check of its values. */
+/** A parsed file, before its values are validated. */
 export interface ParsedSettings {
   readonly file: string;
   readonly sections: RawSettings;
   readonly faults: readonly SettingsFault[];
 }
 
-/** An address that a process will listen on, with its place. */
+/** An address that a process listens on, with its place in the file. */
 export interface ListenAddress {
   readonly file: string;
   readonly section: string;
@@ -35,7 +35,7 @@
   readonly address: HostPort;
 }
 
-/** A folder that one process owns, with its place. */
+/** A folder that belongs to one process, with its place in the file. */
 export interface OwnedFolder {
   readonly file: string;
   readonly section: string;
@@ -43,7 +43,7 @@
   readonly folder: string;
 }
 
-/** What a check gives: the values, or every fault. */
+/** Result of a validation: the values, or all faults. */
 export type SettingsCheck<Schema extends FileSchema> =
   | {
       readonly ok: true;
@@ -56,17 +56,17 @@
 const ANY_HOST = new Set(['0.0.0.0', '::']);
 
 /**
- * @param file the file's name, for faults
- * @param text its content
- * @returns sections of keys; faults for keys outside of any section and keys
- *     that stand twice
+ * @param file the file's name, for the faults
+ * @param text the file's content
+ * @returns the sections, and faults for keys outside of any section and for
+ *     repeated keys
  */
 export function parseSettings(file: string, text: string): ParsedSettings {
   const faults: SettingsFault[] = findRepeatedKeys(file, text);
   const sections: Record<string, Record<string, string>> = {};
   for (const [section, content] of Object.entries(parse(text))) {
     if (typeof content !== 'object' || content === null) {
-      const message = 'stands outside of any section; put it under [section]';
+      const message = 'is outside of any section; put it under [section]';
       faults.push({file, section: '', key: section, message});
       continue;
     }
@@ -80,7 +80,7 @@
 
 /**
  * @param file path of the file
- * @returns its parsed text, or a fault when it can't be read
+ * @returns the parsed file, with a fault when it can't be read
  */
 export function readSettings(file: string): ParsedSettings {
   try {
@@ -97,8 +97,8 @@
 }
 
 /**
- * The library keeps the last of two values for one key without a word; an
- * operator then changes the first one and nothing happens.
+ * Finds keys that occur more than once in a section. The library silently keeps
+ * the last value, so that changing the first one would have no effect.
  */
 function findRepeatedKeys(file: string, text: string): SettingsFault[] {
   const faults: SettingsFault[] = [];
@@ -111,7 +111,7 @@
     if (key === undefined) continue;
     const place = `${section}\n${key}`;
     if (seen.has(place)) {
-      faults.push({file, section, key, message: 'stands twice; keep one'});
+      faults.push({file, section, key, message: 'is set twice; keep one'});
     }
     seen.add(place);
   }
@@ -119,10 +119,10 @@
 }
 
 /**
- * Checks every section, and that no two addresses overlap.
+ * Validates all sections, and that no two listen addresses overlap.
  *
  * @param parsed the parsed file
- * @param schema what the file may hold
+ * @param schema the file's schema
  * @returns the values, or all faults at once
  */
 export function checkSettings<Schema extends FileSchema>(
@@ -189,8 +189,8 @@
 }
 
 /**
- * @param listens addresses of one file, or of all files for one host
- * @returns a fault for each address that an earlier one takes already
+ * @param listens listen addresses of one file, or of all files of one host
+ * @returns a fault for each address that overlaps with an earlier one
  */
 export function findOverlaps(
   listens: readonly ListenAddress[],
@@ -209,11 +209,12 @@
 }
 
 /**
- * Two control members in one folder would write one log, and vote under one
- * identity; each would find the other's records damaged only at a restart.
+ * Finds folders that two processes share. Two control members with one folder
+ * would write to one log and vote under one identity, and would detect the
+ * damaged records only at a restart.
  *
- * @param folders folders of all processes of one host
- * @returns a fault for each folder that an earlier one takes already
+ * @param folders folders of all processes on one host
+ * @returns a fault for each folder that an earlier entry uses already
  */
 export function findSharedFolders(
   folders: readonly OwnedFolder[],
--- a/packages/lovagepond-process/src/settings_reload.ts
+++ b/packages/lovagepond-process/src/settings_reload.ts
@@ -1,21 +1,21 @@
 /**
- * Which changed keys a running process may take, and which need a restart.
+ * Finds out which changed settings a reload applies and which need a restart.
  */
 import {type FileSchema, type FileValues, traitsOf} from './settings_schema.js';
 
-/** A key whose value differs from the one in force. */
+/** A key whose value differs from the current one. */
 export interface ChangedKey {
   readonly section: string;
   readonly key: string;
-  /** False: the new value waits for a restart. */
+  /** False when the new value takes effect only after a restart. */
   readonly reloadable: boolean;
 }
 
 /**
  * @param schema the file's schema
- * @param current the values in force
+ * @param current the current values
  * @param next the values just read
- * @returns the keys that differ
+ * @returns the keys whose values differ
  */
 export function compareSettings<Schema extends FileSchema>(
   schema: Schema,
--- a/packages/lovagepond-process/src/settings_schema.ts
+++ b/packages/lovagepond-process/src/settings_schema.ts
@@ -1,16 +1,15 @@
 /**
- * How a settings file is described: sections of keys, each key with a schema
- * and what the checker must know of it.
+ * Schemas of settings files: sections of keys, each with a schema and traits.
  */
 import {z} from '@lovagepond/core';
 
-/** What the checker and the reload know of one key. */
+/** Properties of one key, for the validation and the reload. */
 export interface KeyTraits {
-  /** The process listens on this address: no other may. */
+  /** The process listens on this address, so no other process may. */
   readonly listens?: boolean;
-  /** The process alone writes to this folder: no other may. */
+  /** The process writes to this folder, so no other process may use it. */
   readonly owned?: boolean;
-  /** A reload by signal takes a new value without a restart. */
+  /** A reload applies a new value without a restart. */
   readonly reloadable?: boolean;
 }
 
@@ -20,7 +19,7 @@
 /** Schema of a whole file: section name to section. */
 export type FileSchema = Readonly<Record<string, SectionSchema>>;
 
-/** The checked values of a file. */
+/** The validated values of a file. */
 export type FileValues<Schema extends FileSchema> = {
   readonly [Section in keyof Schema]: z.infer<Schema[Section]>;
 };
@@ -28,10 +27,10 @@
 const traitsRegistry = z.registry<KeyTraits>();
 
 /**
- * Marks a key.
+ * Attaches traits to a key's schema.
  *
  * @param schema the key's schema, with its default if it has one
- * @param traits what the checker must know
+ * @param traits the key's traits
  * @returns the same schema
  */
 export function withTraits<Schema extends z.ZodType>(
@@ -56,7 +55,7 @@
 
 /**
  * @param section a section's schema
- * @returns the keys it knows; none for a section of free keys
+ * @returns the section's keys; none when the section allows any key
  */
 export function keysOf(section: SectionSchema): readonly string[] {
   return section instanceof z.ZodObject ? Object.keys(section.shape) : [];
--- a/packages/lovagepond-process/src/settings_units.ts
+++ b/packages/lovagepond-process/src/settings_units.ts
@@ -1,7 +1,6 @@
 /**
- * Values of settings files: text with a unit in, plain numbers out.
- *
- * Each schema's message says what would be right.
+ * Schemas for values in settings files. They parse text, often with a unit,
+ * into plain values; each error message describes the expected form.
  */
 import {z} from '@lovagepond/core';
 
@@ -22,10 +21,10 @@
 const MAX_PORT = 65_535;
 const PERCENT = 100;
 
-/** An address a process listens on or connects to. */
+/** An address that a process listens on or connects to. */
 export interface HostPort {
   readonly host: string;
-  /** 0 lets the system choose, where a process listens. */
+  /** For a listen address, 0 lets the operating system choose a free port. */
   readonly port: number;
 }
 
@@ -60,7 +59,7 @@
 
 /**
  * @param text `host:port`, with an IPv6 host in brackets
- * @returns its parts, or undefined when it is no address
+ * @returns the host and port, or undefined when the text is no address
  */
 export function parseHostPort(text: string): HostPort | undefined {
   const match = /^(\[[0-9a-fA-F:]+\]|[^:\s[\]]+):(\d{1,5})$/.exec(text);
@@ -70,8 +69,8 @@
 }
 
 /**
- * @param address an address
- * @returns it as `host:port`
+ * @param address the address to format
+ * @returns the address as `host:port`, with an IPv6 host in brackets
  */
 export function formatHostPort({host, port}: HostPort): string {
   return host.includes(':') ? `[${host}]:${port}` : `${host}:${port}`;
@@ -176,7 +175,7 @@
 
 /**
  * @param values the allowed words
- * @returns one of them
+ * @returns a schema that accepts one of these words
  */
 export function oneOf<Value extends string>(
   ...values: readonly Value[]
@@ -189,7 +188,7 @@
 
 /**
  * @param item schema of one item
- * @returns items separated by commas; an empty text is an empty list
+ * @returns a comma-separated list; an empty text is an empty list
  */
 export function list<Value>(
   item: z.ZodType<Value, string>,
--- a/packages/lovagepond-process/src/state_dump.ts
+++ b/packages/lovagepond-process/src/state_dump.ts
@@ -1,9 +1,9 @@
 /**
- * Makes a state dump fit to leave the process: bounded, without secrets.
+ * Renders state dumps: bounded in size, with secrets redacted.
  */
 import {type StateDump} from '@lovagepond/core';
 
-/** Largest dump in bytes of JSON. */
+/** Largest size of a dump's JSON, bytes. */
 export const MAX_DUMP_BYTES = 1_048_576;
 
 const MAX_ITEMS = 4_096;
@@ -53,9 +53,9 @@
 
 /**
  * @param dump a role's state
- * @param maxBytes bound of the result
- * @returns JSON with secrets blanked and long lists cut, each cut told by an
- *     `omitted` count
+ * @param maxBytes largest size of the result, bytes
+ * @returns JSON with redacted secrets and truncated lists, each with the number
+ *     of omitted items as `omitted`
  */
 export function renderDump(
   dump: StateDump,
