--- a/packages/lovagepond-protocol/src/__tests__/unit/protocol_integers.test.ts
+++ b/packages/lovagepond-protocol/src/__tests__/unit/protocol_integers.test.ts
@@ -1,8 +1,8 @@
 import {expect, test} from 'vitest';
 import {lovagepond} from '../../index.js';
 
-// A chunk's offset that decodes as an object instead of a number joins texts
-// when a length is added to it: a router would then see a gap in each answer.
+// Guards against a chunk's offset that decodes as an object: adding a length to
+// it would concatenate strings, and routers would detect a gap in each answer.
 test('64-bit fields decode as plain numbers', () => {
   const {Chunk} = lovagepond.v1;
   const largest = Number.MAX_SAFE_INTEGER;
--- a/packages/lovagepond-protocol/src/protocol_integers.ts
+++ b/packages/lovagepond-protocol/src/protocol_integers.ts
@@ -1,10 +1,11 @@
 /**
- * Makes 64-bit fields of the generated messages plain numbers.
+ * Makes 64-bit fields of the generated messages decode as plain numbers.
  *
- * protobufjs yields `Long` objects for them wherever the package `long`
- * happens to be installed, although the generated types say `number`; adding
- * to one then joins texts. Every 64-bit field of the protocol is a safe
- * integer, so numbers lose nothing. Import this before the generated code.
+ * protobufjs decodes them as `Long` objects when the package `long` happens to
+ * be installed, although the generated types say `number`; adding a number to
+ * such an object concatenates strings. All 64-bit fields of the protocol are
+ * safe integers, so numbers are exact. Import this module before the generated
+ * code.
  */
 import protobuf from 'protobufjs/minimal.js';
 
--- a/packages/lovagepond-protocol/src/protocol_membership.ts
+++ b/packages/lovagepond-protocol/src/protocol_membership.ts
@@ -1,5 +1,5 @@
 /**
- * Reads backend servers from the messages that carry them.
+ * Converts protocol messages to backend servers.
  */
 import {
   type BackendServer,
@@ -27,14 +27,14 @@
 
 const STATES: ReadonlySet<string> = new Set(Object.values(SERVER_STATE));
 
-/** A state that this version doesn't know gets no work. */
+/** Maps a state that this version doesn't support to one without requests. */
 function readState(text: string | null | undefined): ServerState {
   const known = STATES.has(text ?? '');
   return known ? (text as ServerState) : SERVER_STATE.JOINING;
 }
 
 /**
- * @param message a member or an announcement as it was decoded
+ * @param message a decoded member or announcement
  * @returns the backend server, without its slot in the load digest
  */
 export function readServer(message: WireServer): Omit<BackendServer, 'slot'> {
@@ -53,7 +53,7 @@
 }
 
 /**
- * @param member a member as it was decoded
+ * @param member a decoded member
  * @returns the backend server
  */
 export function readMember(member: WireMember): BackendServer {
--- a/packages/lovagepond-protocol/src/protocol_services.ts
+++ b/packages/lovagepond-protocol/src/protocol_services.ts
@@ -1,8 +1,8 @@
 /**
  * The gRPC services between lovagepond's own processes.
  *
- * Each method pairs a generated request and response codec with a path; the
- * paths are part of the protocol and never change meaning.
+ * Each method has a path and the generated codecs of its request and response.
+ * The paths are part of the protocol, and their meaning never changes.
  */
 import './protocol_integers.js';
 import {type MethodDefinition} from '@grpc/grpc-js';
@@ -37,7 +37,7 @@
   };
 }
 
-/** What routers, and sidecars for each other, ask of a sidecar. */
+/** The sidecars' service, for routers and other sidecars. */
 export const SIDECAR_SERVICE = {
   attempt: makeMethod(
     'Sidecar/Attempt',
@@ -73,7 +73,7 @@
   take: makeMethod('Sidecar/Take', v1.TakeRequest, v1.TakeResponse, false),
 } as const;
 
-/** What routers and sidecars ask of control. */
+/** The service of control, for routers and sidecars. */
 export const CONTROL_SERVICE = {
   reportReadings: makeMethod(
     'Control/ReportReadings',
@@ -120,7 +120,7 @@
   ),
 } as const;
 
-/** What control members ask of each other. */
+/** The service between the members of control. */
 export const CONSENSUS_SERVICE = {
   deliver: makeMethod(
     'Consensus/Deliver',
