--- a/packages/lovagepond-core/src/__tests__/unit/core_configuration_delta.test.ts
+++ b/packages/lovagepond-core/src/__tests__/unit/core_configuration_delta.test.ts
@@ -29,24 +29,28 @@
   make: (name: string, weight: number) => Item,
 ): Arbitrary<Item[]> {
   return uniqueArray(tuple(name, weight), {
-    selector: ([one]) => one,
+    selector: ([itemName]) => itemName,
     maxLength: 5,
-  }).map(items => items.map(([one, more]) => make(one, more)));
+  }).map(items => items.map(([itemName, value]) => make(itemName, value)));
 }
 
 const content = record({
-  pools: listOf((one, more) => ({name: one, kind: 'engine', loadBound: more})),
-  selectors: listOf((one, priority) => ({
-    name: one,
+  pools: listOf((itemName, value) => ({
+    name: itemName,
+    kind: 'engine',
+    loadBound: value,
+  })),
+  selectors: listOf((itemName, priority) => ({
+    name: itemName,
     workspaces: ['*'],
     requestKinds: ['*'],
     pools: '',
     priority,
   })),
-  workspaces: listOf((one, more) => ({name: one, weight: more})),
-  requestKinds: listOf((one, more) => ({
-    name: one,
-    nonRepeatable: more === 1,
+  workspaces: listOf((itemName, value) => ({name: itemName, weight: value})),
+  requestKinds: listOf((itemName, value) => ({
+    name: itemName,
+    nonRepeatable: value === 1,
   })),
   documentVersion: integer({min: 0, max: 9}),
 }).map(input =>
@@ -59,8 +63,8 @@
   }),
 );
 
-function at(revision: number, made: ConfigurationContent): Configuration {
-  return {revision, content: made};
+function at(revision: number, parsed: ConfigurationContent): Configuration {
+  return {revision, content: parsed};
 }
 
 describe('configuration delta', () => {
--- a/packages/lovagepond-core/src/__tests__/unit/core_control_addresses.test.ts
+++ b/packages/lovagepond-core/src/__tests__/unit/core_control_addresses.test.ts
@@ -8,10 +8,10 @@
 const seed = integer();
 
 /** @returns the addresses selected in the given number of steps */
-function selectRepeatedly(control: ControlAddresses, steps: number): string[] {
+function selectRepeatedly(members: ControlAddresses, steps: number): string[] {
   return Array.from({length: steps}, () => {
-    control.selectNext();
-    return control.current;
+    members.selectNext();
+    return members.current;
   });
 }
 
@@ -20,46 +20,46 @@
   // tried again.
   it('selects each known member once before any twice', () => {
     assert(
-      property(addresses, addresses, seed, (fromSettings, named, number) => {
-        const known = new ControlAddresses(fromSettings, new Random(number));
-        known.setDiscovered(named);
-        known.noteContact();
-        const all = new Set([...fromSettings, ...named]);
-        const others = [...all].filter(other => other !== known.current);
-        const visited = selectRepeatedly(known, others.length);
+      property(addresses, addresses, seed, (configured, discovered, number) => {
+        const members = new ControlAddresses(configured, new Random(number));
+        members.setDiscovered(discovered);
+        members.noteContact();
+        const all = new Set([...configured, ...discovered]);
+        const others = [...all].filter(other => other !== members.current);
+        const visited = selectRepeatedly(members, others.length);
         expect(visited.sort()).toEqual(others.sort());
       }),
     );
   });
 
   it('selects discovered members before configured ones', () => {
-    const known = new ControlAddresses(['a', 'b'], new Random(1));
-    known.setDiscovered(['c', 'd']);
-    expect(selectRepeatedly(known, 2).sort()).toEqual(['c', 'd']);
+    const members = new ControlAddresses(['a', 'b'], new Random(1));
+    members.setDiscovered(['c', 'd']);
+    expect(selectRepeatedly(members, 2).sort()).toEqual(['c', 'd']);
   });
 
   it('starts over when all members have failed', () => {
-    const known = new ControlAddresses(['a', 'b'], new Random(1));
-    const visited = selectRepeatedly(known, 6);
+    const members = new ControlAddresses(['a', 'b'], new Random(1));
+    const visited = selectRepeatedly(members, 6);
     expect(visited.filter(one => one === 'a')).toHaveLength(3);
   });
 
   it('keeps the only known member', () => {
-    const known = new ControlAddresses(['a'], new Random(1));
-    expect(selectRepeatedly(known, 3)).toEqual(['a', 'a', 'a']);
+    const members = new ControlAddresses(['a'], new Random(1));
+    expect(selectRepeatedly(members, 3)).toEqual(['a', 'a', 'a']);
   });
 
   it('keeps the discovered members when a member reports none', () => {
-    const known = new ControlAddresses(['a'], new Random(1));
-    known.setDiscovered(['b']);
-    known.setDiscovered([]);
-    expect(selectRepeatedly(known, 1)).toEqual(['b']);
+    const members = new ControlAddresses(['a'], new Random(1));
+    members.setDiscovered(['b']);
+    members.setDiscovered([]);
+    expect(selectRepeatedly(members, 1)).toEqual(['b']);
   });
 
-  it('spreads processes that lost the same member over the others', () => {
+  it('spreads processes with different seeds over the members', () => {
     const next = Array.from({length: 32}, (_, number) => {
-      const known = new ControlAddresses(['a', 'b', 'c'], new Random(number));
-      return known.current;
+      const members = new ControlAddresses(['a', 'b', 'c'], new Random(number));
+      return members.current;
     });
     expect(new Set(next).size).toBe(3);
   });
--- a/packages/lovagepond-core/src/core_load_digest.ts
+++ b/packages/lovagepond-core/src/core_load_digest.ts
@@ -3,8 +3,8 @@
  * of 640 servers takes 640 bytes.
  *
  * The scale is logarithmic, from 64 tokens to about 64 million. A step is about
- * 5.7%, less than the error that the delay of an engine's own load report
- * causes.
+ * 5.7%, which is finer than the error caused by the delay of an engine's own
+ * load report.
  */
 
 const SMALLEST_TOKENS = 64;
--- a/packages/lovagepond-process/src/log_limiter.ts
+++ b/packages/lovagepond-process/src/log_limiter.ts
@@ -2,8 +2,8 @@
  * Drops log lines while the reader of standard output is slow.
  *
  * The output stream buffers unread lines in memory. Without a limit, a stalled
- * log collector would make each process grow until it runs out of memory: by
- * 0.1 MB per second at 400 lines per second.
+ * log collector would make each process grow until it is killed: by 0.1 MB per
+ * second at 400 lines per second.
  */
 import {type LogLevel} from './process_logger.js';
 
--- a/packages/lovagepond-process/src/process_runner.ts
+++ b/packages/lovagepond-process/src/process_runner.ts
@@ -49,8 +49,8 @@
 };
 
 /**
- * Returns log fields that show how long the steps of the start took. Both times
- * count from the start of the process.
+ * Makes the log fields about the duration of a start. Both times count from the
+ * start of the process.
  *
  * @param loadedAt when all code was loaded and the settings were read, ms
  * @param startedAt when the role listened on its addresses, ms
--- a/packages/lovagepond-process/src/settings_reload.ts
+++ b/packages/lovagepond-process/src/settings_reload.ts
@@ -1,5 +1,5 @@
 /**
- * Finds out which changed settings a reload applies and which need a restart.
+ * Determines which changed settings a reload applies and which need a restart.
  */
 import {type FileSchema, type FileValues, traitsOf} from './settings_schema.js';
 
