--- a/packages/lovagepond-core/src/__tests__/unit/core_configuration_delta.test.ts
+++ b/packages/lovagepond-core/src/__tests__/unit/core_configuration_delta.test.ts
@@ -29,24 +29,28 @@
   make: (name: string, weight: number) => Item,
 ): Arbitrary<Item[]> {
   return uniqueArray(tuple(name, weight), {
-    selector: ([one]) => one,
+    selector: ([itemName]) => itemName,
     maxLength: 5,
-  }).map(items => items.map(([one, more]) => make(one, more)));
+  }).map(items => items.map(([itemName, value]) => make(itemName, value)));
 }
 
 const content = record({
-  pools: listOf((one, more) => ({name: one, kind: 'engine', loadBound: more})),
-  selectors: listOf((one, priority) => ({
-    name: one,
+  pools: listOf((itemName, value) => ({
+    name: itemName,
+    kind: 'engine',
+    loadBound: value,
+  })),
+  selectors: listOf((itemName, priority) => ({
+    name: itemName,
     workspaces: ['*'],
     requestKinds: ['*'],
     pools: '',
     priority,
   })),
-  workspaces: listOf((one, more) => ({name: one, weight: more})),
-  requestKinds: listOf((one, more) => ({
-    name: one,
-    nonRepeatable: more === 1,
+  workspaces: listOf((itemName, value) => ({name: itemName, weight: value})),
+  requestKinds: listOf((itemName, value) => ({
+    name: itemName,
+    nonRepeatable: value === 1,
   })),
   documentVersion: integer({min: 0, max: 9}),
 }).map(input =>
@@ -59,12 +63,12 @@
   }),
 );
 
-function at(revision: number, made: ConfigurationContent): Configuration {
-  return {revision, content: made};
+function at(revision: number, parsed: ConfigurationContent): Configuration {
+  return {revision, content: parsed};
 }
 
-describe('a delta between configurations', () => {
-  it('makes the later one, or says that it cannot', () => {
+describe('configuration delta', () => {
+  it('produces the later configuration when it can be expressed', () => {
     assert(
       property(content, content, (before, after) => {
         const [base, next] = [at(3, before), at(7, after)];
@@ -76,7 +80,7 @@
     );
   });
 
-  it('can tell what is added, changed and removed in place', () => {
+  it('expresses added, changed and removed objects', () => {
     assert(
       property(content, content, (before, more) => {
         const changed = before.selectors.map((selector, index) =>
@@ -92,21 +96,21 @@
     );
   });
 
-  // A gateway that lacks a change in between would else go on with a
-  // configuration that nobody ever accepted.
-  it('applies to no other configuration than its base', () => {
+  // Guards against a gateway that missed a change and would combine the delta
+  // with its older configuration into one that was never accepted.
+  it('applies only to its base revision', () => {
     const empty = configurationSchema.parse({});
     const delta = makeDelta(at(2, empty), at(3, empty))!;
     expect(applyDelta(at(1, empty), delta)).toBeUndefined();
     expect(applyDelta(at(3, empty), delta)).toBeUndefined();
   });
 
-  it('is not read from what is none', () => {
+  it('rejects bytes that are not an encoded delta', () => {
     expect(decodeDelta(Buffer.from('{"revision":1}'))).toBeUndefined();
     expect(decodeDelta(Buffer.from('\u001f'))).toBeUndefined();
   });
 
-  it('shares what has not changed, and says the same', () => {
+  it('shares unchanged objects without changing the content', () => {
     assert(
       property(content, content, (before, after) => {
         const shared = shareObjects(before, after);
--- a/packages/lovagepond-core/src/__tests__/unit/core_control_addresses.test.ts
+++ b/packages/lovagepond-core/src/__tests__/unit/core_control_addresses.test.ts
@@ -7,59 +7,59 @@
 const addresses = uniqueArray(address, {maxLength: 8});
 const seed = integer();
 
-/** @returns where it goes in so many steps */
-function visit(known: ControlAddresses, steps: number): string[] {
+/** @returns the addresses selected in the given number of steps */
+function selectRepeatedly(members: ControlAddresses, steps: number): string[] {
   return Array.from({length: steps}, () => {
-    known.moveOn();
-    return known.current;
+    members.selectNext();
+    return members.current;
   });
 }
 
-describe('the addresses of control', () => {
-  // All members but one are gone, and it may be any: each must be asked before
-  // another is asked twice.
-  it('asks each known member once before any twice', () => {
+describe('ControlAddresses', () => {
+  // When all members but one are gone, each has to be tried once before any is
+  // tried again.
+  it('selects each known member once before any twice', () => {
     assert(
-      property(addresses, addresses, seed, (fromSettings, named, number) => {
-        const known = new ControlAddresses(fromSettings, new Random(number));
-        known.learn(named);
-        known.noteHeard();
-        const all = new Set([...fromSettings, ...named]);
-        const others = [...all].filter(other => other !== known.current);
-        const visited = visit(known, others.length);
+      property(addresses, addresses, seed, (configured, discovered, number) => {
+        const members = new ControlAddresses(configured, new Random(number));
+        members.setDiscovered(discovered);
+        members.noteContact();
+        const all = new Set([...configured, ...discovered]);
+        const others = [...all].filter(other => other !== members.current);
+        const visited = selectRepeatedly(members, others.length);
         expect(visited.sort()).toEqual(others.sort());
       }),
     );
   });
 
-  it('asks those that control named before those of the settings', () => {
-    const known = new ControlAddresses(['a', 'b'], new Random(1));
-    known.learn(['c', 'd']);
-    expect(visit(known, 2).sort()).toEqual(['c', 'd']);
+  it('selects discovered members before configured ones', () => {
+    const members = new ControlAddresses(['a', 'b'], new Random(1));
+    members.setDiscovered(['c', 'd']);
+    expect(selectRepeatedly(members, 2).sort()).toEqual(['c', 'd']);
   });
 
-  it('goes around again when all were asked in vain', () => {
-    const known = new ControlAddresses(['a', 'b'], new Random(1));
-    const visited = visit(known, 6);
+  it('starts over when all members have failed', () => {
+    const members = new ControlAddresses(['a', 'b'], new Random(1));
+    const visited = selectRepeatedly(members, 6);
     expect(visited.filter(one => one === 'a')).toHaveLength(3);
   });
 
-  it('keeps the only one that it knows', () => {
-    const known = new ControlAddresses(['a'], new Random(1));
-    expect(visit(known, 3)).toEqual(['a', 'a', 'a']);
+  it('keeps the only known member', () => {
+    const members = new ControlAddresses(['a'], new Random(1));
+    expect(selectRepeatedly(members, 3)).toEqual(['a', 'a', 'a']);
   });
 
-  it('keeps what it knows when a member knows none', () => {
-    const known = new ControlAddresses(['a'], new Random(1));
-    known.learn(['b']);
-    known.learn([]);
-    expect(visit(known, 1)).toEqual(['b']);
+  it('keeps the discovered members when a member reports none', () => {
+    const members = new ControlAddresses(['a'], new Random(1));
+    members.setDiscovered(['b']);
+    members.setDiscovered([]);
+    expect(selectRepeatedly(members, 1)).toEqual(['b']);
   });
 
-  it('spreads those that lost the same member', () => {
+  it('spreads processes with different seeds over the members', () => {
     const next = Array.from({length: 32}, (_, number) => {
-      const known = new ControlAddresses(['a', 'b', 'c'], new Random(number));
-      return known.current;
+      const members = new ControlAddresses(['a', 'b', 'c'], new Random(number));
+      return members.current;
     });
     expect(new Set(next).size).toBe(3);
   });
--- a/packages/lovagepond-core/src/core_registration.ts
+++ b/packages/lovagepond-core/src/core_registration.ts
@@ -1,21 +1,23 @@
 /**
- * Joins the unregister functions that features return when they register.
+ * Unregister functions, which features return when they register.
  */
 
-/** Takes back one registration. Calling it again has no effect. */
+/** Removes one registration. Calling it again has no effect. */
 export type Unregister = () => void;
 
 /**
  * Merges several unregister functions into one.
  *
- * @param parts the functions, run last to first
- * @returns one function that runs each part once
+ * @param unregisters the functions, called in reverse order
+ * @returns one function that calls each of them once
  */
-export function mergeRegister(...parts: readonly Unregister[]): Unregister {
-  let pending = [...parts];
+export function mergeRegister(
+  ...unregisters: readonly Unregister[]
+): Unregister {
+  let pending = [...unregisters];
   return () => {
-    const running = pending.reverse();
+    const reversed = pending.reverse();
     pending = [];
-    for (const unregister of running) unregister();
+    for (const unregister of reversed) unregister();
   };
 }
--- a/packages/lovagepond-process/src/settings_units.ts
+++ b/packages/lovagepond-process/src/settings_units.ts
@@ -1,7 +1,6 @@
 /**
- * Values of settings files: text with a unit in, plain numbers out.
- *
- * Each schema's message says what would be right.
+ * Schemas for values in settings files. They parse text, often with a unit,
+ * into plain values; each error message describes the expected form.
  */
 import {z} from '@lovagepond/core';
 
@@ -22,16 +21,16 @@
 const MAX_PORT = 65_535;
 const PERCENT = 100;
 
-/** An address a process listens on or connects to. */
+/** An address that a process listens on or connects to. */
 export interface HostPort {
   readonly host: string;
-  /** 0 lets the system choose, where a process listens. */
+  /** For a listen address, 0 lets the operating system choose a free port. */
   readonly port: number;
 }
 
 type Parser<Value> = (text: string) => Value | undefined;
 
-function makeUnit<Value>(
+function makeTextSchema<Value>(
   parse: Parser<Value>,
   expected: string,
 ): z.ZodType<Value, string> {
@@ -60,7 +59,7 @@
 
 /**
  * @param text `host:port`, with an IPv6 host in brackets
- * @returns its parts, or undefined when it is no address
+ * @returns the host and port, or undefined when the text is no address
  */
 export function parseHostPort(text: string): HostPort | undefined {
   const match = /^(\[[0-9a-fA-F:]+\]|[^:\s[\]]+):(\d{1,5})$/.exec(text);
@@ -70,8 +69,8 @@
 }
 
 /**
- * @param address an address
- * @returns it as `host:port`
+ * @param address the address to format
+ * @returns the address as `host:port`, with an IPv6 host in brackets
  */
 export function formatHostPort({host, port}: HostPort): string {
   return host.includes(':') ? `[${host}]:${port}` : `${host}:${port}`;
@@ -88,7 +87,7 @@
 
 /** @returns a duration such as `250ms` or `4s`, in milliseconds */
 export function duration(): z.ZodType<number, string> {
-  return makeUnit(
+  return makeTextSchema(
     text => parseQuantity(text, DURATION_UNITS),
     'a duration with its unit ms, s, m or h, such as 250ms or 4s',
   );
@@ -96,7 +95,7 @@
 
 /** @returns a size such as `16kB` or `64MB`, in bytes */
 export function size(): z.ZodType<number, string> {
-  return makeUnit(
+  return makeTextSchema(
     text => parseQuantity(text, SIZE_UNITS),
     'a size with its unit B, kB, MB or GB, such as 16kB or 64MB',
   );
@@ -104,7 +103,7 @@
 
 /** @returns a share such as `20%`, as a fraction */
 export function percentage(): z.ZodType<number, string> {
-  return makeUnit(text => {
+  return makeTextSchema(text => {
     const match = /^(\d+(?:\.\d+)?)%$/.exec(text);
     const value = Number(match?.[1]) / PERCENT;
     return match && value <= 1 ? value : undefined;
@@ -117,7 +116,7 @@
  * @returns a whole number
  */
 export function integer(min: number, max: number): z.ZodType<number, string> {
-  return makeUnit(text => {
+  return makeTextSchema(text => {
     const value = Number(text);
     const fits = /^-?\d+$/.test(text) && value >= min && value <= max;
     return fits ? value : undefined;
@@ -130,7 +129,7 @@
  * @returns a number with or without a decimal part
  */
 export function decimal(min: number, max: number): z.ZodType<number, string> {
-  return makeUnit(text => {
+  return makeTextSchema(text => {
     const value = Number(text);
     const fits = /^-?\d+(\.\d+)?$/.test(text) && value >= min && value <= max;
     return fits ? value : undefined;
@@ -139,7 +138,7 @@
 
 /** @returns `true`, `yes`, `on`, `false`, `no` or `off` */
 export function boolean(): z.ZodType<boolean, string> {
-  return makeUnit(
+  return makeTextSchema(
     text => BOOLEANS[text.toLowerCase()],
     'true or false (also yes, on, no, off)',
   );
@@ -147,12 +146,15 @@
 
 /** @returns an address such as `10.0.0.7:7400` */
 export function hostPort(): z.ZodType<HostPort, string> {
-  return makeUnit(parseHostPort, 'an address host:port, such as 10.0.0.7:7400');
+  return makeTextSchema(
+    parseHostPort,
+    'an address host:port, such as 10.0.0.7:7400',
+  );
 }
 
 /** @returns a URL of the http scheme, without a slash at its end */
 export function httpUrl(): z.ZodType<string, string> {
-  return makeUnit(text => {
+  return makeTextSchema(text => {
     const match = /^https?:\/\/[^\s/]+(\/\S*)?$/.test(text);
     return match ? text.replace(/\/$/, '') : undefined;
   }, 'a URL such as http://127.0.0.1:8000');
@@ -160,7 +162,7 @@
 
 /** @returns a name of letters, digits, `.`, `_` and `-` */
 export function nameText(): z.ZodType<string, string> {
-  return makeUnit(
+  return makeTextSchema(
     text => (/^[A-Za-z0-9][A-Za-z0-9_.-]{0,62}$/.test(text) ? text : undefined),
     'a name of up to 63 letters, digits, dots, dashes and underscores',
   );
@@ -168,17 +170,17 @@
 
 /** @returns any text that isn't empty, such as a path */
 export function filledText(): z.ZodType<string, string> {
-  return makeUnit(text => text || undefined, 'a text that is not empty');
+  return makeTextSchema(text => text || undefined, 'a text that is not empty');
 }
 
 /**
  * @param values the allowed words
- * @returns one of them
+ * @returns a schema that accepts one of these words
  */
 export function oneOf<Value extends string>(
   ...values: readonly Value[]
 ): z.ZodType<Value, string> {
-  return makeUnit(
+  return makeTextSchema(
     text => values.find(value => value === text),
     `one of ${values.join(', ')}`,
   );
@@ -186,7 +188,7 @@
 
 /**
  * @param item schema of one item
- * @returns items separated by commas; an empty text is an empty list
+ * @returns a comma-separated list; an empty text is an empty list
  */
 export function list<Value>(
   item: z.ZodType<Value, string>,
--- a/packages/lovagepond-router/src/router_control_link.ts
+++ b/packages/lovagepond-router/src/router_control_link.ts
@@ -301,7 +301,7 @@
 
   #noteFirstUpdate(): void {
     this.#hasReceivedUpdate = true;
-    this.#addresses.noteHeard();
+    this.#addresses.noteContact();
     this.#dependencies.log.info('control subscription holds', {
       address: this.address,
     });
@@ -332,7 +332,7 @@
   #updateMembers({controlMembers}: ControlUpdate): void {
     const addresses = controlMembers?.addresses;
     if (!addresses) return;
-    this.#addresses.learn(addresses);
+    this.#addresses.setDiscovered(addresses);
     this.#dependencies.log.info('control members known', {
       addresses: addresses.join(' '),
     });
@@ -343,7 +343,7 @@
     const address = this.address;
     this.#dependencies.log.info('control subscription lost', {address, reason});
     this.#close();
-    this.#addresses.moveOn();
+    this.#addresses.selectNext();
     this.#failures += 1;
     const delay = this.#nextDelay();
     this.#retryTimer = setTimeout(() => {
--- a/packages/lovagepond-sidecar/src/sidecar_control_feed.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_control_feed.ts
@@ -105,9 +105,9 @@
     call.on('data', (update: ControlUpdate) => {
       if (this.#call !== call) return;
       this.#lastUpdateAt = this.#deps.clock.now();
-      this.#addresses.noteHeard();
+      this.#addresses.noteContact();
       const {addresses} = update.controlMembers ?? {};
-      if (addresses) this.#addresses.learn(addresses);
+      if (addresses) this.#addresses.setDiscovered(addresses);
       this.#deps.onUpdate(update, this.#lastUpdateAt);
     });
     const onLost = (err?: Error): void => {
@@ -126,7 +126,7 @@
   #restart(reason: string): void {
     this.#deps.log.debug('subscribing to another control member', {reason});
     this.#close();
-    this.#addresses.moveOn();
+    this.#addresses.selectNext();
     const pauseMs = RETRY_MS * (0.5 + this.#deps.random.next());
     this.#retryTimer = setTimeout(() => {
       this.start();
--- a/packages/lovagepond-sidecar/src/sidecar_control_link.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_control_link.ts
@@ -41,7 +41,7 @@
 
   /** @param addresses `host:port` of all control members */
   updateMembers(addresses: readonly string[]): void {
-    this.#addresses.learn(addresses);
+    this.#addresses.setDiscovered(addresses);
   }
 
   /**
@@ -116,11 +116,12 @@
   #updateTarget(calledAddress: string, answer: LeaderHint | undefined): void {
     if (calledAddress !== this.address) return;
     if (answer === undefined) {
-      if (calledAddress === this.#addresses.current) this.#addresses.moveOn();
+      if (calledAddress === this.#addresses.current)
+        {this.#addresses.selectNext();}
       this.#leader = '';
       return;
     }
-    this.#addresses.noteHeard();
+    this.#addresses.noteContact();
     if (answer.leader) this.#leader = answer.leader;
   }
 }
