--- a/packages/lovagepond-consensus/src/__tests__/model/consensus_model.ts
+++ b/packages/lovagepond-consensus/src/__tests__/model/consensus_model.ts
@@ -42,7 +42,7 @@
   time = 0;
   /** Highest index that was acknowledged to a client. */
   ackedIndex = 0;
-  acked = 0;
+  ackedCount = 0;
   readsAnswered = 0;
   readonly #oracle = new ModelOracle();
   readonly #injector: FaultInjector;
@@ -197,7 +197,7 @@
     const downMs = this.time - host.crashedAt;
     const startingMs = this.#random.next() * downMs * host.rate;
     const parts = {
-      silentSince: this.nowAt(host) - startingMs,
+      previousRunEndedBy: this.nowAt(host) - startingMs,
       stored: host.disk.open(),
       address: host.address,
       timings: MODEL_TIMINGS,
@@ -260,14 +260,14 @@
   }
 
   /** Ends all faults and expects the group to work again. */
-  settle(): void {
+  expectRecovery(): void {
     this.#faults = {...this.#faults, loss: 0, duplication: 0};
     this.heal();
     for (const host of this.hosts) if (!host.core) this.restart(host);
     const target = this.committedIndex + 1;
     const limit = this.time + MODEL_TIMINGS.electionTimeoutMs * 40;
     while (this.time < limit) {
-      this.#settleStep();
+      this.#recoveryStep();
       const leader = this.leader();
       if (leader && this.#random.next() < 0.01) this.propose(leader);
       if (leader && this.#hasConverged(leader, target)) return;
@@ -275,7 +275,7 @@
     throw new Error('not converged after the faults ended');
   }
 
-  #settleStep(): void {
+  #recoveryStep(): void {
     this.time += this.#random.exponential(this.#faults.stepMs);
     for (const host of this.hosts) this.sync(host);
     for (let at = this.#network.length; at > 0; at -= 1) this.deliver();
@@ -323,7 +323,7 @@
     if (host.proposals.get(entry.index) !== entry.term) return;
     host.proposals.delete(entry.index);
     if (entry.kind !== ENTRY_KIND.COMMAND) return;
-    this.acked += 1;
+    this.ackedCount += 1;
     this.ackedIndex = Math.max(this.ackedIndex, entry.index);
   }
 
--- a/packages/lovagepond-consensus/src/__tests__/model/consensus_model_host.ts
+++ b/packages/lovagepond-consensus/src/__tests__/model/consensus_model_host.ts
@@ -100,18 +100,20 @@
   checkLogMatching(hosts: readonly ModelHost[]): void {
     const seen = new Map<string, string>();
     for (const {disk} of hosts) {
-      let former: number | undefined;
+      let previousTerm: number | undefined;
       for (const entry of disk.latestEntries) {
         const key = `${entry.index} ${entry.term}`;
         const text = Buffer.from(entry.data).toString();
         expect(seen.get(key) ?? text).toBe(text);
         seen.set(key, text);
         const before = `${key} before`;
-        if (former !== undefined) {
-          expect(seen.get(before) ?? String(former)).toBe(String(former));
-          seen.set(before, String(former));
+        if (previousTerm !== undefined) {
+          expect(seen.get(before) ?? String(previousTerm)).toBe(
+            String(previousTerm),
+          );
+          seen.set(before, String(previousTerm));
         }
-        former = entry.term;
+        previousTerm = entry.term;
       }
     }
   }
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_core.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_core.test.ts
@@ -22,13 +22,13 @@
 const MEMBERS: MemberList = ['a', 'b', 'c'].map(id => {
   return {id, address: `${id}:1`, voter: true};
 });
-const LATER = T * 3;
+const AFTER_TIMEOUT = T * 3;
 
 function entry(index: number, term: number): LogEntry {
   return {index, term, kind: 'command', data: Buffer.from(`${index}`)};
 }
 
-const LISTED: LogEntry = {
+const MEMBERS_ENTRY: LogEntry = {
   index: 1,
   term: 1,
   kind: 'members',
@@ -36,14 +36,18 @@
 };
 
 /** One core whose peers are played by the test. */
-class Lab {
+class CoreRig {
   readonly core: ConsensusCore;
   readonly actions: ConsensusAction[] = [];
   now = 0;
   #lastWrite = 0;
 
   constructor(stored: Partial<StoredState>) {
-    const whole = {id: 'a', hardState: {term: 3, vote: ''}, entries: [LISTED]};
+    const whole = {
+      id: 'a',
+      hardState: {term: 3, vote: ''},
+      entries: [MEMBERS_ENTRY],
+    };
     this.core = new ConsensusCore(
       {
         stored: {...whole, ...stored},
@@ -83,7 +87,7 @@
 
   /** Wins the election of term 4. */
   lead(): void {
-    this.now = LATER;
+    this.now = AFTER_TIMEOUT;
     this.core.tick(this.now);
     this.receive('b', 3, {kind: 'preVoteReply', granted: true, attempt: 1});
     this.sync();
@@ -125,46 +129,46 @@
 }
 
 describe('ConsensusCore', () => {
-  let lab: Lab;
+  let rig: CoreRig;
 
   beforeEach(() => {
-    lab = new Lab({});
+    rig = new CoreRig({});
   });
 
   // A leader finds an entry of an earlier term on a majority. Another member,
   // with a later term in its log, could still be elected and replace it.
   it('commits no entry of an earlier term by counting copies', () => {
-    lab = new Lab({entries: [LISTED, entry(2, 2)]});
-    lab.lead();
-    lab.acknowledge('b', 2);
-    expect(lab.status.commitIndex).toBe(0);
-    lab.acknowledge('b', 3);
-    expect(lab.status.commitIndex).toBe(3);
+    rig = new CoreRig({entries: [MEMBERS_ENTRY, entry(2, 2)]});
+    rig.lead();
+    rig.acknowledge('b', 2);
+    expect(rig.status.commitIndex).toBe(0);
+    rig.acknowledge('b', 3);
+    expect(rig.status.commitIndex).toBe(3);
   });
 
   // One follower is down for long while many changes are made. The leader can't
   // know that its messages reach nobody; if each heartbeat took all the changes
   // along, it would fill the links between hosts for as long as that lasts.
   it('sends no entries again and again to a follower that is silent', () => {
-    lab.lead();
+    rig.lead();
     const sentToSilent = (): number =>
-      lab.sentTo('c').flatMap(({entries}) => entries).length;
+      rig.sentTo('c').flatMap(({entries}) => entries).length;
     let round = 1;
     const heartbeat = (): void => {
-      lab.heartbeat();
+      rig.heartbeat();
       round += 1;
-      lab.acknowledge('b', lab.status.lastIndex, round);
+      rig.acknowledge('b', rig.status.lastIndex, round);
     };
     for (let at = 0; at < 3 * T; at += MODEL_TIMINGS.heartbeatIntervalMs) {
       heartbeat();
     }
-    lab.propose('x');
+    rig.propose('x');
     const before = sentToSilent();
     for (let at = 0; at < 3 * T; at += MODEL_TIMINGS.heartbeatIntervalMs) {
       heartbeat();
     }
     expect(sentToSilent()).toBe(before);
-    lab.acknowledge('c', 2, round);
+    rig.acknowledge('c', 2, round);
     heartbeat();
     expect(sentToSilent()).toBeGreaterThan(before);
   });
@@ -173,40 +177,40 @@
   // call of its own, so the short heartbeat arrives first. If it asked for the
   // entry under way, it would be refused, and the entry sent a second time.
   it('asks in a heartbeat for nothing that is still on its way', () => {
-    lab.lead();
-    lab.acknowledge('b', 2);
-    lab.propose('x'.repeat(90_000));
-    lab.propose('y');
-    lab.heartbeat();
-    const sent = lab.sentTo('b');
+    rig.lead();
+    rig.acknowledge('b', 2);
+    rig.propose('x'.repeat(90_000));
+    rig.propose('y');
+    rig.heartbeat();
+    const sent = rig.sentTo('b');
     expect(sent.flatMap(({entries}) => entries)).toMatchObject([{index: 3}]);
     expect(sent.at(-1)).toMatchObject({prevIndex: 2, entries: []});
-    lab.acknowledge('b', 3, 2);
-    lab.core.flush(lab.now);
-    lab.collect();
-    expect(lab.sentTo('b').at(-1)?.entries).toMatchObject([{index: 4}]);
+    rig.acknowledge('b', 3, 2);
+    rig.core.flush(rig.now);
+    rig.collect();
+    expect(rig.sentTo('b').at(-1)?.entries).toMatchObject([{index: 4}]);
   });
 
   // A follower came back with an empty disk and takes in slowly what it lacks.
   // Sent the same with each heartbeat, it would be ever further behind; sent it
   // never again, it would wait for good for what was lost on the way.
   it('sends entries again only when an answer shows them lost', () => {
-    lab.lead();
-    lab.acknowledge('b', 2);
-    lab.acknowledge('c', 1);
-    lab.core.flush(lab.now);
-    lab.collect();
+    rig.lead();
+    rig.acknowledge('b', 2);
+    rig.acknowledge('c', 1);
+    rig.core.flush(rig.now);
+    rig.collect();
     const carried = (): number =>
-      lab.sentTo('c').filter(({entries}) => entries.length > 0).length;
+      rig.sentTo('c').filter(({entries}) => entries.length > 0).length;
     expect(carried()).toBe(1);
-    const until = lab.now + 400;
-    while (lab.now + MODEL_TIMINGS.heartbeatIntervalMs < until) {
-      lab.heartbeat();
-      lab.acknowledge('c', 1, 1);
+    const until = rig.now + 400;
+    while (rig.now + MODEL_TIMINGS.heartbeatIntervalMs < until) {
+      rig.heartbeat();
+      rig.acknowledge('c', 1, 1);
     }
     expect(carried()).toBe(1);
-    lab.heartbeat();
-    lab.acknowledge('c', 1, 1);
+    rig.heartbeat();
+    rig.acknowledge('c', 1, 1);
     expect(carried()).toBe(2);
   });
 
@@ -215,12 +219,12 @@
   it('sends a part of a snapshot again only when it is lost', () => {
     const data = Buffer.from('a state of two parts');
     const snapshot = {index: 1, term: 1, members: MEMBERS, data};
-    lab = new Lab({snapshot, entries: [entry(2, 3)]});
-    lab.lead();
+    rig = new CoreRig({snapshot, entries: [entry(2, 3)]});
+    rig.lead();
     const refusal = {kind: 'appendReply', success: false, matchIndex: 0};
-    lab.receive('c', 4, {...refusal, refusedIndex: 2, hintIndex: 0, round: 1});
+    rig.receive('c', 4, {...refusal, refusedIndex: 2, hintIndex: 0, round: 1});
     const offsets = (): number[] =>
-      lab
+      rig
         .sent('snapshotChunk')
         .flatMap(part =>
           part.kind === 'snapshotChunk' && part.data.length > 0
@@ -229,16 +233,16 @@
         );
     const answer = (nextOffset: number): void => {
       const body = {kind: 'snapshotReply', snapshotIndex: 1, installed: false};
-      lab.receive('c', 4, {...body, nextOffset, round: 1});
+      rig.receive('c', 4, {...body, nextOffset, round: 1});
     };
     expect(offsets()).toEqual([0]);
-    lab.heartbeat();
+    rig.heartbeat();
     answer(0);
     expect(offsets()).toEqual([0]);
     answer(12);
     answer(0);
     expect(offsets()).toEqual([0, 12]);
-    lab.now += 400;
+    rig.now += 400;
     answer(12);
     expect(offsets()).toEqual([0, 12, 12]);
   });
@@ -246,57 +250,57 @@
   // Long commands, such as configurations of many routes, would fill a small
   // disk long before their number asks for a snapshot.
   it('asks for a snapshot after so many bytes of commands', () => {
-    lab.lead();
-    lab.acknowledge('b', 2);
+    rig.lead();
+    rig.acknowledge('b', 2);
     const asked = (): number[] =>
-      lab.actions.flatMap(action =>
+      rig.actions.flatMap(action =>
         action.kind === 'takeSnapshot' ? [action.index] : [],
       );
     const bytes = TIMINGS.snapshotEveryBytes;
     expect(asked()).toEqual([]);
-    lab.propose('x'.repeat(bytes));
-    lab.sync();
-    lab.acknowledge('b', 3);
+    rig.propose('x'.repeat(bytes));
+    rig.sync();
+    rig.acknowledge('b', 3);
     expect(asked()).toEqual([3]);
-    lab.core.snapshotTaken(3, Buffer.alloc(bytes));
-    lab.core.flush(lab.now);
-    lab.collect();
-    lab.sync();
-    lab.propose('x'.repeat(bytes));
-    lab.sync();
-    lab.acknowledge('b', 4);
+    rig.core.snapshotTaken(3, Buffer.alloc(bytes));
+    rig.core.flush(rig.now);
+    rig.collect();
+    rig.sync();
+    rig.propose('x'.repeat(bytes));
+    rig.sync();
+    rig.acknowledge('b', 4);
     expect(asked()).toEqual([3]);
-    lab.propose('x'.repeat(bytes));
-    lab.sync();
-    lab.acknowledge('b', 5);
+    rig.propose('x'.repeat(bytes));
+    rig.sync();
+    rig.acknowledge('b', 5);
     expect(asked()).toEqual([3, 5]);
   });
 
   it('counts itself for a commit only up to its own sync', () => {
-    lab.lead();
-    lab.acknowledge('b', 2);
-    lab.propose('x');
-    lab.acknowledge('b', 3);
-    expect(lab.status.commitIndex).toBe(2);
-    lab.sync();
-    expect(lab.status.commitIndex).toBe(3);
+    rig.lead();
+    rig.acknowledge('b', 2);
+    rig.propose('x');
+    rig.acknowledge('b', 3);
+    expect(rig.status.commitIndex).toBe(2);
+    rig.sync();
+    expect(rig.status.commitIndex).toBe(3);
   });
 
   // All members were stopped. The first one up asks while nobody can answer; a
   // majority is up a moment later and shouldn't stand idle for long.
   it('asks again soon when nobody answered its pre-vote', () => {
-    lab.now = LATER;
-    lab.core.tick(lab.now);
-    lab.collect();
-    const asked = (): number => lab.sent('preVote').length;
+    rig.now = AFTER_TIMEOUT;
+    rig.core.tick(rig.now);
+    rig.collect();
+    const asked = (): number => rig.sent('preVote').length;
     expect(asked()).toBe(2);
-    lab.now += T * 0.49;
-    lab.core.tick(lab.now);
-    lab.collect();
+    rig.now += T * 0.49;
+    rig.core.tick(rig.now);
+    rig.collect();
     expect(asked()).toBe(2);
-    lab.now += T * 0.51;
-    lab.core.tick(lab.now);
-    lab.collect();
+    rig.now += T * 0.51;
+    rig.core.tick(rig.now);
+    rig.collect();
     expect(asked()).toBe(4);
   });
 
@@ -304,108 +308,108 @@
   // vote for another in the same term must be remembered, so it must have
   // been synced before it was sent.
   it('sends a vote after its sync, and one only in a term', () => {
-    lab.now = LATER;
+    rig.now = AFTER_TIMEOUT;
     const log = {lastIndex: 9, lastTerm: 3};
-    lab.receive('b', 4, {kind: 'vote', ...log});
-    expect(lab.sent('voteReply')).toEqual([]);
-    lab.sync();
-    expect(lab.sent('voteReply')).toMatchObject([{to: 'b', granted: true}]);
-    const written = lab.actions.findLast(action => action.kind === 'write')!;
+    rig.receive('b', 4, {kind: 'vote', ...log});
+    expect(rig.sent('voteReply')).toEqual([]);
+    rig.sync();
+    expect(rig.sent('voteReply')).toMatchObject([{to: 'b', granted: true}]);
+    const written = rig.actions.findLast(action => action.kind === 'write')!;
     const {hardState} = written.write;
-    lab = new Lab({hardState: hardState!});
-    lab.now = LATER;
-    lab.receive('c', 4, {kind: 'vote', ...log});
-    expect(lab.sent('voteReply')).toMatchObject([{to: 'c', granted: false}]);
+    rig = new CoreRig({hardState: hardState!});
+    rig.now = AFTER_TIMEOUT;
+    rig.receive('c', 4, {kind: 'vote', ...log});
+    expect(rig.sent('voteReply')).toMatchObject([{to: 'c', granted: false}]);
   });
 
   // A member that was cut off asks for votes in a higher term, while the leader
   // works. An answer would carry that term back and depose the leader.
   it('gives no vote and takes no term while it hears a leader', () => {
-    lab.now = LATER;
+    rig.now = AFTER_TIMEOUT;
     const append = {kind: 'append', prevIndex: 1, prevTerm: 1, commitIndex: 0};
-    lab.receive('b', 3, {...append, entries: [], round: 1});
-    lab.now += T - 1;
-    lab.receive('c', 9, {kind: 'vote', lastIndex: 9, lastTerm: 9});
-    lab.sync();
-    expect(lab.sent('voteReply')).toEqual([]);
-    expect(lab.status.term).toBe(3);
-    lab.now += 1;
-    lab.receive('c', 9, {kind: 'vote', lastIndex: 9, lastTerm: 9});
-    lab.sync();
-    expect(lab.sent('voteReply')).toMatchObject([{to: 'c', granted: true}]);
+    rig.receive('b', 3, {...append, entries: [], round: 1});
+    rig.now += T - 1;
+    rig.receive('c', 9, {kind: 'vote', lastIndex: 9, lastTerm: 9});
+    rig.sync();
+    expect(rig.sent('voteReply')).toEqual([]);
+    expect(rig.status.term).toBe(3);
+    rig.now += 1;
+    rig.receive('c', 9, {kind: 'vote', lastIndex: 9, lastTerm: 9});
+    rig.sync();
+    expect(rig.sent('voteReply')).toMatchObject([{to: 'c', granted: true}]);
   });
 
   it('acknowledges entries after their sync', () => {
     const append = {kind: 'append', prevIndex: 1, prevTerm: 1, commitIndex: 0};
-    lab.receive('b', 3, {...append, entries: [entry(2, 3)], round: 7});
-    expect(lab.sent('appendReply')).toEqual([]);
-    lab.sync();
-    expect(lab.sent('appendReply')).toMatchObject([{matchIndex: 2, round: 7}]);
+    rig.receive('b', 3, {...append, entries: [entry(2, 3)], round: 7});
+    expect(rig.sent('appendReply')).toEqual([]);
+    rig.sync();
+    expect(rig.sent('appendReply')).toMatchObject([{matchIndex: 2, round: 7}]);
   });
 
   it('answers a read after a round that began after it', () => {
-    lab.lead();
-    lab.acknowledge('b', 2);
-    lab.core.read(1);
-    lab.core.flush(lab.now);
-    lab.collect();
-    lab.acknowledge('b', 2, 1);
+    rig.lead();
+    rig.acknowledge('b', 2);
+    rig.core.read(1);
+    rig.core.flush(rig.now);
+    rig.collect();
+    rig.acknowledge('b', 2, 1);
     const ready = {kind: 'readReady', tokens: [1], index: 2};
-    expect(lab.actions).not.toContainEqual(ready);
-    lab.acknowledge('b', 2, 2);
-    expect(lab.actions).toContainEqual(ready);
+    expect(rig.actions).not.toContainEqual(ready);
+    rig.acknowledge('b', 2, 2);
+    expect(rig.actions).toContainEqual(ready);
   });
 
   // A new leader's process is busy for longer than an election timeout, with
   // its followers' answers unread. Giving up then would leave the fleet without
   // a leader once more. It may not do so without end: cut off, it has to go.
   it('outlives one stall of its own, and no silence of the others', () => {
-    lab.lead();
+    rig.lead();
     const tick = (): void => {
-      lab.core.tick(lab.now);
-      lab.collect();
+      rig.core.tick(rig.now);
+      rig.collect();
     };
-    lab.now += TIMINGS.electionTimeoutMs * 1.5;
+    rig.now += TIMINGS.electionTimeoutMs * 1.5;
     tick();
-    expect(lab.status).toMatchObject({role: 'leader', leaseValid: false});
-    lab.acknowledge('b', 2);
-    expect(lab.status).toMatchObject({role: 'leader'});
+    expect(rig.status).toMatchObject({role: 'leader', leaseValid: false});
+    rig.acknowledge('b', 2);
+    expect(rig.status).toMatchObject({role: 'leader'});
     const step = TIMINGS.electionTimeoutMs / 10;
     for (let passed = 0; passed <= 12; passed += 1) {
-      lab.now += step;
+      rig.now += step;
       tick();
     }
-    expect(lab.status.role).toBe('follower');
+    expect(rig.status.role).toBe('follower');
   });
 
   it('gives up after a second stall without an answer between them', () => {
-    lab.lead();
+    rig.lead();
     for (let stall = 0; stall < 2; stall += 1) {
-      lab.now += TIMINGS.electionTimeoutMs * 1.5;
-      lab.core.tick(lab.now);
-      lab.collect();
+      rig.now += TIMINGS.electionTimeoutMs * 1.5;
+      rig.core.tick(rig.now);
+      rig.collect();
     }
-    expect(lab.status.role).toBe('follower');
+    expect(rig.status.role).toBe('follower');
   });
 
   it('changes members one at a time, after a commit in its term', () => {
     const add = {kind: 'addLearner', id: 'd', address: 'd:1'} as const;
-    lab.lead();
-    const early = lab.core.changeMembers(add, lab.now);
+    rig.lead();
+    const early = rig.core.changeMembers(add, rig.now);
     expect(early).toMatchObject({reason: 'termNotCommitted'});
-    lab.acknowledge('b', 2);
-    expect(lab.core.changeMembers(add, lab.now)).toMatchObject({index: 3});
-    const second = lab.core.changeMembers({kind: 'remove', id: 'c'}, lab.now);
+    rig.acknowledge('b', 2);
+    expect(rig.core.changeMembers(add, rig.now)).toMatchObject({index: 3});
+    const second = rig.core.changeMembers({kind: 'remove', id: 'c'}, rig.now);
     expect(second).toMatchObject({reason: 'changePending'});
-    lab.core.flush(lab.now);
-    lab.collect();
-    lab.sync();
-    lab.acknowledge('b', 3);
+    rig.core.flush(rig.now);
+    rig.collect();
+    rig.sync();
+    rig.acknowledge('b', 3);
     const promote = {kind: 'promote', id: 'd'} as const;
-    const behind = lab.core.changeMembers(promote, lab.now);
+    const behind = rig.core.changeMembers(promote, rig.now);
     expect(behind).toMatchObject({reason: 'notCaughtUp'});
-    lab.acknowledge('d', 3);
-    expect(lab.core.changeMembers(promote, lab.now)).toMatchObject({index: 4});
+    rig.acknowledge('d', 3);
+    expect(rig.core.changeMembers(promote, rig.now)).toMatchObject({index: 4});
   });
 
   // A write of entries is under way when others replace them in the log. Its
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_core_model.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_core_model.test.ts
@@ -121,7 +121,7 @@
         (seed, hosts, spares, faults) => {
           const model = new ConsensusModel(seed, hosts, spares, faults);
           model.run(STEPS);
-          model.settle();
+          model.expectRecovery();
         },
       ),
       {
@@ -144,7 +144,7 @@
         (seed, hosts, faults) => {
           const model = new ConsensusModel(seed, hosts, SPARES, faults);
           model.run(STEPS);
-          model.settle();
+          model.expectRecovery();
         },
       ),
       {seed: PROPERTY_SEED, numRuns: RUNS_OF_LARGER, endOnFailure: true},
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_lease.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_lease.test.ts
@@ -72,10 +72,10 @@
     expect(model.status(leader).role).toBe('follower');
     const successor = model.leader()!;
     expect(successor).not.toBe(leader);
-    const {acked} = model;
+    const {ackedCount} = model;
     model.propose(successor);
     model.advance(T);
-    expect(model.acked).toBe(acked + 1);
+    expect(model.ackedCount).toBe(ackedCount + 1);
   });
 
   // One follower no longer hears the leader and asks for votes; the other one
@@ -84,8 +84,8 @@
   it.each(seeds)('keeps it when a follower restarts, seed %i', seed => {
     const group = startGroup(seed);
     const {model, leader, followers} = group;
-    const [deaf, restarted] = followers as [ModelHost, ModelHost];
-    model.block(leader, deaf);
+    const [disconnected, restarted] = followers as [ModelHost, ModelHost];
+    model.block(leader, disconnected);
     model.advance(T * 3);
     model.crash(restarted);
     model.restart(restarted);
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_losses.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_losses.test.ts
@@ -46,21 +46,21 @@
   list: CommandList;
 }
 
-const SEEDS = 3;
+const SEED_HOSTS = 3;
 
 /** Hosts that come and go, and what was acknowledged to clients. */
 class Fleet {
   hosts: Host[] = [];
   /** Told to hosts that start; lags behind what happens. */
-  seeds: readonly string[];
+  seedAddresses: readonly string[];
   readonly acknowledged: string[] = [];
   readonly #network = new MemoryNetwork();
   readonly #toleratedLosses: number;
   #made = 0;
   #started = 0;
 
-  constructor(seeds: readonly string[], toleratedLosses: number) {
-    this.seeds = seeds;
+  constructor(seedAddresses: readonly string[], toleratedLosses: number) {
+    this.seedAddresses = seedAddresses;
     this.#toleratedLosses = toleratedLosses;
   }
 
@@ -73,7 +73,7 @@
     const list = new CommandList();
     const settings: ConsensusSettings = {
       address,
-      peers: this.seeds,
+      peers: this.seedAddresses,
       timings,
       openMembership: true,
       toleratedLosses: this.#toleratedLosses,
@@ -96,8 +96,8 @@
 
   /** @returns what is needed to start it again with its disk */
   async stop(host: Host): Promise<Host> {
-    if (this.hosts.length >= SEEDS) {
-      this.seeds = this.addresses.slice(0, SEEDS);
+    if (this.hosts.length >= SEED_HOSTS) {
+      this.seedAddresses = this.addresses.slice(0, SEED_HOSTS);
     }
     this.hosts = this.hosts.filter(other => other !== host);
     await host.node.stop();
@@ -123,7 +123,7 @@
     if (!leader) return false;
     const text = `c${this.acknowledged.length}`;
     const proposing = leader.node.propose(Buffer.from(text));
-    await pass(300);
+    await advance(300);
     const {kind} = await proposing;
     if (kind === 'committed') this.acknowledged.push(text);
     return kind === 'committed';
@@ -135,7 +135,7 @@
   }
 }
 
-async function pass(ms: number): Promise<void> {
+async function advance(ms: number): Promise<void> {
   await vi.advanceTimersByTimeAsync(ms);
 }
 
@@ -145,38 +145,38 @@
 let fleet: Fleet;
 let nextAddress = 0;
 
-type Trouble = (random: Random) => Promise<void>;
+type FaultScenario = (random: Random) => Promise<void>;
 
 /** The machines were all there when it began, and are after it. */
-const TROUBLES: Readonly<Record<string, Trouble>> = {
+const FAULT_SCENARIOS: Readonly<Record<string, FaultScenario>> = {
   lostDisk: async random => {
     const {address} = await fleet.stop(random.pick(fleet.hosts));
-    await pass(500);
+    await advance(500);
     await fleet.start(address, {mayForm: false});
-    await pass(CATCH_UP_MS);
+    await advance(CATCH_UP_MS);
   },
   replacedAsPlanned: async random => {
     const old = random.pick(fleet.hosts);
-    await startNewcomer();
-    await pass(1_000);
+    await startNewHost();
+    await advance(1_000);
     await fleet.stop(old);
-    await pass(CATCH_UP_MS - 1_000);
+    await advance(CATCH_UP_MS - 1_000);
   },
   replacedWhenLost: async random => {
     await fleet.stop(random.pick(fleet.hosts));
-    await pass(1_000);
-    await startNewcomer();
-    await pass(CATCH_UP_MS);
+    await advance(1_000);
+    await startNewHost();
+    await advance(CATCH_UP_MS);
   },
   awayForLong: async random => {
     const {address, storage} = await fleet.stop(random.pick(fleet.hosts));
-    await pass(7_000);
+    await advance(7_000);
     await fleet.start(address, {mayForm: false}, storage);
-    await pass(CATCH_UP_MS);
+    await advance(CATCH_UP_MS);
   },
 };
 
-async function startNewcomer(): Promise<void> {
+async function startNewHost(): Promise<void> {
   nextAddress += 1;
   await fleet.start(`new${nextAddress}:1`, {mayForm: false});
 }
@@ -188,7 +188,7 @@
   const names = namesOf(count);
   fleet = new Fleet(names.slice(0, 3), toleratedLosses);
   for (const name of names) await fleet.start(name);
-  await pass(5_000);
+  await advance(5_000);
   expect(fleet.votersOf(fleet.leader!)).toEqual(names);
 }
 
@@ -196,14 +196,14 @@
 async function loseAtOnce(random: Random, losses: number): Promise<void> {
   const stopped: Host[] = [];
   for (const host of [...fleet.hosts]) stopped.push(await fleet.stop(host));
-  await pass(700);
+  await advance(700);
   const emptied = new Set<Host>();
   while (emptied.size < losses) emptied.add(random.pick(stopped));
   for (const host of stopped) {
     const storage = emptied.has(host) ? undefined : host.storage;
     await fleet.start(host.address, {mayForm: false}, storage);
   }
-  await pass(6_000);
+  await advance(6_000);
 }
 
 beforeEach(() => {
@@ -224,9 +224,9 @@
   it('survives a lost disk after a planned replacement', async () => {
     await formFleet(3, 1);
     const random = new Random(1);
-    await TROUBLES['lostDisk']!(random);
-    await TROUBLES['lostDisk']!(random);
-    await TROUBLES['replacedAsPlanned']!(random);
+    await FAULT_SCENARIOS['lostDisk']!(random);
+    await FAULT_SCENARIOS['lostDisk']!(random);
+    await FAULT_SCENARIOS['replacedAsPlanned']!(random);
     expect(fleet.votersOf(fleet.leader!)).toEqual(fleet.addresses);
     expect(await fleet.propose()).toBe(true);
     await loseAtOnce(random, 1);
@@ -248,17 +248,17 @@
       for (const seed of seeds) {
         const random = new Random(seed);
         await formFleet(count, losses);
-        const names = Object.keys(TROUBLES);
+        const names = Object.keys(FAULT_SCENARIOS);
         for (let step = 0; step < 8; step += 1) {
           const name = random.pick(names);
-          await TROUBLES[name]!(random);
+          await FAULT_SCENARIOS[name]!(random);
           const voters = fleet.leader ? fleet.votersOf(fleet.leader) : [];
           expect(voters, `${seed}/${step} ${name}`).toEqual(fleet.addresses);
           expect(await fleet.propose()).toBe(true);
         }
         await loseAtOnce(random, losses);
         expect(await fleet.propose(), `${seed} at the end`).toBe(true);
-        await pass(500);
+        await advance(500);
         for (const {list} of fleet.hosts) {
           expect(list.commands).toEqual(fleet.acknowledged);
         }
@@ -274,11 +274,11 @@
     await formFleet(4, 1);
     const away = fleet.hosts.find(host => host !== fleet.leader)!;
     await fleet.stop(away);
-    await pass(3_000);
+    await advance(3_000);
     expect(fleet.votersOf(fleet.leader!)).not.toContain(away.address);
     expect(await fleet.propose()).toBe(true);
     await fleet.start(away.address, {mayForm: false}, away.storage);
-    await pass(CATCH_UP_MS);
+    await advance(CATCH_UP_MS);
     expect(fleet.votersOf(fleet.leader!)).toEqual(namesOf(4));
   });
 });
@@ -290,16 +290,16 @@
     fleet = new Fleet(['a:1', 'b:1', 'c:1'], 1);
     for (const address of ['a:1', 'b:1', 'c:1']) await fleet.start(address);
     const observer = await fleet.start('o:1', {observer: true});
-    await pass(4_000);
+    await advance(4_000);
     expect(fleet.votersOf(fleet.leader!)).toEqual(['a:1', 'b:1', 'c:1']);
     expect(await fleet.propose()).toBe(true);
-    await pass(500);
+    await advance(500);
     expect(observer.list.commands).toEqual(fleet.acknowledged);
 
     await fleet.stop(observer);
-    await pass(500);
+    await advance(500);
     const again = await fleet.start('o:1', {observer: true, mayForm: false});
-    await pass(2_000);
+    await advance(2_000);
     expect(again.list.commands).toEqual(fleet.acknowledged);
     const {members} = fleet.leader!.node.status();
     expect(members.filter(({address}) => address === 'o:1')).toHaveLength(1);
@@ -316,13 +316,13 @@
     for (const address of namesOf(7)) {
       await fleet.start(address, {observer: observers.includes(address)});
     }
-    await pass(8_000);
+    await advance(8_000);
     const voters = namesOf(7).filter(name => !observers.includes(name));
     const leading = fleet.hosts.filter(({node}) => node.status().leaseValid);
     expect(leading).toHaveLength(1);
     expect(fleet.votersOf(leading[0]!)).toEqual(voters);
     expect(await fleet.propose()).toBe(true);
-    await pass(500);
+    await advance(500);
     for (const {list} of fleet.hosts) {
       expect(list.commands).toEqual(fleet.acknowledged);
     }
@@ -338,9 +338,9 @@
     for (const address of observers) {
       await fleet.start(address, {observer: true});
     }
-    await pass(4_000);
+    await advance(4_000);
     expect(await fleet.propose()).toBe(true);
-    fleet.seeds = observers;
+    fleet.seedAddresses = observers;
     const stopped = [...fleet.hosts];
     for (const host of stopped) await host.node.stop();
     fleet.hosts = [];
@@ -349,7 +349,7 @@
       const more = {observer, mayForm: false};
       await fleet.start(address, more, observer ? undefined : storage);
     }
-    await pass(1_500);
+    await advance(1_500);
     for (const {list} of fleet.hosts) {
       expect(list.commands).toEqual(fleet.acknowledged);
     }
@@ -361,19 +361,19 @@
     fleet = new Fleet(['a:1', 'b:1', 'c:1'], 1);
     for (const address of ['a:1', 'b:1', 'c:1']) await fleet.start(address);
     const before = await fleet.start('o:1', {observer: true});
-    await pass(4_000);
+    await advance(4_000);
     expect(await fleet.propose()).toBe(true);
     await before.node.stop();
-    fleet.seeds = ['o:1'];
+    fleet.seedAddresses = ['o:1'];
     const {node} = await fleet.start('o:1', {observer: true, mayForm: false});
-    for (let step = 0; node.introducedBy().length === 0; step += 1) {
+    for (let step = 0; node.announcedMembers().length === 0; step += 1) {
       expect(step).toBeLessThan(100);
       expect(node.status().members).toEqual([]);
-      await pass(10);
+      await advance(10);
     }
     const leader = fleet.hosts.find(host => host.node.status().leaseValid);
-    expect(node.introducedBy()).toEqual([leader?.address]);
-    await pass(1_500);
-    expect(node.introducedBy()).toEqual([]);
+    expect(node.announcedMembers()).toEqual([leader?.address]);
+    await advance(1_500);
+    expect(node.announcedMembers()).toEqual([]);
   });
 });
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_member_replacement.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_member_replacement.test.ts
@@ -3,7 +3,7 @@
 import {type MemberChange} from '../../consensus_members.js';
 import {type ConsensusStatus, type Member} from '../../consensus_types.js';
 
-function leadOver(members: readonly Member[]): {
+function makeReplacement(members: readonly Member[]): {
   readonly replacement: MemberReplacement;
   readonly changes: MemberChange[];
 } {
@@ -17,7 +17,7 @@
       ({role: 'leader', members, commitIndex: 9}) as unknown as ConsensusStatus,
     isCaughtUp: () => true,
     isActive: () => true,
-    silenceMs: () => 0,
+    timeSinceReplyMs: () => 0,
     toleratedLosses: undefined,
     openMembership: false,
     mayJoin: () => true,
@@ -36,7 +36,7 @@
 // it counts against each majority, and the next lost host would end the group.
 test('a leader takes off what the one before it left of a replacement', async () => {
   const successor = {id: 'new-a', address: 'a:1', voter: true};
-  const {replacement, changes} = leadOver([...VOTERS, successor]);
+  const {replacement, changes} = makeReplacement([...VOTERS, successor]);
   replacement.tick();
   replacement.tick();
   await new Promise(resolve => setImmediate(resolve));
@@ -44,7 +44,7 @@
 });
 
 test('a group at rest is left as it is', () => {
-  const {replacement, changes} = leadOver(VOTERS);
+  const {replacement, changes} = makeReplacement(VOTERS);
   replacement.tick();
   expect(changes).toEqual([]);
 });
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_node.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_node.test.ts
@@ -63,14 +63,14 @@
   return {node, register};
 }
 
-async function pass(ms: number): Promise<void> {
+async function advance(ms: number): Promise<void> {
   await vi.advanceTimersByTimeAsync(ms);
 }
 
 /** Proposes and lets virtual time pass until there is an answer. */
 async function propose(node: ConsensusNode, text: string): Promise<string> {
   const proposing = node.propose(Buffer.from(text));
-  await pass(300);
+  await advance(300);
   return (await proposing).kind;
 }
 
@@ -89,14 +89,14 @@
   it('with one member has its state again after a restart', async () => {
     const storage = new MemoryStorage('m1');
     const first = await startNode('a:1', storage, ['a:1']);
-    await pass(1000);
+    await advance(1000);
     expect(await propose(first.node, 'x')).toBe('committed');
     await first.node.stop();
 
     const second = await startNode('a:1', storage, ['a:1']);
-    await pass(1000);
+    await advance(1000);
     const reading = second.node.readBarrier();
-    await pass(100);
+    await advance(100);
     expect(await reading).toMatchObject({kind: 'ok'});
     expect(second.register.value).toBe('x');
     expect(second.node.status().leaseValid).toBe(true);
@@ -111,7 +111,7 @@
       const storage = new MemoryStorage(`${address}-first`);
       nodes.push(await startNode(address, storage, ADDRESSES));
     }
-    await pass(3000);
+    await advance(3000);
     const former = nodes[0]!.node;
     expect(former.status().role).toBe('leader');
     expect(former.status().members).toHaveLength(3);
@@ -124,7 +124,7 @@
     await left[1]!.stop();
     const emptied = new MemoryStorage('a:1-second');
     const back = await startNode('a:1', emptied, ADDRESSES);
-    await pass(5000);
+    await advance(5000);
     expect(back.node.status()).toMatchObject({role: 'follower', members: []});
     expect((await emptied.open()).entries).toEqual([]);
   });
@@ -137,14 +137,14 @@
       const storage = new MemoryStorage(`${address}-first`);
       nodes.push(await startNode(address, storage, ADDRESSES));
     }
-    await pass(3000);
+    await advance(3000);
     for (const text of ['a', 'b', 'c', 'd', 'e', 'f']) {
       expect(await propose(nodes[0]!.node, text)).toBe('committed');
     }
     await nodes[0]!.node.stop();
     const emptied = new MemoryStorage('a:1-second');
     const back = await startNode('a:1', emptied, ADDRESSES);
-    await pass(6000);
+    await advance(6000);
     expect(back.register.value).toBe('abcdef');
     const leading = nodes.find(({node}) => node.status().role === 'leader')!;
     const {members} = leading.node.status();
@@ -165,7 +165,7 @@
       const storage = new MemoryStorage(address);
       nodes.push(await startNode(address, storage, ADDRESSES));
     }
-    await pass(3000);
+    await advance(3000);
     const old = nodes[0]!.node;
     for (const text of ['a', 'b', 'c', 'd', 'e']) {
       expect(await propose(old, text)).toBe('committed');
@@ -173,18 +173,18 @@
     const fresh = await startNode('d:1', new MemoryStorage('d'), ADDRESSES);
     const replacing = old.replaceMember('a:1', 'd', 'd:1');
     const resent = old.replaceMember('a:1', 'd', 'd:1');
-    await pass(2000);
+    await advance(2000);
     expect(await replacing).toMatchObject({kind: 'committed'});
     expect((await resent).kind).toMatch(/committed|notLeader/);
     expect(fresh.register.value).toBe('abcde');
     await old.stop();
-    await pass(3000);
+    await advance(3000);
     const voting = [nodes[1]!.node, nodes[2]!.node, fresh.node];
     const leading = voting.find(node => node.status().role === 'leader')!;
     const members = leading.status().members.map(({id}) => id);
     expect(members.sort()).toEqual(['b:1', 'c:1', 'd']);
     expect(await propose(leading, 'f')).toBe('committed');
-    await pass(300);
+    await advance(300);
     expect(fresh.register.value).toBe('abcdef');
   });
 
@@ -193,7 +193,7 @@
   it('stops with a clear failure when storage fails', async () => {
     const storage = new MemoryStorage('m1');
     const {node} = await startNode('a:1', storage, ['a:1']);
-    await pass(1000);
+    await advance(1000);
     vi.spyOn(storage, 'write').mockRejectedValue(
       new StorageError({kind: 'diskFull', file: 'log'}),
     );
@@ -220,24 +220,24 @@
       const options = {reopenStorage};
       nodes.push(await startNode(address, storage, ADDRESSES, options));
     }
-    await pass(3000);
+    await advance(3000);
     const leading = nodes.find(({node}) => node.status().role === 'leader')!;
-    const sick = nodes.findIndex(one => one !== leading);
+    const failedAt = nodes.findIndex(one => one !== leading);
     const full = new StorageError({kind: 'diskFull', file: 'log'});
     // To open it anew takes a write, too.
     const failing = (['write', 'open'] as const).map(call =>
-      vi.spyOn(storages[sick]!, call).mockRejectedValue(full),
+      vi.spyOn(storages[failedAt]!, call).mockRejectedValue(full),
     );
     expect(await propose(leading.node, 'a')).toBe('committed');
-    expect(nodes[sick]!.node.status().failure).toBeDefined();
-    await pass(2000);
-    expect(nodes[sick]!.node.status().failure).toBeDefined();
+    expect(nodes[failedAt]!.node.status().failure).toBeDefined();
+    await advance(2000);
+    expect(nodes[failedAt]!.node.status().failure).toBeDefined();
     for (const call of failing) call.mockRestore();
-    await pass(2000);
-    expect(nodes[sick]!.node.status().failure).toBeUndefined();
+    await advance(2000);
+    expect(nodes[failedAt]!.node.status().failure).toBeUndefined();
     expect(await propose(leading.node, 'b')).toBe('committed');
-    await pass(300);
-    expect(nodes[sick]!.register.value).toBe('ab');
+    await advance(300);
+    expect(nodes[failedAt]!.register.value).toBe('ab');
   });
 
   // The seeds name three hosts. A fourth joins beside them; then one is gone for
@@ -251,7 +251,7 @@
     for (const address of [...ADDRESSES, 'd:1']) {
       nodes.push(await join(address));
     }
-    await pass(3000);
+    await advance(3000);
     const voters = (): string[] => {
       const {members} = leading().status();
       return members.filter(({voter}) => voter).map(({id}) => id);
@@ -266,22 +266,22 @@
     await nodes[lost]!.node.stop();
     nodes.splice(lost, 1);
     // The leader misses its answers by then.
-    await pass(timings.electionTimeoutMs);
+    await advance(timings.electionTimeoutMs);
     nodes.push(await join('e:1'));
-    await pass(2500);
+    await advance(2500);
     // Silent for less than four seconds, it may only be restarting.
     expect(voters()).toContain(lostId);
     expect(voters()).not.toContain('e:1');
-    await pass(4000);
+    await advance(4000);
     expect(voters()).not.toContain(lostId);
     expect(voters()).toContain('e:1');
     expect(voters()).toHaveLength(4);
     const next = nodes.findIndex(({node}) => node !== leading());
     await nodes[next]!.node.stop();
     nodes.splice(next, 1);
-    await pass(2000);
+    await advance(2000);
     expect(await propose(leading(), 'y')).toBe('committed');
-    await pass(300);
+    await advance(300);
     expect(nodes.map(({register}) => register.value)).toEqual([
       ...['xy', 'xy', 'xy'],
     ]);
@@ -297,11 +297,11 @@
       const storage = new MemoryStorage(address);
       nodes.push(await startNode(address, storage, ADDRESSES, open));
     }
-    await pass(3000);
+    await advance(3000);
     const leader = nodes.find(({node}) => node.status().role === 'leader')!;
     const follower = nodes.find(one => one !== leader)!.node.status().id;
     await startNode('d:1', new MemoryStorage('d:1'), [follower], open);
-    await pass(3000);
+    await advance(3000);
     const {members} = leader.node.status();
     expect(members.find(({id}) => id === 'd:1')?.voter).toBe(true);
   });
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_belief_log.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_status_log.test.ts
@@ -1,5 +1,5 @@
 import {expect, test} from 'vitest';
-import {BeliefLog} from '../../consensus_belief_log.js';
+import {StatusLog} from '../../consensus_status_log.js';
 import {type ConsensusStatus, type MemberList} from '../../index.js';
 
 // A group can't elect after two of its four disks were lost at once. From the
@@ -13,7 +13,7 @@
     warn: () => undefined,
     error: () => undefined,
   };
-  const beliefs = new BeliefLog(log);
+  const statusLog = new StatusLog(log);
   const members: MemberList = [
     {id: 'a785094c-1', address: 'a:1', voter: true},
     {id: 'd9def891-2', address: 'b:1', voter: false},
@@ -29,12 +29,12 @@
     members,
     leaseValid: false,
   };
-  beliefs.note(status);
-  beliefs.note({...status, commitIndex: 58});
+  statusLog.update(status);
+  statusLog.update({...status, commitIndex: 58});
   expect(lines).toMatchObject([
     {state: 'follower', members: 'a785094c@a:1 d9def891@b:1 (learner)'},
   ]);
-  beliefs.note({...status, members: members.slice(0, 1)});
-  beliefs.note({...status, members, term: 4});
+  statusLog.update({...status, members: members.slice(0, 1)});
+  statusLog.update({...status, members, term: 4});
   expect(lines).toMatchObject([{}, {members: 'a785094c@a:1'}, {term: 4}]);
 });
--- a/packages/lovagepond-consensus/src/consensus_action_performer.ts
+++ b/packages/lovagepond-consensus/src/consensus_action_performer.ts
@@ -21,7 +21,7 @@
 export type AppliedListener = (appliedIndex: number) => void;
 
 /** What actions are carried out with. */
-export interface PerformerParts {
+export interface PerformerDependencies {
   readonly stateMachine: StateMachine;
   readonly transport: ConsensusTransport;
   readonly writer: StorageWriter;
@@ -40,13 +40,13 @@
 
 /** Carries out actions in order, and tells listeners. */
 export class ActionPerformer {
-  readonly #parts: PerformerParts;
+  readonly #dependencies: PerformerDependencies;
   readonly #leaderListeners = new Set<LeaderListener>();
   readonly #appliedListeners = new Set<AppliedListener>();
   readonly #handlers: ActionHandlers;
 
-  constructor(parts: PerformerParts) {
-    this.#parts = parts;
+  constructor(dependencies: PerformerDependencies) {
+    this.#dependencies = dependencies;
     this.#handlers = this.#makeHandlers();
   }
 
@@ -88,12 +88,12 @@
   }
 
   /** @param leader the leader known now */
-  tellLeader(leader: Member | undefined): void {
+  notifyLeaderChange(leader: Member | undefined): void {
     for (const listener of [...this.#leaderListeners]) listener(leader);
   }
 
   #makeHandlers(): ActionHandlers {
-    const {transport, writer, stateMachine, pending} = this.#parts;
+    const {transport, writer, stateMachine, pending} = this.#dependencies;
     return {
       send: ({address, message}) => {
         transport.send(address, message);
@@ -106,17 +106,17 @@
       },
       apply: ({entries}) => {
         for (const entry of entries) this.#apply(entry);
-        this.#tellApplied(entries.at(-1)?.index ?? 0);
+        this.#notifyApplied(entries.at(-1)?.index ?? 0);
       },
       restore: ({snapshot}) => {
         stateMachine.restore(snapshot.data);
-        this.#tellApplied(snapshot.index);
+        this.#notifyApplied(snapshot.index);
       },
       takeSnapshot: ({index}, core) => {
         core.snapshotTaken(index, stateMachine.snapshot());
       },
       leaderChanged: ({leader}) => {
-        this.tellLeader(leader);
+        this.notifyLeaderChange(leader);
       },
       leadershipLost: () => {
         pending.abandonProposals();
@@ -125,7 +125,7 @@
         pending.answerReads(tokens, {kind: 'ok', index});
       },
       readRefused: ({tokens}) => {
-        const leader = this.#parts.leader();
+        const leader = this.#dependencies.leader();
         const outcome = {kind: 'notLeader' as const, ...(leader && {leader})};
         pending.answerReads(tokens, outcome);
       },
@@ -133,7 +133,7 @@
   }
 
   #apply(entry: LogEntry): void {
-    const {stateMachine, pending} = this.#parts;
+    const {stateMachine, pending} = this.#dependencies;
     const isCommand = entry.kind === ENTRY_KIND.COMMAND;
     const result = isCommand
       ? stateMachine.apply(entry.data, entry.index)
@@ -141,7 +141,7 @@
     pending.applied(entry, result);
   }
 
-  #tellApplied(index: number): void {
+  #notifyApplied(index: number): void {
     for (const listener of [...this.#appliedListeners]) listener(index);
   }
 }
--- a/packages/lovagepond-consensus/src/consensus_core.ts
+++ b/packages/lovagepond-consensus/src/consensus_core.ts
@@ -12,7 +12,7 @@
   findMember,
   type MemberChange,
 } from './consensus_members.js';
-import {type CoreParts, MemberState} from './consensus_member_state.js';
+import {type CoreOptions, MemberState} from './consensus_member_state.js';
 import {type ConsensusMessage} from './consensus_messages.js';
 import {type ConsensusAction} from './consensus_outbox.js';
 import {
@@ -29,7 +29,7 @@
  * Silence of the leader after which a member asks to be let in again, in
  * election timeouts: a group that has a majority has a new leader by then.
  */
-const FORGOTTEN_AFTER_TIMEOUTS = 3;
+const REJOIN_AFTER_TIMEOUTS = 3;
 
 /** Where a proposal stands in the log; it is not committed yet. */
 export type Proposal =
@@ -88,11 +88,11 @@
   readonly #roles: CoreRoles;
 
   /**
-   * @param parts what it is built from
+   * @param options what it is built from
    * @param now monotonic milliseconds
    */
-  constructor(parts: CoreParts, now: number) {
-    const state = new MemberState(parts, now);
+  constructor(options: CoreOptions, now: number) {
+    const state = new MemberState(options, now);
     this.#state = state;
     const elector = new Elector(state);
     this.#roles = {state, elector, follower: new Follower(state)};
@@ -113,7 +113,7 @@
     const {replica} = this.#state;
     replica.add(ENTRY_KIND.MEMBERS, encodeMembers(members), 0);
     replica.writeNew();
-    this.#state.hastenElection();
+    this.#state.makeElectionDue();
   }
 
   /** @param now monotonic milliseconds; to be called often */
@@ -210,7 +210,7 @@
     }
     const data = encodeMembers(changed.members);
     const proposal = this.#add(ENTRY_KIND.MEMBERS, data);
-    leadership.membersChanged(now);
+    leadership.updateMembers(now);
     return proposal;
   }
 
@@ -246,8 +246,8 @@
    * @param now monotonic milliseconds
    * @returns time since the other one's last answer; 0 unless this one leads
    */
-  silenceMs(id: MemberId, now: number): number {
-    return this.#state.leadership?.silenceMs(id, now) ?? 0;
+  timeSinceReplyMs(id: MemberId, now: number): number {
+    return this.#state.leadership?.timeSinceReplyMs(id, now) ?? 0;
   }
 
   /**
@@ -257,11 +257,11 @@
    * @param now monotonic milliseconds
    * @returns true when it remembers a group and has long heard no leader
    */
-  isForgotten(now: number): boolean {
-    const {leadership, parts} = this.#state;
+  hasLostLeader(now: number): boolean {
+    const {leadership, options} = this.#state;
     if (this.isBlank || leadership) return false;
-    const limitMs = FORGOTTEN_AFTER_TIMEOUTS * parts.timings.electionTimeoutMs;
-    return this.#state.leaderSilenceMs(now) >= limitMs;
+    const limitMs = REJOIN_AFTER_TIMEOUTS * options.timings.electionTimeoutMs;
+    return this.#state.timeSinceLeaderContactMs(now) >= limitMs;
   }
 
   /** True while this member remembers no group: its storage is empty. */
--- a/packages/lovagepond-consensus/src/consensus_parts.ts
+++ b/packages/lovagepond-consensus/src/consensus_dependencies.ts
@@ -8,7 +8,7 @@
 import {type StateMachine} from './consensus_types.js';
 
 /** What a node is built from. */
-export interface ConsensusParts {
+export interface ConsensusDependencies {
   readonly stateMachine: StateMachine;
   readonly storage: ConsensusStorage;
   /**
--- a/packages/lovagepond-consensus/src/consensus_elector.ts
+++ b/packages/lovagepond-consensus/src/consensus_elector.ts
@@ -107,10 +107,10 @@
    */
   #mayBeElected(): boolean {
     const {id, replica} = this.#state;
-    const {members, formerMembers, membersIndex} = replica.log;
+    const {members, previousMembers, membersIndex} = replica.log;
     if (isVoter(members, id)) return true;
     const isCommitted = membersIndex <= replica.commitIndex;
-    return !isCommitted && isVoter(formerMembers, id);
+    return !isCommitted && isVoter(previousMembers, id);
   }
 
   #countVote(from: MemberId, now: number): void {
--- a/packages/lovagepond-consensus/src/consensus_file_storage.ts
+++ b/packages/lovagepond-consensus/src/consensus_file_storage.ts
@@ -97,7 +97,7 @@
 /** Storage under one folder. */
 export class FileStorage implements ConsensusStorage {
   readonly #disk: Disk;
-  readonly #rewrites: boolean;
+  readonly #rewritesOnOpen: boolean;
   #content: SegmentContent = {
     base: {id: '', index: 0},
     hardState: {term: 0, vote: ''},
@@ -107,18 +107,18 @@
   #segmentNumber = 0;
   #length = 0;
   #syncedLength = 0;
-  #failed = false;
+  #stopped = false;
   /** Calls run one after the other. */
   #queue: Promise<unknown> = Promise.resolve();
 
   /**
    * @param disk path of the folder, or a folder that tests make fail
-   * @param rewrites write the log anew when it is opened: after a failed sync
+   * @param rewritesOnOpen write the log anew when it is opened: after a failed sync
    *     the kernel may show bytes that are not on the disk
    */
-  constructor(disk: string | Disk, rewrites = false) {
+  constructor(disk: string | Disk, rewritesOnOpen = false) {
     this.#disk = typeof disk === 'string' ? new NodeDisk(disk) : disk;
-    this.#rewrites = rewrites;
+    this.#rewritesOnOpen = rewritesOnOpen;
   }
 
   open(): Promise<StoredState> {
@@ -139,8 +139,8 @@
 
   close(): Promise<void> {
     const closing = this.#queue.then(async () => {
-      if (!this.#failed) await this.#seal();
-      this.#failed = true;
+      if (!this.#stopped) await this.#seal();
+      this.#stopped = true;
       await this.#segment?.close();
       this.#segment = undefined;
     });
@@ -155,11 +155,11 @@
    */
   #run<Value>(name: string, call: () => Promise<Value>): Promise<Value> {
     const running = this.#queue.then(async () => {
-      if (this.#failed) throw new StorageError({kind: 'stopped'});
+      if (this.#stopped) throw new StorageError({kind: 'stopped'});
       try {
         return await call();
       } catch (err) {
-        this.#failed = true;
+        this.#stopped = true;
         await this.#segment?.close().catch(() => undefined);
         this.#segment = undefined;
         throw toStorageError(name, 'the data folder', err);
@@ -189,7 +189,7 @@
     }
     if (snapshot && snapshot.index > base.index) {
       await this.#replaceSegment(snapshot);
-    } else if (this.#rewrites) {
+    } else if (this.#rewritesOnOpen) {
       await this.#segment?.close();
       await this.#startSegment();
     }
--- a/packages/lovagepond-consensus/src/consensus_formation.ts
+++ b/packages/lovagepond-consensus/src/consensus_formation.ts
@@ -31,7 +31,7 @@
   readonly observer: boolean;
   isBlank(): boolean;
   /** True when it remembers a group that seems to have forgotten it. */
-  isForgotten(now: number): boolean;
+  hasLostLeader(now: number): boolean;
   isLeading(): boolean;
   members(): MemberList;
   /** True when this host leads and the member answered lately. */
@@ -50,36 +50,36 @@
   | {readonly kind: 'join'; readonly hello: HelloRequest};
 
 /** Round of a wish that a member passed on; a host's own begin with 1. */
-export const PASSED_ON_ROUND = 0;
+export const FORWARDED_ROUND = 0;
 
 /**
  * Time between two introductions of a leader to the hosts that it doesn't hear,
  * milliseconds: short against the second that it takes until all hosts serve
  * again after a stop of all. Some of these hosts may be gone for good.
  */
-const INTRODUCTION_INTERVAL_MS = 100;
+const ANNOUNCEMENT_INTERVAL_MS = 100;
 
 /** Forms or joins a group while there is none that counts this host in. */
 export class Formation {
   readonly #view: FormationView;
   /** The other seeds. */
-  readonly #others: readonly string[];
+  readonly #otherSeeds: readonly string[];
   /** Hosts that said in this round that they remember no group. */
   readonly #blankPeers = new Map<string, Member>();
   /** Addresses of hosts that said that they have no disk. */
   readonly #observers = new Set<string>();
   /** Members that said so, while this host knew of no group. */
-  readonly #introduced = new Set<string>();
+  readonly #announced = new Set<string>();
   #actions: FormationAction[] = [];
   #round = 0;
   #nextHello = -Infinity;
-  #nextIntroduction = -Infinity;
+  #nextAnnouncement = -Infinity;
   #appointed: MemberId | undefined;
 
   /** @param view the member that forms or joins */
   constructor(view: FormationView) {
     this.#view = view;
-    this.#others = view.peers.filter(peer => peer !== view.address);
+    this.#otherSeeds = view.peers.filter(peer => peer !== view.address);
   }
 
   /** @returns the actions collected since the last call */
@@ -93,23 +93,27 @@
    * Members that said that they are there while this host remembers no group:
    * others that ask it can be sent to them.
    */
-  get introducedBy(): readonly string[] {
-    return this.#view.isBlank() ? [...this.#introduced] : [];
+  get announcedMembers(): readonly string[] {
+    return this.#view.isBlank() ? [...this.#announced] : [];
   }
 
   /** @param now monotonic milliseconds */
   tick(now: number): void {
-    if (this.#view.isLeading()) this.#introduce(now);
+    if (this.#view.isLeading()) this.#announce(now);
     const blank = this.#view.isBlank();
-    if (!blank && !this.#view.isForgotten(now)) return;
+    if (!blank && !this.#view.hasLostLeader(now)) return;
     if (now < this.#nextHello) return;
     this.#nextHello = now + this.#view.helloIntervalMs;
     this.#round += 1;
     this.#blankPeers.clear();
     const known = this.#view.members().map(({address}) => address);
-    const asked = new Set([...this.#others, ...this.#introduced, ...known]);
-    asked.delete(this.#view.address);
-    this.#sendHello(asked, {blank, joins: true});
+    const targets = new Set([
+      ...this.#otherSeeds,
+      ...this.#announced,
+      ...known,
+    ]);
+    targets.delete(this.#view.address);
+    this.#sendHello(targets, {blank, joins: true});
     this.#bootstrapWhenAllBlank();
   }
 
@@ -125,7 +129,7 @@
       address: fromAddress,
       message: {kind: 'helloReply', ...reply, observer, appoints},
     });
-    if (blank && !message.blank) this.#introduced.add(fromAddress);
+    if (blank && !message.blank) this.#announced.add(fromAddress);
     if (blank || !message.joins) return;
     this.#actions.push({kind: 'join', hello: message});
   }
@@ -139,11 +143,11 @@
     const member = {id: from, address: fromAddress, voter: true};
     if (observer) this.#observers.add(fromAddress);
     this.#blankPeers.set(fromAddress, member);
-    if (message.appoints && this.#mayFound) this.#bootstrap([]);
+    if (message.appoints && this.#mayFormGroup) this.#bootstrap([]);
     else this.#bootstrapWhenAllBlank();
   }
 
-  get #mayFound(): boolean {
+  get #mayFormGroup(): boolean {
     return this.#view.mayForm && !this.#view.observer;
   }
 
@@ -152,24 +156,24 @@
    * be just such hosts: after a stop of all, those without a disk would ask each
    * other for the group until the leader gave them up.
    */
-  #introduce(now: number): void {
-    if (now < this.#nextIntroduction) return;
-    this.#nextIntroduction = now + INTRODUCTION_INTERVAL_MS;
+  #announce(now: number): void {
+    if (now < this.#nextAnnouncement) return;
+    this.#nextAnnouncement = now + ANNOUNCEMENT_INTERVAL_MS;
     const members = this.#view.members();
-    const heard = members.filter(({id}) => this.#view.isActive(id));
+    const active = members.filter(({id}) => this.#view.isActive(id));
     const known = members.map(({address}) => address);
-    const targets = new Set([...this.#others, ...known]);
-    for (const {address} of heard) targets.delete(address);
+    const targets = new Set([...this.#otherSeeds, ...known]);
+    for (const {address} of active) targets.delete(address);
     this.#sendHello(targets, {blank: false, joins: false});
   }
 
   #sendHello(
     addresses: Iterable<string>,
-    what: Pick<HelloRequest, 'blank' | 'joins'>,
+    flags: Pick<HelloRequest, 'blank' | 'joins'>,
   ): void {
     const {id: from, address: fromAddress, observer} = this.#view;
     const round = this.#round;
-    const hello = {...what, from, fromAddress, observer, round};
+    const hello = {...flags, from, fromAddress, observer, round};
     for (const address of addresses) {
       const message = {kind: 'hello' as const, ...hello};
       this.#actions.push({kind: 'send', address, message});
@@ -184,8 +188,8 @@
     const {address, mayForm, peers} = this.#view;
     if (!mayForm || !blank || observer) return false;
     if (!this.#view.observer || !peers.includes(address)) return false;
-    const isLowest = !this.#others.some(other => other < address);
-    const hasDisk = this.#others.some(other => !this.#observers.has(other));
+    const isLowest = !this.#otherSeeds.some(other => other < address);
+    const hasDisk = this.#otherSeeds.some(other => !this.#observers.has(other));
     if (!isLowest || hasDisk) return false;
     this.#appointed ??= from;
     return this.#appointed === from;
@@ -193,9 +197,9 @@
 
   #bootstrapWhenAllBlank(): void {
     const {address, peers} = this.#view;
-    if (!this.#mayFound || !peers.includes(address)) return;
-    if (!this.#others.every(other => this.#blankPeers.has(other))) return;
-    const seeds = this.#others.filter(other => !this.#observers.has(other));
+    if (!this.#mayFormGroup || !peers.includes(address)) return;
+    if (!this.#otherSeeds.every(other => this.#blankPeers.has(other))) return;
+    const seeds = this.#otherSeeds.filter(other => !this.#observers.has(other));
     if (seeds.some(other => other < address)) return;
     this.#bootstrap(seeds.flatMap(seed => this.#blankPeers.get(seed) ?? []));
   }
--- a/packages/lovagepond-consensus/src/consensus_formation_performer.ts
+++ b/packages/lovagepond-consensus/src/consensus_formation_performer.ts
@@ -4,7 +4,7 @@
 import {
   type Formation,
   type FormationAction,
-  PASSED_ON_ROUND,
+  FORWARDED_ROUND,
 } from './consensus_formation.js';
 import {type JoiningHost} from './consensus_member_replacement.js';
 import {
@@ -19,7 +19,7 @@
 } from './consensus_types.js';
 
 /** What the performer calls. */
-export interface FormationPerformerParts {
+export interface FormationPerformerDependencies {
   send(address: string, message: FormationMessage): void;
   status(): ConsensusStatus;
   bootstrap(members: MemberList): void;
@@ -35,22 +35,22 @@
 
 /** Performs formation's actions. */
 export class FormationPerformer {
-  readonly #parts: FormationPerformerParts;
+  readonly #dependencies: FormationPerformerDependencies;
   readonly #handlers: Handlers = {
     send: ({address, message}) => {
-      this.#parts.send(address, message);
+      this.#dependencies.send(address, message);
     },
     bootstrap: ({members}) => {
-      this.#parts.bootstrap(members);
+      this.#dependencies.bootstrap(members);
     },
     join: ({hello}) => {
       this.#join(hello);
     },
   };
 
-  /** @param parts what it calls */
-  constructor(parts: FormationPerformerParts) {
-    this.#parts = parts;
+  /** @param dependencies what it calls */
+  constructor(dependencies: FormationPerformerDependencies) {
+    this.#dependencies = dependencies;
   }
 
   /** @param formation whose collected actions are performed */
@@ -64,12 +64,12 @@
   }
 
   #join(hello: HelloRequest): void {
-    const {role, leader} = this.#parts.status();
+    const {role, leader} = this.#dependencies.status();
     const {from: id, fromAddress: address, blank, observer} = hello;
-    const isPassedOn = hello.round === PASSED_ON_ROUND;
+    const isForwarded = hello.round === FORWARDED_ROUND;
     if (role === MEMBER_ROLE.LEADER) {
-      this.#parts.join({id, address, blank, observer});
-    } else if (leader && !isPassedOn) this.#passOn(hello, leader);
+      this.#dependencies.join({id, address, blank, observer});
+    } else if (leader && !isForwarded) this.#forward(hello, leader);
   }
 
   /**
@@ -77,7 +77,7 @@
    * them: it would wait for good, the lost voter would stay counted, and the
    * next loss would leave the group without a majority.
    */
-  #passOn(hello: HelloRequest, leader: Member): void {
-    this.#parts.send(leader.address, {...hello, round: PASSED_ON_ROUND});
+  #forward(hello: HelloRequest, leader: Member): void {
+    this.#dependencies.send(leader.address, {...hello, round: FORWARDED_ROUND});
   }
 }
--- a/packages/lovagepond-consensus/src/consensus_leadership.ts
+++ b/packages/lovagepond-consensus/src/consensus_leadership.ts
@@ -58,7 +58,7 @@
     this.#view = view;
     this.#rounds = new ConfirmationRounds(view.timings, now);
     this.#termStart = view.replica.log.lastIndex + 1;
-    this.membersChanged(now);
+    this.updateMembers(now);
   }
 
   /** True once an entry of the own term is committed. */
@@ -71,7 +71,7 @@
    *
    * @param now monotonic milliseconds
    */
-  membersChanged(now: number): void {
+  updateMembers(now: number): void {
     const {replica, id} = this.#view;
     const {log} = replica;
     for (const member of log.members) {
@@ -89,7 +89,7 @@
    * @returns false when this member must stop leading
    */
   tick(now: number): boolean {
-    this.#rounds.noteTick(now);
+    this.#rounds.recordTick(now);
     if (this.#rounds.isHeartbeatDue(now)) this.#startRound(now);
     return !this.#rounds.hasLostMajority(now);
   }
@@ -136,8 +136,8 @@
    */
   isActive(id: MemberId, now: number): boolean {
     if (id === this.#view.id) return true;
-    const heardAt = this.#progress.get(id)?.heardAt ?? -Infinity;
-    return now - heardAt < this.#view.timings.electionTimeoutMs;
+    const lastReplyAt = this.#progress.get(id)?.lastReplyAt ?? -Infinity;
+    return now - lastReplyAt < this.#view.timings.electionTimeoutMs;
   }
 
   /**
@@ -145,10 +145,10 @@
    * @param now monotonic milliseconds
    * @returns time since its last answer, or since it was first followed
    */
-  silenceMs(id: MemberId, now: number): number {
+  timeSinceReplyMs(id: MemberId, now: number): number {
     const progress = this.#progress.get(id);
     if (!progress) return 0;
-    return now - (progress.heardAt ?? progress.since);
+    return now - (progress.lastReplyAt ?? progress.trackedSince);
   }
 
   /** See {@link ConfirmationRounds.addRead}. */
@@ -175,7 +175,7 @@
   receiveAppendReply(message: AppendReply, now: number): void {
     const progress = this.#progress.get(message.from);
     if (!progress) return;
-    progress.heardAt = now;
+    progress.lastReplyAt = now;
     this.#acknowledge(progress, message.round);
     if (message.success) {
       progress.accepted(message.matchIndex, now);
@@ -191,14 +191,14 @@
   receiveSnapshotReply(message: SnapshotReply, now: number): void {
     const progress = this.#progress.get(message.from);
     if (!progress) return;
-    progress.heardAt = now;
+    progress.lastReplyAt = now;
     this.#acknowledge(progress, message.round);
     if (message.installed) {
       progress.accepted(message.snapshotIndex, now);
       return;
     }
     if (progress.transfer?.snapshot.index !== message.snapshotIndex) return;
-    progress.receivedPart(message.nextOffset, now);
+    progress.receivedChunk(message.nextOffset, now);
   }
 
   #acknowledge(progress: FollowerProgress, round: number): void {
@@ -223,10 +223,10 @@
     this.#rounds.start(now);
     const {replica, id} = this.#view;
     const {log} = replica;
-    const alone = majorityValue(log.members, member =>
+    const ownRound = majorityValue(log.members, member =>
       member === id ? this.#rounds.current : 0,
     );
-    this.#rounds.confirm(alone);
+    this.#rounds.confirm(ownRound);
     for (const member of this.#followers()) {
       if (this.#isHeartbeatDueTo(member)) this.#sendHeartbeat(member, now);
     }
@@ -246,7 +246,7 @@
     // follower may be down for long, and with each heartbeat, all that it lacks
     // would fill the links (0.37 GB between availability zones in a minute of
     // some thirty changes, where 0.02 are usual).
-    if (progress.transfer) this.#sendPart(member, progress.transfer, 0);
+    if (progress.transfer) this.#sendChunk(member, progress.transfer, 0);
     else this.#probe(member, progress, now);
   }
 
@@ -257,7 +257,7 @@
     while (progress.hasRoom(timings.maxInflightAppends)) {
       const isReplicating = progress.mode === PROGRESS_MODE.REPLICATE;
       if (isReplicating && progress.next > replica.log.lastIndex) return;
-      if (progress.transfer) this.#sendNextPart(member, progress, now);
+      if (progress.transfer) this.#sendNextChunk(member, progress, now);
       else if (isReplicating) this.#sendAppend(member, progress, now);
       else this.#sendProbe(member, progress, now);
     }
@@ -316,19 +316,23 @@
     const {snapshot} = this.#view.replica;
     invariant(snapshot !== undefined, 109, 'compacted without a snapshot');
     progress.startTransfer(snapshot);
-    this.#sendNextPart(member, progress, now);
+    this.#sendNextChunk(member, progress, now);
   }
 
-  #sendNextPart(member: Member, progress: FollowerProgress, now: number): void {
+  #sendNextChunk(
+    member: Member,
+    progress: FollowerProgress,
+    now: number,
+  ): void {
     const {transfer} = progress;
     if (!transfer) return;
-    progress.sentPart(now);
+    progress.sentChunk(now);
     const {snapshotChunkBytes} = this.#view.timings;
-    this.#sendPart(member, transfer, snapshotChunkBytes);
+    this.#sendChunk(member, transfer, snapshotChunkBytes);
   }
 
   /** Without bytes, it asks how much of the snapshot has arrived. */
-  #sendPart(member: Member, transfer: SnapshotTransfer, bytes: number): void {
+  #sendChunk(member: Member, transfer: SnapshotTransfer, bytes: number): void {
     const {snapshot, offset} = transfer;
     this.#view.outbox.send(member.address, {
       ...this.#envelope(member),
--- a/packages/lovagepond-consensus/src/consensus_log.ts
+++ b/packages/lovagepond-consensus/src/consensus_log.ts
@@ -55,7 +55,7 @@
   }
 
   /** The member list before the one in force; empty when not in the log. */
-  get formerMembers(): MemberList {
+  get previousMembers(): MemberList {
     return this.#lists.at(-2)?.members ?? [];
   }
 
--- a/packages/lovagepond-consensus/src/consensus_member_removal.ts
+++ b/packages/lovagepond-consensus/src/consensus_member_removal.ts
@@ -29,7 +29,7 @@
 export interface RemovalView {
   readonly members: MemberList;
   /** @returns time since a member's last answer, milliseconds */
-  silenceMs(id: MemberId): number;
+  timeSinceReplyMs(id: MemberId): number;
   /** Undefined where voters are taken off by operators only. */
   readonly toleratedLosses: number | undefined;
 }
@@ -44,11 +44,11 @@
   let longest: MemberId | undefined;
   let longestMs = 0;
   for (const {id, voter} of view.members) {
-    const silenceMs = view.silenceMs(id);
+    const timeSinceReplyMs = view.timeSinceReplyMs(id);
     const limitMs = voter ? voterLimitMs : LOST_AFTER_MS;
-    if (silenceMs < limitMs || silenceMs <= longestMs) continue;
+    if (timeSinceReplyMs < limitMs || timeSinceReplyMs <= longestMs) continue;
     longest = id;
-    longestMs = silenceMs;
+    longestMs = timeSinceReplyMs;
   }
   return longest;
 }
--- a/packages/lovagepond-consensus/src/consensus_member_replacement.ts
+++ b/packages/lovagepond-consensus/src/consensus_member_replacement.ts
@@ -20,7 +20,7 @@
   isCaughtUp(id: MemberId): boolean;
   isActive(id: MemberId): boolean;
   /** Time since a member's last answer, milliseconds. */
-  silenceMs(id: MemberId): number;
+  timeSinceReplyMs(id: MemberId): number;
   /** See {@link ConsensusSettings.toleratedLosses}. */
   readonly toleratedLosses: number | undefined;
   /** Hosts at new addresses take the places of lost voters. */
@@ -117,20 +117,20 @@
     if (!this.#mayJoin(host)) return;
     const others = members.filter(member => member.id !== id);
     if (findMember(members, id)?.voter) {
-      this.#removeFormer(others, host);
+      this.#removePredecessor(others, host);
       return;
     }
-    const old = this.#findFormer(others, host);
-    if (!observer && !old && this.#awaitsCertainty(others)) return;
-    this.#holdWhile(id, () =>
+    const predecessor = this.#findPredecessor(others, host);
+    if (!observer && !predecessor && this.#hasUnresponsiveVoter(others)) return;
+    this.#runExclusively(id, () =>
       observer
-        ? this.#admitObserver(old?.id, host)
-        : this.start(old?.id, id, address),
+        ? this.#admitObserver(predecessor?.id, host)
+        : this.start(predecessor?.id, id, address),
     );
   }
 
   /** No other host is let in until the work for this one has ended. */
-  #holdWhile(id: MemberId, work: () => Promise<unknown>): void {
+  #runExclusively(id: MemberId, work: () => Promise<unknown>): void {
     this.#joining.add(id);
     void work().finally(() => {
       this.#joining.delete(id);
@@ -142,10 +142,12 @@
    * taken off the identity that its address had. That one can't come back, and as
    * a voter it would count against every majority.
    */
-  #removeFormer(others: MemberList, {id, address}: JoiningHost): void {
-    const former = findAt(others, address);
-    if (!former) return;
-    this.#holdWhile(id, () => this.#change({kind: 'remove', id: former.id}));
+  #removePredecessor(others: MemberList, {id, address}: JoiningHost): void {
+    const predecessor = findAt(others, address);
+    if (!predecessor) return;
+    this.#runExclusively(id, () =>
+      this.#change({kind: 'remove', id: predecessor.id}),
+    );
   }
 
   async #admitObserver(
@@ -163,19 +165,20 @@
    * else each lost host would raise the majority needed for good, until the
    * hosts that are left can't make one.
    */
-  #findFormer(
+  #findPredecessor(
     others: MemberList,
     {address, observer}: JoiningHost,
   ): Member | undefined {
-    const former = findAt(others, address);
-    if (former || observer || !this.#view.openMembership) return former;
+    const member = findAt(others, address);
+    if (member || observer || !this.#view.openMembership) return member;
     return others.find(
-      ({id, voter}) => voter && this.#view.silenceMs(id) >= LOST_AFTER_MS,
+      ({id, voter}) =>
+        voter && this.#view.timeSinceReplyMs(id) >= LOST_AFTER_MS,
     );
   }
 
   /** Whether a silent voter is lost shows soon: the newcomer waits so long. */
-  #awaitsCertainty(others: MemberList): boolean {
+  #hasUnresponsiveVoter(others: MemberList): boolean {
     if (!this.#view.openMembership) return false;
     return others.some(({id, voter}) => voter && !this.#view.isActive(id));
   }
@@ -187,9 +190,9 @@
     const unfinished = members.find(
       (member, at) => isLearner(member) || isSuccessor(members, member, at),
     );
-    if (unfinished) this.#goOn(unfinished);
-    if (isLeading) this.#removeSilent(members);
-    this.#settle(
+    if (unfinished) this.#resumeReplacement(unfinished);
+    if (isLeading) this.#removeUnresponsive(members);
+    this.#resolveWaiters(
       ({id}) =>
         !isLeading ||
         this.#view.isCaughtUp(id) ||
@@ -198,7 +201,7 @@
     this.#resumeTickWaiters();
   }
 
-  #goOn({id, address, observer}: Member): void {
+  #resumeReplacement({id, address, observer}: Member): void {
     this.join({id, address, blank: true, observer: observer ?? false});
   }
 
@@ -211,18 +214,18 @@
     return this.#view.mayJoin(address);
   }
 
-  #removeSilent(members: MemberList): void {
+  #removeUnresponsive(members: MemberList): void {
     const id = chooseRemoval({...this.#view, members});
     if (id !== undefined) void this.#view.change({kind: 'remove', id});
   }
 
   /** Gives up what is under way. */
   stop(): void {
-    this.#settle(() => true);
+    this.#resolveWaiters(() => true);
     this.#resumeTickWaiters();
   }
 
-  #settle(isDone: (waiter: Waiter) => boolean): void {
+  #resolveWaiters(isDone: (waiter: Waiter) => boolean): void {
     const done = this.#waiters.filter(isDone);
     this.#waiters = this.#waiters.filter(waiter => !done.includes(waiter));
     for (const {id, resolve} of done) resolve(this.#view.isCaughtUp(id));
--- a/packages/lovagepond-consensus/src/consensus_member_state.ts
+++ b/packages/lovagepond-consensus/src/consensus_member_state.ts
@@ -18,7 +18,7 @@
 } from './consensus_types.js';
 
 /** What a member is built from. */
-export interface CoreParts {
+export interface CoreOptions {
   readonly stored: StoredState;
   readonly address: string;
   readonly timings: ConsensusTimings;
@@ -27,7 +27,7 @@
    * After this time no former life of the member promised anything, monotonic
    * milliseconds; by default up to now.
    */
-  readonly silentSince?: number;
+  readonly previousRunEndedBy?: number;
 }
 
 type WithoutEnvelope<Message> = Message extends ConsensusMessage
@@ -40,7 +40,7 @@
  * were stopped, the first one up asks in vain, and would ask again only when the
  * others have long been up.
  */
-const PRE_VOTE_RETRY_PART = 0.5;
+const PRE_VOTE_RETRY_FRACTION = 0.5;
 
 /** A message without its envelope. */
 export type MessageBody = WithoutEnvelope<ConsensusMessage>;
@@ -48,7 +48,7 @@
 /** Term, role and promises of one member. */
 export class MemberState {
   readonly id: MemberId;
-  readonly parts: CoreParts;
+  readonly options: CoreOptions;
   readonly outbox = new Outbox();
   readonly replica: Replica;
   #term: number;
@@ -60,12 +60,12 @@
   #electionDue = 0;
 
   /**
-   * @param parts what the member is built from
+   * @param options what the member is built from
    * @param now monotonic milliseconds
    */
-  constructor(parts: CoreParts, now: number) {
-    const {stored, timings} = parts;
-    this.parts = parts;
+  constructor(options: CoreOptions, now: number) {
+    const {stored, timings} = options;
+    this.options = options;
     this.id = stored.id;
     this.replica = new Replica(stored, timings, this.outbox);
     this.#term = stored.hardState.term;
@@ -75,7 +75,7 @@
     // short. That holds for a sole voter too: the leader that is removing itself
     // still leads. Counted from when the process was there and not from when
     // this member was ready, most of the promise is over by then.
-    this.#leaderContact = parts.silentSince ?? now;
+    this.#leaderContact = options.previousRunEndedBy ?? now;
     this.#electionDue = now + this.#firstTimeout(now);
   }
 
@@ -121,7 +121,7 @@
    * @returns true while this member may vote for nobody else
    */
   isBoundToLeader(now: number): boolean {
-    const {electionTimeoutMs} = this.parts.timings;
+    const {electionTimeoutMs} = this.options.timings;
     const isLeading = this.#leadership !== undefined;
     return isLeading || now - this.#leaderContact < electionTimeoutMs;
   }
@@ -141,7 +141,7 @@
    * @param now monotonic milliseconds
    * @returns time since a leader's last message, or since the start
    */
-  leaderSilenceMs(now: number): number {
+  timeSinceLeaderContactMs(now: number): number {
     return now - this.#leaderContact;
   }
 
@@ -151,7 +151,7 @@
   }
 
   /** Tries to be elected now, without waiting for the timeout. */
-  hastenElection(): void {
+  makeElectionDue(): void {
     this.#electionDue = -Infinity;
   }
 
@@ -180,7 +180,7 @@
   becomePreCandidate(now: number): void {
     this.#role = MEMBER_ROLE.PRE_CANDIDATE;
     this.#setLeader(undefined);
-    this.#electionDue = now + this.#drawTimeout() * PRE_VOTE_RETRY_PART;
+    this.#electionDue = now + this.#drawTimeout() * PRE_VOTE_RETRY_FRACTION;
   }
 
   /** Starts a term of its own, with its own vote. */
@@ -193,7 +193,7 @@
   /** @param now monotonic milliseconds */
   becomeLeader(now: number): void {
     const {id, outbox, replica} = this;
-    const {address, timings} = this.parts;
+    const {address, timings} = this.options;
     this.#role = MEMBER_ROLE.LEADER;
     const term = this.#term;
     const view = {id, address, term, timings, outbox, replica};
@@ -242,7 +242,7 @@
    * @returns the message in its envelope
    */
   envelop(body: MessageBody, to: MemberId): ConsensusMessage {
-    const {address} = this.parts;
+    const {address} = this.options;
     const head = {from: this.id, fromAddress: address, to, term: this.#term};
     return {...body, ...head};
   }
@@ -274,15 +274,15 @@
 
   /** All members may start at once, and must not ask at the same moment. */
   #firstTimeout(now: number): number {
-    const {timings, random} = this.parts;
+    const {timings, random} = this.options;
     const {electionTimeoutMs} = timings;
-    const boundMs = electionTimeoutMs - this.leaderSilenceMs(now);
+    const boundMs = electionTimeoutMs - this.timeSinceLeaderContactMs(now);
     return Math.max(0, boundMs) + electionTimeoutMs * random.next();
   }
 
   /** Drawn anew each time, so that members don't ask at the same moment. */
   #drawTimeout(): number {
-    const {timings, random} = this.parts;
+    const {timings, random} = this.options;
     return timings.electionTimeoutMs * (1 + random.next());
   }
 }
--- a/packages/lovagepond-consensus/src/consensus_node.ts
+++ b/packages/lovagepond-consensus/src/consensus_node.ts
@@ -9,13 +9,13 @@
   type LeaderListener,
 } from './consensus_action_performer.js';
 import {ConsensusCore, type Proposal} from './consensus_core.js';
-import {BeliefLog} from './consensus_belief_log.js';
+import {StatusLog} from './consensus_status_log.js';
 import {Formation} from './consensus_formation.js';
 import {FormationPerformer} from './consensus_formation_performer.js';
 import {type MemberChange} from './consensus_members.js';
 import {MemberReplacement} from './consensus_member_replacement.js';
 import {type TransportMessage} from './consensus_messages.js';
-import {type ConsensusParts} from './consensus_parts.js';
+import {type ConsensusDependencies} from './consensus_dependencies.js';
 import {PendingCalls} from './consensus_pending.js';
 import {StorageWriter} from './consensus_storage_writer.js';
 import {type ConsensusStorage} from './consensus_storage.js';
@@ -62,13 +62,13 @@
 /** One member of the group. */
 export class ConsensusNode {
   readonly #settings: ConsensusSettings;
-  readonly #parts: ConsensusParts;
+  readonly #dependencies: ConsensusDependencies;
   readonly #pending = new PendingCalls();
   readonly #writer: StorageWriter;
   readonly #performer: ActionPerformer;
   readonly #replacement: MemberReplacement;
   readonly #formationPerformer: FormationPerformer;
-  readonly #beliefs: BeliefLog;
+  readonly #statusLog: StatusLog;
   #core: ConsensusCore | undefined;
   #formation: Formation | undefined;
   #timer: NodeJS.Timeout | undefined;
@@ -79,16 +79,19 @@
   #reopenTimer: NodeJS.Timeout | undefined;
   #flushScheduled = false;
   /** See {@link CoreParts.silentSince}. */
-  #silentSince: number | undefined;
+  #previousRunEndedBy: number | undefined;
 
-  constructor(settings: ConsensusSettings, parts: ConsensusParts) {
+  constructor(
+    settings: ConsensusSettings,
+    dependencies: ConsensusDependencies,
+  ) {
     this.#settings = settings;
-    this.#parts = parts;
-    this.#storage = parts.storage;
-    this.#silentSince = parts.processStartedAt;
-    this.#emptyState = parts.stateMachine.snapshot();
-    this.#beliefs = new BeliefLog(parts.log);
-    this.#writer = new StorageWriter(parts.storage, {
+    this.#dependencies = dependencies;
+    this.#storage = dependencies.storage;
+    this.#previousRunEndedBy = dependencies.processStartedAt;
+    this.#emptyState = dependencies.stateMachine.snapshot();
+    this.#statusLog = new StatusLog(dependencies.log);
+    this.#writer = new StorageWriter(dependencies.storage, {
       onStored: id => {
         this.#run(core => {
           core.stored(id, this.#now());
@@ -99,7 +102,7 @@
       },
     });
     this.#performer = new ActionPerformer({
-      ...parts,
+      ...dependencies,
       writer: this.#writer,
       pending: this.#pending,
       leader: () => this.status().leader,
@@ -109,7 +112,8 @@
       status: () => this.status(),
       isCaughtUp: id => this.#core?.isCaughtUp(id) ?? false,
       isActive: id => this.#core?.isActive(id, this.#now()) ?? false,
-      silenceMs: id => this.#core?.silenceMs(id, this.#now()) ?? 0,
+      timeSinceReplyMs: id =>
+        this.#core?.timeSinceReplyMs(id, this.#now()) ?? 0,
       openMembership: settings.openMembership ?? false,
       toleratedLosses: settings.toleratedLosses,
       mayJoin: address => {
@@ -119,7 +123,7 @@
     });
     this.#formationPerformer = new FormationPerformer({
       send: (address, message) => {
-        parts.transport.send(address, message);
+        dependencies.transport.send(address, message);
       },
       status: () => this.status(),
       bootstrap: members => {
@@ -140,18 +144,18 @@
    * @throws StorageError when the stored state is damaged
    */
   async start(): Promise<void> {
-    const {transport, random} = this.#parts;
+    const {transport, random} = this.#dependencies;
     const {address, peers, timings} = this.#settings;
     const stored = await this.#storage.open();
-    const silentSince = this.#silentSince;
-    const parts = {
+    const previousRunEndedBy = this.#previousRunEndedBy;
+    const options = {
       stored,
       address,
       timings,
       random,
-      ...(silentSince !== undefined && {silentSince}),
+      ...(previousRunEndedBy !== undefined && {previousRunEndedBy}),
     };
-    const core = new ConsensusCore(parts, this.#now());
+    const core = new ConsensusCore(options, this.#now());
     this.#core = core;
     this.#formation = new Formation({
       id: stored.id,
@@ -161,7 +165,7 @@
       observer: this.#settings.observer ?? false,
       helloIntervalMs: timings.electionTimeoutMs * HELLO_INTERVAL_TIMEOUTS,
       isBlank: () => core.isBlank,
-      isForgotten: now => core.isForgotten(now),
+      hasLostLeader: now => core.hasLostLeader(now),
       isLeading: () => this.status().role === MEMBER_ROLE.LEADER,
       members: () => this.status().members,
       isActive: id => core.isActive(id, this.#now()),
@@ -188,7 +192,7 @@
    * @returns what became of it
    */
   propose(command: Uint8Array): Promise<ProposeOutcome> {
-    return this.#await(this.#core?.propose(command));
+    return this.#awaitProposal(this.#core?.propose(command));
   }
 
   /**
@@ -210,8 +214,8 @@
   }
 
   /** @returns members that this host could send others to, while it is none */
-  introducedBy(): readonly string[] {
-    return this.#formation?.introducedBy ?? [];
+  announcedMembers(): readonly string[] {
+    return this.#formation?.announcedMembers ?? [];
   }
 
   /**
@@ -278,7 +282,7 @@
   }
 
   #now(): number {
-    return this.#parts.clock.now();
+    return this.#dependencies.clock.now();
   }
 
   #tick(): void {
@@ -310,10 +314,10 @@
   #change(change: MemberChange): Promise<ChangeOutcome> {
     const proposal = this.#core?.changeMembers(change, this.#now());
     if (proposal?.kind === 'refused') return Promise.resolve(proposal);
-    return this.#await(proposal);
+    return this.#awaitProposal(proposal);
   }
 
-  #await(proposal: Proposal | undefined): Promise<ProposeOutcome> {
+  #awaitProposal(proposal: Proposal | undefined): Promise<ProposeOutcome> {
     if (proposal?.kind !== 'added') {
       const {leader} = this.status();
       return Promise.resolve({kind: 'notLeader', ...(leader && {leader})});
@@ -340,7 +344,7 @@
     try {
       step(core);
       this.#performer.perform(core);
-      this.#beliefs.note(core.status(this.#now()));
+      this.#statusLog.update(core.status(this.#now()));
     } catch (err) {
       this.#fail(err);
     }
@@ -353,9 +357,9 @@
   #fail(err: unknown): void {
     if (!this.#core) return;
     const failure = err instanceof Error ? err.message : String(err);
-    this.#parts.log.error('consensus has stopped', {failure});
+    this.#dependencies.log.error('consensus has stopped', {failure});
     this.#halt(failure);
-    if (this.#parts.reopenStorage && !isDamage(err)) this.#reopenLater();
+    if (this.#dependencies.reopenStorage && !isDamage(err)) this.#reopenLater();
   }
 
   #reopenLater(): void {
@@ -371,7 +375,7 @@
    * a member for good, and the next loss its majority.
    */
   async #reopen(): Promise<void> {
-    const {reopenStorage, stateMachine, log} = this.#parts;
+    const {reopenStorage, stateMachine, log} = this.#dependencies;
     if (!reopenStorage) return;
     await this.#storage.close().catch(() => undefined);
     this.#storage = reopenStorage();
@@ -396,11 +400,11 @@
     this.#unregister();
     this.#writer.stop();
     this.#core = undefined;
-    this.#silentSince = this.#now();
+    this.#previousRunEndedBy = this.#now();
     this.#formation = undefined;
     this.#pending.abandonProposals();
     this.#pending.refuseAllReads();
     this.#replacement.stop();
-    this.#performer.tellLeader(undefined);
+    this.#performer.notifyLeaderChange(undefined);
   }
 }
--- a/packages/lovagepond-consensus/src/consensus_progress.ts
+++ b/packages/lovagepond-consensus/src/consensus_progress.ts
@@ -36,7 +36,7 @@
  * and everything is sent again: a member that returns with an empty disk would
  * receive its log many times over. What is this short arrives in order.
  */
-const UNORDERED_BYTES = 16 * 1024;
+const MAX_INFLIGHT_BYTES = 16 * 1024;
 
 /**
  * Time after which a follower that answers, and hasn't got what was sent, is
@@ -55,25 +55,25 @@
   /** The last confirmation round that the follower answered. */
   ackedRound = 0;
   /** When it last answered, monotonic milliseconds; undefined before. */
-  heardAt: number | undefined;
+  lastReplyAt: number | undefined;
   mode: ProgressMode = PROGRESS_MODE.PROBE;
   transfer: SnapshotTransfer | undefined;
   /** A message is under way for which the leader waits. */
   waiting = false;
   #inflight: readonly InflightAppend[] = [];
   /** When the last part of a snapshot left, monotonic milliseconds. */
-  #partSentAt = 0;
+  #chunkSentAt = 0;
 
   /** When the leader began to follow it, monotonic milliseconds. */
-  readonly since: number;
+  readonly trackedSince: number;
 
   /**
    * @param next the index to try first
-   * @param since present time, monotonic milliseconds
+   * @param trackedSince present time, monotonic milliseconds
    */
-  constructor(next: number, since: number) {
+  constructor(next: number, trackedSince: number) {
     this.next = next;
-    this.since = since;
+    this.trackedSince = trackedSince;
   }
 
   /**
@@ -83,7 +83,7 @@
   hasRoom(limit: number): boolean {
     if (this.mode !== PROGRESS_MODE.REPLICATE) return !this.waiting;
     const bytes = this.#inflight.reduce((sum, {bytes}) => sum + bytes, 0);
-    return this.#inflight.length < limit && bytes < UNORDERED_BYTES;
+    return this.#inflight.length < limit && bytes < MAX_INFLIGHT_BYTES;
   }
 
   /**
@@ -105,9 +105,9 @@
   }
 
   /** @param now monotonic milliseconds; a part of a snapshot leaves */
-  sentPart(now: number): void {
+  sentChunk(now: number): void {
     this.waiting = true;
-    this.#partSentAt = now;
+    this.#chunkSentAt = now;
   }
 
   /**
@@ -161,7 +161,7 @@
    * @param nextOffset how much of the snapshot the follower has
    * @param now monotonic milliseconds
    */
-  receivedPart(nextOffset: number, now: number): void {
+  receivedChunk(nextOffset: number, now: number): void {
     const {transfer} = this;
     if (!transfer) return;
     // With all bytes received, the follower only has to sync.
@@ -169,7 +169,7 @@
     const hasMore = nextOffset > transfer.offset;
     // An earlier answer, or one to a heartbeat that overtook the part, says
     // nothing of what is under way.
-    if (!hasMore && now - this.#partSentAt < RESEND_AFTER_MS) return;
+    if (!hasMore && now - this.#chunkSentAt < RESEND_AFTER_MS) return;
     transfer.offset = nextOffset;
     this.waiting = false;
   }
--- a/packages/lovagepond-consensus/src/consensus_replica.ts
+++ b/packages/lovagepond-consensus/src/consensus_replica.ts
@@ -105,8 +105,8 @@
   receive(message: AppendRequest): AppendResult {
     const {prevIndex, prevTerm, entries} = message;
     const committed = this.#commitIndex;
-    const knowsPrev = prevIndex <= committed;
-    if (!knowsPrev && this.log.termAt(prevIndex) !== prevTerm) {
+    const isPrevCommitted = prevIndex <= committed;
+    if (!isPrevCommitted && this.log.termAt(prevIndex) !== prevTerm) {
       return {accepted: false, hintIndex: this.#hintBefore(prevIndex)};
     }
     const firstNew = entries.find(
--- a/packages/lovagepond-consensus/src/consensus_rounds.ts
+++ b/packages/lovagepond-consensus/src/consensus_rounds.ts
@@ -37,7 +37,7 @@
  * A leader whose own loop stood still for longer than this part of an election
  * timeout may have its followers' answers unread before it.
  */
-const STALL_PART = 0.4;
+const STALL_FRACTION = 0.4;
 
 /** The rounds of one leader in one term, and the reads that wait for them. */
 export class ConfirmationRounds {
@@ -68,11 +68,11 @@
    *
    * @param now monotonic milliseconds; to be called with each tick
    */
-  noteTick(now: number): void {
+  recordTick(now: number): void {
     const stallMs = now - this.#tickedAt;
     this.#tickedAt = now;
     const {electionTimeoutMs} = this.#timings;
-    if (stallMs < electionTimeoutMs * STALL_PART) return;
+    if (stallMs < electionTimeoutMs * STALL_FRACTION) return;
     if (this.#stalledRound === this.#confirmed) return;
     this.#stalledRound = this.#confirmed;
     this.#stalledUntil = now;
--- a/packages/lovagepond-consensus/src/consensus_belief_log.ts
+++ b/packages/lovagepond-consensus/src/consensus_status_log.ts
@@ -18,7 +18,7 @@
 }
 
 /** Follows one member. */
-export class BeliefLog {
+export class StatusLog {
   readonly #log: Logger;
   #members: MemberList | undefined;
   #role: MemberRole | undefined;
@@ -30,11 +30,11 @@
   }
 
   /** @param status what the member knows now */
-  note(status: ConsensusStatus): void {
+  update(status: ConsensusStatus): void {
     const {id, role, term, members, lastIndex, commitIndex} = status;
-    const isKnown =
+    const isUnchanged =
       role === this.#role && term === this.#term && members === this.#members;
-    if (isKnown) return;
+    if (isUnchanged) return;
     this.#role = role;
     this.#term = term;
     this.#members = members;
--- a/packages/lovagepond-consensus/src/index.ts
+++ b/packages/lovagepond-consensus/src/index.ts
@@ -2,7 +2,7 @@
   type AppliedListener,
   type LeaderListener,
 } from './consensus_action_performer.js';
-export {type CoreParts} from './consensus_member_state.js';
+export {type CoreOptions} from './consensus_member_state.js';
 export {ConsensusCore, type Proposal} from './consensus_core.js';
 export {type Disk, type DiskFile, NodeDisk} from './consensus_disk.js';
 export {FileStorage} from './consensus_file_storage.js';
@@ -23,7 +23,7 @@
   type VoteRequest,
 } from './consensus_messages.js';
 export {ConsensusNode} from './consensus_node.js';
-export {type ConsensusParts} from './consensus_parts.js';
+export {type ConsensusDependencies} from './consensus_dependencies.js';
 export {type ConsensusAction} from './consensus_outbox.js';
 export {
   type ConsensusStorage,
--- a/packages/lovagepond-control/src/__tests__/unit/leader_take_over.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/leader_take_over.test.ts
@@ -37,7 +37,7 @@
   const node = {
     status: () => ({...status, ...more}),
     onLeaderChange: () => () => undefined,
-    introducedBy: () => ['introducer:1'],
+    announcedMembers: () => ['introducer:1'],
     readBarrier: () => new Promise(() => undefined),
   } as unknown as ConsensusNode;
   const machine = new ControlStateMachine(CONTROL_DEFAULTS, CLOCK.now);
--- a/packages/lovagepond-control/src/member_addresses.ts
+++ b/packages/lovagepond-control/src/member_addresses.ts
@@ -20,5 +20,5 @@
 export function listMembersWithLog(node: ConsensusNode): readonly string[] {
   const {commitIndex, leader, role} = node.status();
   if (commitIndex > 0 || role === MEMBER_ROLE.LEADER) return [];
-  return leader ? [leader.address] : node.introducedBy();
+  return leader ? [leader.address] : node.announcedMembers();
 }
--- a/packages/lovagepond-measure/src/consensus_failover_measure.ts
+++ b/packages/lovagepond-measure/src/consensus_failover_measure.ts
@@ -93,16 +93,22 @@
     for (const {id, address} of members) {
       const startedAt = this.time.now + this.#random.next() * START_SPREAD_MS;
       this.time.at(startedAt + START_MS, () => {
-        const silentSince = knowsStart ? startedAt : this.time.now;
+        const previousRunEndedBy = knowsStart ? startedAt : this.time.now;
         const stored = {id, hardState, snapshot, entries: []};
-        this.#start(stored, address, silentSince);
+        this.#start(stored, address, previousRunEndedBy);
       });
     }
   }
 
-  #start(stored: StoredState, address: string, silentSince = 0): void {
+  #start(stored: StoredState, address: string, previousRunEndedBy = 0): void {
     const random = this.#random;
-    const parts = {stored, address, timings: TIMINGS, random, silentSince};
+    const parts = {
+      stored,
+      address,
+      timings: TIMINGS,
+      random,
+      previousRunEndedBy,
+    };
     const core = new ConsensusCore(parts, this.time.now);
     const peer = {member: {id: stored.id, address, voter: true}, core};
     this.#peers.push(peer);
