--- a/packages/lovagepond-consensus/src/consensus_disk.ts
+++ b/packages/lovagepond-consensus/src/consensus_disk.ts
@@ -1,6 +1,5 @@
 /**
- * The few file operations that storage needs, so that tests can make them
- * fail.
+ * File operations needed by storage. Tests replace them to inject failures.
  */
 import {
   type FileHandle,
@@ -14,29 +13,29 @@
 import {join} from 'node:path';
 import {toStorageError} from './consensus_storage_errors.js';
 
-/** An open file that grows at its end. */
+/** An open file. */
 export interface DiskFile {
   /**
-   * @param bytes what to write
-   * @param position at which byte
+   * @param bytes the bytes to write
+   * @param position offset in the file
    */
   write(bytes: Uint8Array, position: number): Promise<void>;
-  /** @param length bytes that stay */
+  /** @param length new length of the file in bytes */
   truncate(length: number): Promise<void>;
   /** Resolves once all written bytes are on the disk. */
   sync(): Promise<void>;
   close(): Promise<void>;
 }
 
-/** One folder. All names are names in it. */
+/** File operations in one folder. All names are relative to it. */
 export interface Disk {
-  /** Creates the folder when there is none. */
+  /** Creates the folder if it does not exist. */
   prepare(): Promise<void>;
   list(): Promise<readonly string[]>;
   read(name: string): Promise<Buffer>;
-  /** @param name an existing file, or a new one */
+  /** @param name name of an existing file, or of a file to create */
   open(name: string): Promise<DiskFile>;
-  /** Replaces the target in one step; durable after `syncFolder`. */
+  /** Replaces the target atomically; durable after `syncFolder`. */
   rename(from: string, to: string): Promise<void>;
   remove(name: string): Promise<void>;
   syncFolder(): Promise<void>;
@@ -88,7 +87,7 @@
   }
 }
 
-/** A folder of the file system. */
+/** A folder in the file system. */
 export class NodeDisk implements Disk {
   readonly #folder: string;
 
--- a/packages/lovagepond-consensus/src/consensus_file_storage.ts
+++ b/packages/lovagepond-consensus/src/consensus_file_storage.ts
@@ -1,12 +1,12 @@
 /**
- * Durable storage in one folder: a segment of the log, which also holds term
- * and vote, and the latest snapshot.
+ * Durable storage in one folder: a log segment, which also contains term and
+ * vote, and the latest snapshot.
  *
- * A segment starts with the member's identity and the index of the snapshot
- * that it follows. Each batch is one checksummed frame and one sync. With each
- * snapshot a new segment takes the place of the old one; both files are
- * written beside, synced and renamed, so that a crash leaves the old or the
- * new.
+ * A segment starts with the identity of the member and the index of the
+ * snapshot that it follows. Each batch is one checksummed frame and one sync.
+ * Each snapshot starts a new segment. Snapshots and new segments are written to
+ * a temporary file, synced and renamed, so that a crash leaves either the old
+ * or the new file.
  */
 import {randomUUID} from 'node:crypto';
 import {type Disk, type DiskFile, NodeDisk} from './consensus_disk.js';
@@ -76,7 +76,7 @@
   return records;
 }
 
-/** Applies records in the order in which they were written. */
+/** Applies the next record, in the order of writing. */
 function applyRecord(content: SegmentContent, record: LogRecord): void {
   if (record.kind === 'base') {
     content.base = record.base;
@@ -94,7 +94,7 @@
   entries.length = Math.max(0, Math.min(entries.length, from - first));
 }
 
-/** Storage under one folder. */
+/** Durable storage in one folder. */
 export class FileStorage implements ConsensusStorage {
   readonly #disk: Disk;
   readonly #rewritesOnOpen: boolean;
@@ -108,13 +108,14 @@
   #length = 0;
   #syncedLength = 0;
   #stopped = false;
-  /** Calls run one after the other. */
+  /** Calls are serialised through this promise. */
   #queue: Promise<unknown> = Promise.resolve();
 
   /**
-   * @param disk path of the folder, or a folder that tests make fail
-   * @param rewritesOnOpen write the log anew when it is opened: after a failed sync
-   *     the kernel may show bytes that are not on the disk
+   * @param disk path of the folder, or a disk, which tests replace to inject
+   *     failures
+   * @param rewritesOnOpen true to rewrite the log when it is opened: after a
+   *     failed sync the kernel may return bytes that are not on the disk
    */
   constructor(disk: string | Disk, rewritesOnOpen = false) {
     this.#disk = typeof disk === 'string' ? new NodeDisk(disk) : disk;
@@ -149,9 +150,9 @@
   }
 
   /**
-   * Runs one call after those before it. After a failed sync the kernel may
-   * have dropped the unwritten pages, and a second sync would report success
-   * for lost data: so nothing is tried again, and every later call fails.
+   * Runs a call after all earlier ones. After a failed sync the kernel may have
+   * dropped the dirty pages, and a second sync would report success for lost
+   * data. So no call is retried, and all later calls fail.
    */
   #run<Value>(name: string, call: () => Promise<Value>): Promise<Value> {
     const running = this.#queue.then(async () => {
@@ -175,8 +176,9 @@
     const segment = findLatest(names, SEGMENT_NAME);
     const snapshotFile = findLatest(names, SNAPSHOT_NAME);
     if (!segment) {
-      // Without its log the member can't know what it voted or promised.
-      if (snapshotFile) throw damaged(snapshotFile.name, 'its log is gone');
+      // Without its log the member has lost its term, its vote and the entries
+      // that it acknowledged.
+      if (snapshotFile) throw damaged(snapshotFile.name, 'log is missing');
       this.#content.base = {id: randomUUID(), index: 0};
       await this.#startSegment();
       return this.#makeState(undefined);
@@ -185,7 +187,10 @@
     const snapshot = await this.#readSnapshot(snapshotFile);
     const {base} = this.#content;
     if ((snapshot?.index ?? 0) < base.index) {
-      throw damaged(segment.name, `the snapshot of ${base.index} is gone`);
+      throw damaged(
+        segment.name,
+        `the snapshot at index ${base.index} is missing`,
+      );
     }
     if (snapshot && snapshot.index > base.index) {
       await this.#replaceSegment(snapshot);
@@ -211,7 +216,7 @@
     const bytes = await this.#disk.read(name);
     const {payloads, length} = scanFrames(name, bytes);
     const records = payloads.flatMap(payload => decodeRecords(payload));
-    if (records[0]?.kind !== 'base') throw damaged(name, 'no start');
+    if (records[0]?.kind !== 'base') throw damaged(name, 'no base record');
     for (const record of records) applyRecord(this.#content, record);
     this.#segmentNumber = number;
     this.#segment = await this.#disk.open(name);
@@ -230,7 +235,7 @@
     const bytes = await this.#disk.read(file.name);
     const {payloads} = scanFrames(file.name, bytes);
     const [payload] = payloads;
-    if (!payload) throw damaged(file.name, 'the checksum does not match');
+    if (!payload) throw damaged(file.name, 'no intact frame');
     return decodeSnapshot(payload);
   }
 
@@ -249,8 +254,8 @@
   }
 
   /**
-   * The last frame alone can't be told from a torn one when it is damaged
-   * later. An empty frame after it says that it was synced.
+   * A damaged last frame can't be told from a torn write. An empty frame after
+   * it records that it was synced.
    */
   async #seal(): Promise<void> {
     if (this.#length > this.#syncedLength) return;
@@ -259,12 +264,15 @@
 
   async #saveSnapshot(snapshot: Snapshot): Promise<void> {
     const frame = encodeFrame(encodeSnapshot(snapshot), 0);
-    await this.#writeWhole(nameFile('snapshot', snapshot.index), frame);
+    await this.#writeAtomically(nameFile('snapshot', snapshot.index), frame);
     await this.#replaceSegment(snapshot);
     await this.#removeOld();
   }
 
-  /** Drops what the snapshot covers, and all when it contradicts the log. */
+  /**
+   * Drops the entries that the snapshot covers, or all entries if the log
+   * contradicts the snapshot.
+   */
   async #replaceSegment(snapshot: Snapshot): Promise<void> {
     const {index, term} = snapshot;
     const {base, entries} = this.#content;
@@ -287,13 +295,13 @@
     const frame = encodeFrame(encodeRecords(records), 0);
     this.#segmentNumber += 1;
     const name = nameFile('log', this.#segmentNumber);
-    await this.#writeWhole(name, frame);
+    await this.#writeAtomically(name, frame);
     this.#segment = await this.#disk.open(name);
     this.#length = frame.length;
     this.#syncedLength = frame.length;
   }
 
-  async #writeWhole(name: string, bytes: Uint8Array): Promise<void> {
+  async #writeAtomically(name: string, bytes: Uint8Array): Promise<void> {
     await this.#disk.remove(TEMPORARY_NAME);
     const file = await this.#disk.open(TEMPORARY_NAME);
     try {
--- a/packages/lovagepond-consensus/src/consensus_frames.ts
+++ b/packages/lovagepond-consensus/src/consensus_frames.ts
@@ -1,5 +1,5 @@
 /**
- * Checksummed frames, the unit in which files are written and synced.
+ * Checksummed frames: the unit of writing and syncing files.
  */
 import {crc32} from 'node:zlib';
 import {StorageError} from './consensus_storage_errors.js';
@@ -10,10 +10,13 @@
 const CHECKSUM_AT = 16;
 const HEADER_BYTES = 20;
 
-/** What a file holds from its start. */
+/** Frames at the start of a file. */
 export interface FrameScan {
   readonly payloads: readonly Buffer[];
-  /** Bytes of whole frames; what follows is a torn write. */
+  /**
+   * Total size of the intact frames in bytes; the rest of the file is a torn
+   * write.
+   */
   readonly length: number;
 }
 
@@ -22,9 +25,9 @@
 }
 
 /**
- * @param payload what the frame carries; may be empty
- * @param syncedBytes how much of the file was synced before this frame
- * @returns the frame's bytes
+ * @param payload the payload; may be empty
+ * @param syncedBytes length of the file that was synced before this frame
+ * @returns the bytes of the frame
  */
 export function encodeFrame(payload: Uint8Array, syncedBytes: number): Buffer {
   const header = Buffer.alloc(HEADER_BYTES);
@@ -58,15 +61,16 @@
 }
 
 /**
- * Reads frames up to the end or to the first broken one. A crash tears only
- * what was not synced, so a broken frame ends the file, unless a later frame
- * says that the broken place had been synced: then acknowledged data is lost,
- * and cutting there would make the member forget it silently.
+ * Reads frames up to the end of the file or the first broken frame. A crash
+ * only tears bytes that were not synced, so a broken frame marks the end of the
+ * file. If a later frame records that the broken bytes had been synced,
+ * acknowledged data is lost, and truncating the file there would drop it
+ * silently.
  *
  * @param file name of the file, for the error
- * @param bytes the file's content
- * @returns the whole frames
- * @throws StorageError when synced bytes are broken
+ * @param bytes content of the file
+ * @returns the intact frames
+ * @throws StorageError if synced bytes are broken
  */
 export function scanFrames(file: string, bytes: Buffer): FrameScan {
   const payloads: Buffer[] = [];
--- a/packages/lovagepond-consensus/src/consensus_log.ts
+++ b/packages/lovagepond-consensus/src/consensus_log.ts
@@ -1,5 +1,5 @@
 /**
- * The log as a member holds it in memory, with the member lists in it.
+ * In-memory log of a member, with the member lists that it contains.
  */
 import {invariant} from '@lovagepond/core';
 import {decodeMembers} from './consensus_members.js';
@@ -10,7 +10,7 @@
   readonly members: MemberList;
 }
 
-/** Where a log starts: the last entry that is no longer in it. */
+/** Base of a log: the last entry before its first one. */
 export interface LogBase {
   readonly index: number;
   readonly term: number;
@@ -19,13 +19,13 @@
 
 /**
  * @param entries entries of a log
- * @returns sum of their data, bytes
+ * @returns total size of their data in bytes
  */
 export function sumBytes(entries: readonly LogEntry[]): number {
   return entries.reduce((sum, {data}) => sum + data.length, 0);
 }
 
-/** Consecutive entries after a base, which a snapshot covers. */
+/** Consecutive entries that follow a base, which a snapshot covers. */
 export class ReplicatedLog {
   #baseIndex: number;
   #baseTerm: number;
@@ -39,34 +39,34 @@
     this.append(entries);
   }
 
-  /** Index of the last entry, or of the base when there is none. */
+  /** Index of the last entry; that of the base if there are no entries. */
   get lastIndex(): number {
     return this.#baseIndex + this.#entries.length;
   }
 
-  /** Term of the last entry, or of the base when there is none. */
+  /** Term of the last entry; that of the base if there are no entries. */
   get lastTerm(): number {
     return this.#entries.at(-1)?.term ?? this.#baseTerm;
   }
 
-  /** The member list in force: the latest in the log, committed or not. */
+  /** The current member list: the latest one in the log, committed or not. */
   get members(): MemberList {
     return this.#lists.at(-1)?.members ?? [];
   }
 
-  /** The member list before the one in force; empty when not in the log. */
+  /** The member list before the current one; empty if not in the log. */
   get previousMembers(): MemberList {
     return this.#lists.at(-2)?.members ?? [];
   }
 
-  /** Index of the entry that brought the member list in force. */
+  /** Index of the entry that contains the current member list. */
   get membersIndex(): number {
     return this.#lists.at(-1)?.index ?? 0;
   }
 
   /**
    * @param index any index
-   * @returns the entry's term; undefined when the log doesn't hold it
+   * @returns the term of the entry; undefined if it is not in the log
    */
   termAt(index: number): number | undefined {
     if (index === this.#baseIndex) return this.#baseTerm;
@@ -75,7 +75,7 @@
 
   /**
    * @param index any index from the base on
-   * @returns the member list in force there
+   * @returns the member list in effect at that index
    */
   membersAt(index: number): MemberList {
     return this.#lists.findLast(list => list.index <= index)?.members ?? [];
@@ -83,19 +83,24 @@
 
   /**
    * @param from first index
-   * @param to last index
-   * @returns the entries between, both included
+   * @param to last index, included
+   * @returns the entries in that range
    */
   slice(from: number, to: number): readonly LogEntry[] {
-    invariant(from > this.#baseIndex, 101, 'entries before the base are gone');
+    invariant(
+      from > this.#baseIndex,
+      101,
+      'entries up to the base are compacted',
+    );
     const start = from - this.#baseIndex - 1;
     return this.#entries.slice(start, to - this.#baseIndex);
   }
 
   /**
    * @param from first index
-   * @param maxBytes limit of the sum of data; one entry is always returned
-   * @returns the entries from there on
+   * @param maxBytes maximum total size of the data; at least one entry is
+   *     returned
+   * @returns the entries from that index on
    */
   sliceBytes(from: number, maxBytes: number): readonly LogEntry[] {
     let bytes = 0;
@@ -108,10 +113,14 @@
     return this.slice(from, to);
   }
 
-  /** @param entries entries that follow the last one */
+  /** @param entries entries that directly follow the last one */
   append(entries: readonly LogEntry[]): void {
     for (const entry of entries) {
-      invariant(entry.index === this.lastIndex + 1, 102, 'a gap in the log');
+      invariant(
+        entry.index === this.lastIndex + 1,
+        102,
+        'appended entries leave a gap',
+      );
       this.#entries.push(entry);
       if (entry.kind === ENTRY_KIND.MEMBERS) {
         const members = decodeMembers(entry.data);
@@ -122,7 +131,7 @@
 
   /** @param from entries from this index on are dropped */
   truncate(from: number): void {
-    invariant(from > this.#baseIndex, 103, 'truncation behind the base');
+    invariant(from > this.#baseIndex, 103, 'truncation at or before the base');
     this.#entries.length = Math.min(
       this.#entries.length,
       from - this.#baseIndex - 1,
@@ -131,10 +140,11 @@
   }
 
   /**
-   * @param index any index that the log holds
-   * @param maxEntries limit of their number
-   * @param maxBytes limit of the sum of their data
-   * @returns the index after which the entries up to `index` stay within both
+   * @param index any index in the log
+   * @param maxEntries maximum number of entries
+   * @param maxBytes maximum total size of their data
+   * @returns the lowest index for which the entries after it, up to `index`,
+   *     stay within both limits
    */
   indexBefore(index: number, maxEntries: number, maxBytes: number): number {
     const first = Math.max(this.#baseIndex, index - maxEntries);
@@ -148,11 +158,11 @@
     return before;
   }
 
-  /** @param index entries up to here are dropped; the log holds it */
+  /** @param index entries up to this index, which is in the log, are dropped */
   compact(index: number): void {
     if (index <= this.#baseIndex) return;
     const term = this.termAt(index);
-    invariant(term !== undefined, 104, 'compaction past the end of the log');
+    invariant(term !== undefined, 104, 'compaction beyond the last entry');
     const members = this.membersAt(index);
     this.#entries = this.#entries.slice(index - this.#baseIndex);
     this.#baseIndex = index;
@@ -161,7 +171,9 @@
     this.#lists = [{index, members}, ...later];
   }
 
-  /** @param base the last entry of a snapshot that replaces the whole log */
+  /**
+   * @param base last entry covered by a snapshot that replaces the whole log
+   */
   reset(base: LogBase): void {
     this.#baseIndex = base.index;
     this.#baseTerm = base.term;
--- a/packages/lovagepond-consensus/src/consensus_members.ts
+++ b/packages/lovagepond-consensus/src/consensus_members.ts
@@ -1,5 +1,5 @@
 /**
- * Member lists: majorities, single changes and their form in the log.
+ * Member lists: majorities, single-server changes and their encoding.
  */
 import {z} from '@lovagepond/core';
 import {
@@ -16,18 +16,18 @@
       readonly kind: 'addLearner';
       readonly id: MemberId;
       readonly address: string;
-      /** It stays a learner for good. */
+      /** The learner never becomes a voter. */
       readonly observer?: boolean;
     }
   | {readonly kind: 'promote'; readonly id: MemberId}
   | {readonly kind: 'remove'; readonly id: MemberId};
 
-/** A changed list, or why there is none. */
+/** The changed list, or the reason for refusing the change. */
 export type ChangedMembers =
   | {readonly ok: true; readonly members: MemberList}
   | {readonly ok: false; readonly reason: ChangeRefusal};
 
-/** A member list as it stands in entries, snapshots and messages. */
+/** Schema of a member list in entries, snapshots and messages. */
 export const memberListSchema = z.array(
   z.object({
     id: z.string(),
@@ -69,7 +69,7 @@
 /**
  * @param members a member list
  * @param id an identity
- * @returns true when the identity counts in majorities
+ * @returns true if the identity is that of a voter
  */
 export function isVoter(members: MemberList, id: MemberId): boolean {
   return findMember(members, id)?.voter ?? false;
@@ -77,8 +77,8 @@
 
 /**
  * @param members a member list
- * @param valueOf a number for each voter, such as its synced index
- * @returns the largest number that a majority of voters has reached; 0 when
+ * @param valueOf returns a number for a voter, such as its synced index
+ * @returns the largest number that a majority of the voters has reached; 0 if
  *     there are no voters
  */
 export function majorityValue(
@@ -93,8 +93,8 @@
 
 /**
  * @param members a member list
- * @param ids identities that agreed
- * @returns true when they hold a majority of the voters
+ * @param ids identities of members
+ * @returns true if they include a majority of the voters
  */
 export function isMajority(
   members: MemberList,
@@ -125,7 +125,7 @@
   const found = findMember(members, change.id);
   if (!found) return refuse(CHANGE_REFUSAL.UNKNOWN_MEMBER);
   if (found.voter) return refuse(CHANGE_REFUSAL.ALREADY_MEMBER);
-  // It has no disk: what it acknowledged would be gone with its process.
+  // An observer has no disk: a restart would lose entries it acknowledged.
   if (found.observer) return refuse(CHANGE_REFUSAL.OBSERVER);
   const changed = members.map(member =>
     member === found ? {...member, voter: true} : member,
@@ -157,10 +157,10 @@
 } = {addLearner, promote, remove};
 
 /**
- * @param members the list in force
- * @param change one change: any majority of the list before shares a voter
- *     with any majority of the list after
- * @returns the list after the change, or why it is refused
+ * @param members the current list
+ * @param change a single change, so that any majority of the old list and any
+ *     majority of the new one share a voter
+ * @returns the changed list, or the reason for refusing the change
  */
 export function changeMembers(
   members: MemberList,
--- a/packages/lovagepond-consensus/src/consensus_messages.ts
+++ b/packages/lovagepond-consensus/src/consensus_messages.ts
@@ -7,69 +7,74 @@
   type MemberList,
 } from './consensus_types.js';
 
-/** What each message carries. `term` is the sender's term. */
+/** Fields of each message. `term` is the term of the sender. */
 interface Envelope {
   readonly from: MemberId;
-  /** Where the sender is reached: a new member knows no addresses yet. */
+  /** Address of the sender; a new member does not know the addresses yet. */
   readonly fromAddress: string;
-  /** The identity meant; another one that answers at the address drops it. */
+  /**
+   * Identity of the receiver. A member with another identity at the same
+   * address ignores the message.
+   */
   readonly to: MemberId;
   readonly term: number;
 }
 
-/** Asks whether the receiver would vote for the sender; binds nobody. */
+/** Asks whether the receiver would vote for the sender. Changes no state. */
 export interface PreVoteRequest extends Envelope {
   readonly kind: 'preVote';
   readonly lastIndex: number;
   readonly lastTerm: number;
-  /** Returned in the reply: a reply to an earlier try does not count. */
+  /** Echoed in the reply, so that replies to earlier attempts are ignored. */
   readonly attempt: number;
 }
 
-/** Answer to {@link PreVoteRequest}. */
+/** Reply to {@link PreVoteRequest}. */
 export interface PreVoteReply extends Envelope {
   readonly kind: 'preVoteReply';
   readonly granted: boolean;
   readonly attempt: number;
 }
 
-/** Asks for the receiver's vote in `term`. */
+/** Requests the vote of the receiver in `term`. */
 export interface VoteRequest extends Envelope {
   readonly kind: 'vote';
   readonly lastIndex: number;
   readonly lastTerm: number;
 }
 
-/** Answer to {@link VoteRequest}; sent after the vote is synced. */
+/** Reply to {@link VoteRequest}, sent after the vote is synced. */
 export interface VoteReply extends Envelope {
   readonly kind: 'voteReply';
   readonly granted: boolean;
 }
 
-/** Entries that follow `prevIndex`, or none: a heartbeat. */
+/** Log entries that follow `prevIndex`; without entries, a heartbeat. */
 export interface AppendRequest extends Envelope {
   readonly kind: 'append';
   readonly prevIndex: number;
   readonly prevTerm: number;
   readonly entries: readonly LogEntry[];
   readonly commitIndex: number;
-  /** The leader's confirmation round; returned in the reply. */
+  /** Confirmation round of the leader, echoed in the reply. */
   readonly round: number;
 }
 
-/** Answer to {@link AppendRequest}. */
+/** Reply to {@link AppendRequest}. */
 export interface AppendReply extends Envelope {
   readonly kind: 'appendReply';
   readonly success: boolean;
-  /** With success: the last synced index known to equal the leader's. */
+  /**
+   * On success: last synced index at which the log equals that of the leader.
+   */
   readonly matchIndex: number;
-  /** Without: the `prevIndex` refused and where to try next. */
+  /** On refusal: the refused `prevIndex`, and the index to try next. */
   readonly refusedIndex: number;
   readonly hintIndex: number;
   readonly round: number;
 }
 
-/** A part of a snapshot. */
+/** A chunk of a snapshot. */
 export interface SnapshotChunk extends Envelope {
   readonly kind: 'snapshotChunk';
   readonly snapshotIndex: number;
@@ -81,13 +86,13 @@
   readonly round: number;
 }
 
-/** Answer to {@link SnapshotChunk}. */
+/** Reply to {@link SnapshotChunk}. */
 export interface SnapshotReply extends Envelope {
   readonly kind: 'snapshotReply';
   readonly snapshotIndex: number;
-  /** Bytes received in order: the offset wanted next. */
+  /** Number of bytes received in order, which is the next offset expected. */
   readonly nextOffset: number;
-  /** The whole snapshot is synced. */
+  /** True once the whole snapshot is synced. */
   readonly installed: boolean;
   readonly round: number;
 }
@@ -103,22 +108,28 @@
   | SnapshotChunk
   | SnapshotReply;
 
-/** Asks a host, whoever runs there, whether it has heard of a group. */
+/**
+ * Asks the host at an address, whatever its identity, whether it belongs to a
+ * group.
+ */
 export interface HelloRequest {
   readonly kind: 'hello';
   readonly from: MemberId;
   readonly fromAddress: string;
-  /** The sender's data folder is empty: it remembers no group. */
+  /** The data folder of the sender is empty: it belongs to no group. */
   readonly blank: boolean;
-  /** The sender wants to be a member; else it only says that it is one. */
+  /**
+   * If true, the sender asks to join; if false, it announces that it is a
+   * member.
+   */
   readonly joins: boolean;
   /** The sender has no disk and never votes. */
   readonly observer: boolean;
-  /** Returned in the reply: an answer to an earlier round does not count. */
+  /** Echoed in the reply, so that replies to earlier rounds are ignored. */
   readonly round: number;
 }
 
-/** Answer to {@link HelloRequest}. */
+/** Reply to {@link HelloRequest}. */
 export interface HelloReply {
   readonly kind: 'helloReply';
   readonly from: MemberId;
@@ -127,13 +138,13 @@
   readonly blank: boolean;
   /** The sender has no disk and never votes. */
   readonly observer: boolean;
-  /** The receiver is to form the group by itself. */
+  /** The receiver is appointed to form the group alone. */
   readonly appoints: boolean;
   readonly round: number;
 }
 
-/** A message of hosts that form a group or join one. */
+/** A message between hosts that form or join a group. */
 export type FormationMessage = HelloRequest | HelloReply;
 
-/** Everything that a transport carries. */
+/** All messages that a transport carries. */
 export type TransportMessage = ConsensusMessage | FormationMessage;
--- a/packages/lovagepond-consensus/src/consensus_records.ts
+++ b/packages/lovagepond-consensus/src/consensus_records.ts
@@ -1,5 +1,5 @@
 /**
- * The records inside the frames of a log segment, and the snapshot's form.
+ * Encoding of the records in log segment frames, and of snapshots.
  */
 import {z} from '@lovagepond/core';
 import {memberListSchema} from './consensus_members.js';
@@ -12,7 +12,10 @@
   type Snapshot,
 } from './consensus_types.js';
 
-/** The start of a segment: whose it is, and which snapshot it follows. */
+/**
+ * First record of a segment: identity of the member and index of the snapshot
+ * that the segment follows.
+ */
 export interface SegmentBase {
   readonly id: MemberId;
   readonly index: number;
@@ -31,7 +34,7 @@
   ENTRY_KIND.MEMBERS,
   ENTRY_KIND.NOOP,
 ];
-/** Type, kind of entry, two numbers, length of the data. */
+/** Record header: type, entry kind, two numbers, length of the data. */
 const HEAD_BYTES = 22;
 
 interface RawRecord {
@@ -139,7 +142,7 @@
 
 /**
  * @param snapshot a snapshot
- * @returns the payload of its file's one frame
+ * @returns the payload of the only frame in the snapshot file
  */
 export function encodeSnapshot(snapshot: Snapshot): Buffer {
   const {data, ...rest} = snapshot;
@@ -150,7 +153,7 @@
 }
 
 /**
- * @param payload what {@link encodeSnapshot} returned
+ * @param payload a payload written by {@link encodeSnapshot}
  * @returns the snapshot
  */
 export function decodeSnapshot(payload: Buffer): Snapshot {
--- a/packages/lovagepond-consensus/src/consensus_snapshot_receiver.ts
+++ b/packages/lovagepond-consensus/src/consensus_snapshot_receiver.ts
@@ -1,5 +1,5 @@
 /**
- * Puts a snapshot that arrives in chunks together.
+ * Assembles a snapshot from its chunks.
  */
 import {type SnapshotChunk} from './consensus_messages.js';
 import {type Snapshot} from './consensus_types.js';
@@ -11,11 +11,12 @@
   #received = 0;
 
   /**
-   * @param chunk a chunk; one that doesn't follow the last is left out
-   * @returns the offset wanted next
+   * @param chunk a chunk; ignored unless it follows the previous one
+   * @returns the next offset expected
    */
   add(chunk: SnapshotChunk): number {
-    // Another leader's snapshot of the same index may have other bytes.
+    // Snapshots of different leaders at the same index may differ in their
+    // bytes.
     const key = `${chunk.from} ${chunk.term} ${chunk.snapshotIndex}`;
     if (key !== this.#key) this.#restart(key);
     if (chunk.offset === this.#received && chunk.data.length > 0) {
@@ -27,7 +28,7 @@
 
   /**
    * @param chunk the chunk added last
-   * @returns the whole snapshot, once; undefined before
+   * @returns the whole snapshot, once it is complete; undefined before
    */
   take(chunk: SnapshotChunk): Snapshot | undefined {
     if (this.#received !== chunk.totalBytes) return undefined;
--- a/packages/lovagepond-consensus/src/consensus_storage.ts
+++ b/packages/lovagepond-consensus/src/consensus_storage.ts
@@ -1,5 +1,5 @@
 /**
- * What consensus asks of durable storage, and a storage in memory.
+ * Interface of durable storage, and an implementation in memory.
  */
 import {
   type HardState,
@@ -8,49 +8,52 @@
   type Snapshot,
 } from './consensus_types.js';
 
-/** One batch of changes; durable as a whole once the promise resolves. */
+/** One batch of changes, made durable atomically. */
 export interface StorageWrite {
   readonly hardState?: HardState;
-  /** Entries from this index on are dropped before `entries` are added. */
+  /** Entries from this index on are removed before `entries` are added. */
   readonly truncateFrom?: number;
   readonly entries: readonly LogEntry[];
 }
 
-/** What storage held when it was opened. */
+/** Stored state when storage was opened. */
 export interface StoredState {
   readonly id: MemberId;
   readonly hardState: HardState;
   readonly snapshot?: Snapshot;
-  /** Entries that follow the snapshot, without a gap. */
+  /** Consecutive entries after the snapshot. */
   readonly entries: readonly LogEntry[];
 }
 
 /**
- * Durable storage of one member. A promise resolves only when the data is
- * synced. After one failure every later call fails: nothing that follows a
- * failed sync may count as stored.
+ * Durable storage of one member. Promises resolve once the data is synced.
+ * After a failure all later calls fail, because writes after a failed sync must
+ * not count as stored.
  */
 export interface ConsensusStorage {
-  /** @throws StorageError when the stored state is damaged */
+  /** @throws StorageError if the stored state is damaged */
   open(): Promise<StoredState>;
   /**
-   * @param writes batches to store in order, with one sync for all
-   * @throws StorageError when the write or its sync failed
+   * @param writes batches to store in order, with a single sync
+   * @throws StorageError if the write or its sync failed
    */
   write(writes: readonly StorageWrite[]): Promise<void>;
   /**
-   * Stores a snapshot. When the log holds the snapshot's last entry, the
-   * entries after it stay; else the whole log is dropped.
+   * Stores a snapshot. If the log contains the last entry that the snapshot
+   * covers, later entries are kept; otherwise the whole log is dropped.
    *
-   * @throws StorageError when the write or its sync failed
+   * @throws StorageError if the write or its sync failed
    */
   saveSnapshot(snapshot: Snapshot): Promise<void>;
-  /** To be called when idle: protects the last write against later damage. */
+  /**
+   * Marks the last write as synced, so that later damage to it is detected.
+   * Call it when no write is pending.
+   */
   seal(): Promise<void>;
   close(): Promise<void>;
 }
 
-/** Storage that lasts as long as the object: for tests and a first look. */
+/** Storage in memory, for tests and for trying the package out. */
 export class MemoryStorage implements ConsensusStorage {
   readonly #id: MemberId;
   #hardState: HardState = {term: 0, vote: ''};
--- a/packages/lovagepond-consensus/src/consensus_storage_errors.ts
+++ b/packages/lovagepond-consensus/src/consensus_storage_errors.ts
@@ -1,27 +1,29 @@
 /**
- * How storage fails. Each failure stops the member: it must not answer from
- * state that may not be on the disk.
+ * Storage failures. Each one stops the member, which must not answer from state
+ * that may not be on the disk.
  */
 
-/** Why storage failed: a tagged union over `kind`. */
+/** Reason for a storage failure: a tagged union over `kind`. */
 export type StorageFailure =
-  /** Stored bytes are not what was written, and not by a torn last write. */
+  /**
+   * Stored bytes differ from those written, and a torn last write is ruled out.
+   */
   | {
       readonly kind: 'damaged';
       readonly file: string;
       readonly offset: number;
       readonly detail: string;
     }
-  /** The disk has no room left. */
+  /** The disk or the quota is full. */
   | {readonly kind: 'diskFull'; readonly file: string}
-  /** A write, sync, rename or read failed. */
+  /** An I/O operation failed. */
   | {
       readonly kind: 'ioFailed';
       readonly operation: string;
       readonly file: string;
       readonly code: string;
     }
-  /** An earlier call failed, or storage is closed. */
+  /** An earlier call failed, or storage was closed. */
   | {readonly kind: 'stopped'};
 
 const DESCRIPTIONS: {
@@ -32,11 +34,12 @@
   damaged: ({file, offset, detail}) =>
     `${file} is damaged at byte ${offset}: ${detail}`,
   diskFull: ({file}) => `no room left on the disk for ${file}`,
-  ioFailed: ({operation, file, code}) => `${operation} of ${file}: ${code}`,
-  stopped: () => 'storage has stopped',
+  ioFailed: ({operation, file, code}) =>
+    `${operation} of ${file} failed: ${code}`,
+  stopped: () => 'storage is closed or an earlier call failed',
 };
 
-/** Thrown by storage; the member that gets it stops. */
+/** Thrown by storage. A member stops when it receives this error. */
 export class StorageError extends Error {
   readonly failure: StorageFailure;
 
@@ -51,9 +54,9 @@
 }
 
 /**
- * @param operation what was tried
- * @param file on which file
- * @param err what the operating system reported
+ * @param operation the failed operation
+ * @param file name of the file
+ * @param err the error reported by the operating system
  * @returns the error to throw
  */
 export function toStorageError(
--- a/packages/lovagepond-consensus/src/consensus_storage_writer.ts
+++ b/packages/lovagepond-consensus/src/consensus_storage_writer.ts
@@ -1,25 +1,25 @@
 /**
- * Stores what the core wants stored, with one sync for all that came together
- * while the sync before was under way.
+ * Stores the writes of the core. Writes that arrive during a sync share the
+ * next one.
  */
 import {type ConsensusAction} from './consensus_outbox.js';
 import {type ConsensusStorage} from './consensus_storage.js';
 
-/** An action that changes what is stored. */
+/** An action that changes the stored state. */
 export type StorageAction = Extract<
   ConsensusAction,
   {kind: 'write'} | {kind: 'saveSnapshot'}
 >;
 
-/** Whom the writer tells. */
+/** Callbacks of the writer. */
 export interface StorageWriterEvents {
   /** @param id all actions up to this id are synced */
   onStored(id: number): void;
-  /** @param err why storage stopped; nothing more will be stored */
+  /** @param err the failure; nothing more will be stored */
   onFailed(err: unknown): void;
 }
 
-/** Runs storage actions in order, batching those that follow each other. */
+/** Runs storage actions in order and batches consecutive writes. */
 export class StorageWriter {
   #storage: ConsensusStorage;
   readonly #events: StorageWriterEvents;
@@ -32,24 +32,27 @@
     this.#events = events;
   }
 
-  /** True when nothing waits and nothing is under way. */
+  /** True if no action is pending or running. */
   get isIdle(): boolean {
     return !this.#running && this.#waiting.length === 0;
   }
 
-  /** @param action what to store after all before */
+  /** @param action the next action to store */
   add(action: StorageAction): void {
     this.#waiting.push(action);
     if (!this.#running) void this.#drain();
   }
 
-  /** Reports nothing more; what is under way may still be stored. */
+  /**
+   * Stops reporting. Pending actions are dropped; a running one may still
+   * complete.
+   */
   stop(): void {
     this.#stopped = true;
     this.#waiting = [];
   }
 
-  /** @param storage takes the place of the storage that failed */
+  /** @param storage replaces the storage that failed */
   restart(storage: ConsensusStorage): void {
     this.#storage = storage;
     this.#waiting = [];
@@ -70,7 +73,7 @@
     this.#running = false;
   }
 
-  /** @returns id of the last action stored */
+  /** @returns the id of the last stored action */
   async #storeNext(): Promise<number> {
     const [first] = this.#waiting;
     if (first?.kind === 'saveSnapshot') {
--- a/packages/lovagepond-consensus/src/consensus_transport.ts
+++ b/packages/lovagepond-consensus/src/consensus_transport.ts
@@ -1,36 +1,39 @@
 /**
- * How messages travel between members.
+ * Transport of messages between members.
  */
 import {type Unregister} from '@lovagepond/core';
 import {type TransportMessage} from './consensus_messages.js';
 
-/** Called with each message that arrives. */
+/** Called with each received message. */
 export type MessageListener = (message: TransportMessage) => void;
 
 /**
- * Carries messages without any promise: they may be lost, doubled, or arrive
- * late and out of order.
+ * Sends messages without delivery guarantees: they may be lost, duplicated,
+ * delayed or reordered.
  */
 export interface ConsensusTransport {
   /**
    * @param address `host:port` of the receiver
-   * @param message what to send; never changed afterwards
+   * @param message the message; must not be modified afterwards
    */
   send(address: string, message: TransportMessage): void;
   /**
-   * @param listener called with each message that arrives
-   * @returns a function that takes the registration back
+   * @param listener called with each received message
+   * @returns a function that removes the listener
    */
   onMessage(listener: MessageListener): Unregister;
 }
 
-/** Connects the members of one process: for tests and a first look. */
+/**
+ * Connects members in the same process, for tests and for trying the package
+ * out.
+ */
 export class MemoryNetwork {
   readonly #listeners = new Map<string, Set<MessageListener>>();
 
   /**
-   * @param address the address of the member that will use it
-   * @returns the member's transport
+   * @param address address of the member
+   * @returns the transport for that member
    */
   attach(address: string): ConsensusTransport {
     const own = new Set<MessageListener>();
--- a/packages/lovagepond-consensus/src/consensus_types.ts
+++ b/packages/lovagepond-consensus/src/consensus_types.ts
@@ -1,34 +1,37 @@
 /**
- * Types that users of the consensus package and its parts share.
+ * Types shared by the package and its users.
  */
 
 /**
- * Random identity of a member, created with its data folder. A host whose
- * disk was emptied comes back under a new identity.
+ * Random identity of a member, created with its data folder. A host that lost
+ * its disk returns with a new identity.
  */
 export type MemberId = string;
 
-/** One member of the group that agrees. */
+/** One member of the consensus group. */
 export interface Member {
   readonly id: MemberId;
-  /** `host:port` under which the other members reach it. */
+  /** `host:port` at which the other members reach it. */
   readonly address: string;
-  /** False for a learner: it receives the log and counts in no majority. */
+  /**
+   * False for a learner, which receives the log and does not count towards the
+   * quorum.
+   */
   readonly voter: boolean;
-  /** A learner for good: it keeps its log in memory only. */
+  /** Set for a permanent learner that keeps its log in memory only. */
   readonly observer?: true | undefined;
 }
 
 /** The members, voters and learners, as of some log index. */
 export type MemberList = readonly Member[];
 
-/** What an entry of the log holds. */
+/** Kinds of log entries. */
 export const ENTRY_KIND = {
-  /** A command of the state machine. */
+  /** A command for the state machine. */
   COMMAND: 'command',
-  /** A new member list, in force from the moment it is in the log. */
+  /** A new member list; it takes effect once it is appended to the log. */
   MEMBERS: 'members',
-  /** Nothing: the first entry of a leader's term. */
+  /** No data: the first entry of each leader in its term. */
   NOOP: 'noop',
 } as const;
 
@@ -43,14 +46,16 @@
   readonly data: Uint8Array;
 }
 
-/** What must survive a restart besides log and snapshot. */
+/** Persistent state of a member, besides its log and snapshot. */
 export interface HardState {
   readonly term: number;
   /** The member voted for in `term`; empty when none. */
   readonly vote: MemberId;
 }
 
-/** The state machine's state after `index`, with the members of then. */
+/**
+ * The state of the state machine after `index`, with the members at that index.
+ */
 export interface Snapshot {
   readonly index: number;
   readonly term: number;
@@ -58,7 +63,7 @@
   readonly data: Uint8Array;
 }
 
-/** What a member does in its term. */
+/** Roles of a member in a term. */
 export const MEMBER_ROLE = {
   FOLLOWER: 'follower',
   PRE_CANDIDATE: 'preCandidate',
@@ -70,14 +75,15 @@
 export type MemberRole = (typeof MEMBER_ROLE)[keyof typeof MEMBER_ROLE];
 
 /**
- * The replicated state machine. All three methods are deterministic: the same
- * commands in the same order give the same results and snapshots everywhere.
+ * The replicated state machine. All three methods must be deterministic: the
+ * same commands in the same order produce the same results and snapshots on
+ * each member.
  */
 export interface StateMachine {
   /**
    * @param command a committed command
    * @param index its log index
-   * @returns the result for whoever proposed it
+   * @returns the result, delivered to the proposer
    */
   apply(command: Uint8Array, index: number): Uint8Array;
   /** @returns the whole state; must not change afterwards */
@@ -86,38 +92,41 @@
   restore(snapshot: Uint8Array): void;
 }
 
-/** What became of a proposal. */
+/** Outcome of a proposal. */
 export type ProposeOutcome =
   | {
       readonly kind: 'committed';
       readonly result: Uint8Array;
       readonly index: number;
     }
-  /** Not taken, and it never will be: safe to propose elsewhere. */
+  /**
+   * The proposal was not committed and never will be, so proposing it to
+   * another member is safe.
+   */
   | {readonly kind: 'notLeader'; readonly leader?: Member}
-  /** May or may not be committed later. */
+  /** The proposal may or may not be committed later. */
   | {readonly kind: 'unknown'};
 
 /**
- * What became of a read barrier. After `ok` this member's state machine has
- * applied all that was committed before the call.
+ * Outcome of a read barrier. After `ok` the state machine of this member has
+ * applied all entries that were committed before the call.
  */
 export type ReadOutcome =
   | {readonly kind: 'ok'; readonly index: number}
   | {readonly kind: 'notLeader'; readonly leader?: Member};
 
-/** Why a change of the members was refused. */
+/** Reasons for refusing a membership change. */
 export const CHANGE_REFUSAL = {
-  /** The change before it is not committed yet. */
+  /** The previous membership change is not committed yet. */
   CHANGE_PENDING: 'changePending',
-  /** The leader has committed nothing in its own term yet. */
+  /** The leader has not committed an entry of its own term yet. */
   TERM_NOT_COMMITTED: 'termNotCommitted',
   UNKNOWN_MEMBER: 'unknownMember',
   ALREADY_MEMBER: 'alreadyMember',
-  /** The learner's synced log is not up to the commit index. */
+  /** The synced log of the learner ends before the commit index. */
   NOT_CAUGHT_UP: 'notCaughtUp',
   LAST_VOTER: 'lastVoter',
-  /** A learner without a disk never votes. */
+  /** Observers keep no log on disk and can't become voters. */
   OBSERVER: 'observer',
 } as const;
 
@@ -125,14 +134,14 @@
 export type ChangeRefusal =
   (typeof CHANGE_REFUSAL)[keyof typeof CHANGE_REFUSAL];
 
-/** What became of a change of the members. */
+/** Outcome of a membership change. */
 export type ChangeOutcome =
   | {readonly kind: 'committed'; readonly index: number}
   | {readonly kind: 'refused'; readonly reason: ChangeRefusal}
   | {readonly kind: 'notLeader'; readonly leader?: Member}
   | {readonly kind: 'unknown'};
 
-/** What a member knows of itself and its group. */
+/** State of a member and its view of the group. */
 export interface ConsensusStatus {
   readonly id: MemberId;
   readonly role: MemberRole;
@@ -144,42 +153,44 @@
   readonly snapshotIndex: number;
   readonly members: MemberList;
   /**
-   * True while this member leads and no other member can: a majority promised
-   * to elect nobody else before the lease ends.
+   * True while this member leads and no other member can be elected: a majority
+   * of voters promised to elect no other member before the lease ends.
    */
   readonly leaseValid: boolean;
-  /** Set once storage failed: the member has stopped for good. */
+  /** Reason for which storage failed. The member has stopped. */
   readonly failure?: string;
 }
 
-/** Times and sizes of one group; all members use the same. */
+/** Timings and limits of a group; all members must use the same values. */
 export interface ConsensusTimings {
   readonly heartbeatIntervalMs: number;
-  /** Shortest silence of a leader after which members elect another. */
+  /**
+   * Members start an election after at least this long without leader contact.
+   */
   readonly electionTimeoutMs: number;
-  /** Largest relative error of a monotonic clock's rate, such as 0.02. */
+  /** Maximum relative error of the rate of a monotonic clock, such as 0.02. */
   readonly clockDriftAllowance: number;
-  /** A snapshot is taken after so many applied entries. */
+  /** Number of applied entries after which a snapshot is taken. */
   readonly snapshotEveryEntries: number;
   /**
-   * A snapshot is also taken after applied entries of so many bytes, or of
-   * twice the last snapshot's size if that is more, so that a log of long
-   * commands doesn't outgrow the disk, and writing snapshots stays below half
-   * of writing the log.
+   * A snapshot is also taken after applied entries of this many bytes, or of
+   * twice the size of the last snapshot if that is more. So a log of long
+   * commands does not fill the disk, and snapshots write less than half as many
+   * bytes as the log.
    */
   readonly snapshotEveryBytes: number;
-  /** Entries kept behind a snapshot for followers that lag a little. */
+  /** Entries retained before a snapshot for followers that lag slightly. */
   readonly keptEntries: number;
-  /** Limit of the sum of the bytes of these entries. */
+  /** Maximum total size of the retained entries. */
   readonly keptBytes: number;
   readonly snapshotChunkBytes: number;
-  /** Largest sum of entry bytes in one message. */
+  /** Maximum total size of the entries in one message. */
   readonly maxAppendBytes: number;
-  /** Append messages under way to one follower. */
+  /** Maximum number of unacknowledged append messages per follower. */
   readonly maxInflightAppends: number;
 }
 
-/** Timings for members about a millisecond apart. */
+/** Default timings, for members about a millisecond apart. */
 export const DEFAULT_CONSENSUS_TIMINGS: ConsensusTimings = {
   heartbeatIntervalMs: 100,
   electionTimeoutMs: 600,
@@ -195,42 +206,45 @@
 
 /** Settings of one member. */
 export interface ConsensusSettings {
-  /** `host:port` under which the other members reach this one. */
+  /** `host:port` at which the other members reach this one. */
   readonly address: string;
   /**
-   * Addresses of the group's hosts, this one's too. Used when the data folder
-   * is empty, to form the group or to join it; afterwards the log decides.
+   * Seed addresses: hosts of the group, including this one. They are used while
+   * the data folder is empty, to form or join the group; afterwards the member
+   * list in the log applies.
    */
   readonly peers: readonly string[];
   readonly timings: ConsensusTimings;
   /**
-   * When it leads, a member lets hosts of `peers` with empty data folders in:
-   * as learners, then as voters in place of the identity that the same address
-   * had. When false, an operator does that by the changes of the members.
-   * True by default.
+   * If true, this member as leader lets seeds with empty data folders join:
+   * first as learners, then as voters replacing the previous identity at the
+   * same address. If false, an operator makes these membership changes. True by
+   * default.
    */
   readonly automaticJoin?: boolean;
   /**
-   * When false, a member with an empty data folder only joins a group and
+   * If false, a member with an empty data folder joins an existing group but
    * never forms one. True by default.
    */
   readonly mayForm?: boolean;
   /**
-   * When it leads, a member lets hosts in that `peers` doesn't name, in place
-   * of a voter that no longer answers, or beside the others. False by default.
+   * If true, this member as leader also lets hosts that are not in `peers`
+   * join: each replaces a voter that no longer answers, or becomes an
+   * additional voter. False by default.
    */
   readonly openMembership?: boolean;
   /**
-   * Hosts that the group must be able to lose at once. When set, the leader
-   * takes silent voters off the list as long as those left can bear that loss:
-   * a voter that is gone for good counts in each majority, and raises the
-   * number of answers needed. Without it only an operator or a host that joins
-   * takes a voter off.
+   * Number of hosts that may fail at once without the group losing its quorum.
+   * If set, the leader removes unresponsive voters while the remaining voters
+   * still tolerate that many failures: a voter that never returns counts
+   * towards the quorum and so raises the number of acknowledgements needed. If
+   * unset, voters are removed only by an operator or when a joining host
+   * replaces them.
    */
   readonly toleratedLosses?: number;
   /**
-   * This host keeps its log in memory: it receives the log and never votes.
-   * False by default.
+   * If true, this host keeps its log in memory only, receives the log and never
+   * votes. False by default.
    */
   readonly observer?: boolean;
 }
