--- a/packages/lovagepond-consensus/src/consensus_core.ts
+++ b/packages/lovagepond-consensus/src/consensus_core.ts
@@ -1,7 +1,7 @@
 /**
- * The deciding part of consensus: messages, storage results and the present
- * time go in, actions come out. It does no I/O and draws from a seeded
- * generator, so that a test can drive it through any order of events.
+ * Core of consensus: messages, storage results and the current time go in,
+ * actions come out. The core does no I/O and uses a seeded random generator, so
+ * that tests can replay any order of events.
  */
 import {Elector} from './consensus_elector.js';
 import {Follower} from './consensus_follower.js';
@@ -26,12 +26,13 @@
 } from './consensus_types.js';
 
 /**
- * Silence of the leader after which a member asks to be let in again, in
- * election timeouts: a group that has a majority has a new leader by then.
+ * Time without leader contact after which a member asks to join again, in
+ * election timeouts. A group that has a quorum has elected a new leader by
+ * then.
  */
 const REJOIN_AFTER_TIMEOUTS = 3;
 
-/** Where a proposal stands in the log; it is not committed yet. */
+/** Result of proposing an entry; an added entry is not committed yet. */
 export type Proposal =
   | {readonly kind: 'added'; readonly index: number; readonly term: number}
   | {readonly kind: 'notLeader'}
@@ -88,7 +89,7 @@
   readonly #roles: CoreRoles;
 
   /**
-   * @param options what it is built from
+   * @param options input of the member
    * @param now monotonic milliseconds
    */
   constructor(options: CoreOptions, now: number) {
@@ -98,16 +99,20 @@
     this.#roles = {state, elector, follower: new Follower(state)};
   }
 
-  /** @returns the actions collected since the last call, to do in order */
+  /**
+   * @returns the actions collected since the last call, to be performed in
+   *     order
+   */
   takeActions(): readonly ConsensusAction[] {
     return this.#state.outbox.take();
   }
 
   /**
-   * Makes this empty member the author of the group's first member list. May
-   * be called on one member only, and before any has heard of a group.
+   * Appends the first member list of a new group to the empty log of this
+   * member. Call it on one member only, and before any of the members belongs
+   * to a group.
    *
-   * @param members the first members, this one among them
+   * @param members the first members, including this one
    */
   bootstrap(members: MemberList): void {
     const {replica} = this.#state;
@@ -116,7 +121,12 @@
     this.#state.makeElectionDue();
   }
 
-  /** @param now monotonic milliseconds; to be called often */
+  /**
+   * Starts elections and heartbeats that are due. Call it at least once per
+   * heartbeat interval.
+   *
+   * @param now monotonic milliseconds
+   */
   tick(now: number): void {
     const {leadership} = this.#state;
     if (!leadership) this.#roles.elector.tick(now);
@@ -124,7 +134,13 @@
     this.flush(now);
   }
 
-  /** @param now monotonic milliseconds; to be called after each event */
+  /**
+   * Writes and sends pending entries, advances the commit index and answers
+   * confirmed reads. Call it after proposals, membership changes and reads;
+   * `tick`, `receive` and `stored` include it.
+   *
+   * @param now monotonic milliseconds
+   */
   flush(now: number): void {
     const {replica} = this.#state;
     replica.writeNew();
@@ -139,14 +155,14 @@
   }
 
   /**
-   * @param message a message that arrived
+   * @param message a received message
    * @param now monotonic milliseconds
    */
   receive(message: ConsensusMessage, now: number): void {
-    // Another identity once had this address: what it was told, or promised,
-    // binds this member to nothing.
+    // The message is for a previous identity at this address, whose messages
+    // and promises do not bind this member.
     if (message.to !== this.#state.id) return;
-    // A newer version's kind must not stop this member.
+    // A kind that only newer versions know must not stop this member.
     if (!Object.hasOwn(MESSAGE_HANDLERS, message.kind)) return;
     const handler = MESSAGE_HANDLERS[message.kind] as MessageHandler<
       ConsensusMessage['kind']
@@ -169,16 +185,16 @@
   }
 
   /**
-   * @param index the index that `takeSnapshot` named
-   * @param data the state machine's state there
+   * @param index the index in the `takeSnapshot` action
+   * @param data the state of the state machine at that index
    */
   snapshotTaken(index: number, data: Uint8Array): void {
     this.#state.replica.snapshotTaken(index, data);
   }
 
   /**
-   * @param command a command of the state machine
-   * @returns where it stands; `flush` sends it
+   * @param command a command for the state machine
+   * @returns the position in the log; `flush` sends the entry
    */
   propose(command: Uint8Array): Proposal {
     if (!this.#state.leadership) return {kind: 'notLeader'};
@@ -186,15 +202,16 @@
   }
 
   /**
-   * @param change one change of the members
+   * @param change a membership change
    * @param now monotonic milliseconds
-   * @returns where it stands; `flush` sends it
+   * @returns the position in the log; `flush` sends the entry
    */
   changeMembers(change: MemberChange, now: number): Proposal {
     const {leadership, replica} = this.#state;
     if (!leadership) return {kind: 'notLeader'};
-    // Two changes at once, or one beside a forgotten change of an earlier
-    // term, can give two majorities that share no voter: two leaders.
+    // Two concurrent changes, or one next to an uncommitted change from an
+    // earlier term, can result in two majorities without a common voter, and so
+    // in two leaders.
     if (!leadership.hasCommittedInTerm) {
       return {kind: 'refused', reason: CHANGE_REFUSAL.TERM_NOT_COMMITTED};
     }
@@ -203,8 +220,8 @@
     }
     const changed = changeMembers(replica.log.members, change);
     if (!changed.ok) return {kind: 'refused', reason: changed.reason};
-    // A voter that lacks committed entries is no second copy of them: losing
-    // another disk right afterwards would lose acknowledged commands.
+    // A voter that lacks committed entries is no second copy of them. Losing
+    // another disk right after the promotion would lose acknowledged commands.
     if (change.kind === 'promote' && !leadership.isCaughtUp(change.id)) {
       return {kind: 'refused', reason: CHANGE_REFUSAL.NOT_CAUGHT_UP};
     }
@@ -215,8 +232,8 @@
   }
 
   /**
-   * @param token comes back in `readReady` or `readRefused`
-   * @param mayWait it may wait for the next heartbeat
+   * @param token identifies the read in `readReady` or `readRefused`
+   * @param mayWait true if the read may wait for the next heartbeat
    */
   read(token: number, mayWait = false): void {
     const {leadership, outbox} = this.#state;
@@ -226,7 +243,7 @@
 
   /**
    * @param id identity of a learner
-   * @returns true when this member leads and the learner may be promoted
+   * @returns true if this member leads and the learner may be promoted
    */
   isCaughtUp(id: MemberId): boolean {
     return this.#state.leadership?.isCaughtUp(id) ?? false;
@@ -235,7 +252,8 @@
   /**
    * @param id identity of a member
    * @param now monotonic milliseconds
-   * @returns true when this member leads and hears from the other one
+   * @returns true if this member leads and that one replied within an election
+   *     timeout
    */
   isActive(id: MemberId, now: number): boolean {
     return this.#state.leadership?.isActive(id, now) ?? false;
@@ -244,18 +262,21 @@
   /**
    * @param id identity of a member
    * @param now monotonic milliseconds
-   * @returns time since the other one's last answer; 0 unless this one leads
+   * @returns time since the last reply of that member in milliseconds; 0 unless
+   *     this member leads
    */
   timeSinceReplyMs(id: MemberId, now: number): number {
     return this.#state.leadership?.timeSinceReplyMs(id, now) ?? 0;
   }
 
   /**
-   * A member that was taken off the list while it was away hears from nobody,
-   * and never by itself: the leader no longer sends to it.
+   * Detects that this member may have been removed while it was down. The
+   * leader sends nothing to a removed member, so that member has to ask to join
+   * again.
    *
    * @param now monotonic milliseconds
-   * @returns true when it remembers a group and has long heard no leader
+   * @returns true if this member has stored state, does not lead, and had no
+   *     leader contact for several election timeouts
    */
   hasLostLeader(now: number): boolean {
     const {leadership, options} = this.#state;
@@ -264,7 +285,7 @@
     return this.#state.timeSinceLeaderContactMs(now) >= limitMs;
   }
 
-  /** True while this member remembers no group: its storage is empty. */
+  /** True while this member belongs to no group: its storage is empty. */
   get isBlank(): boolean {
     const {term, replica} = this.#state;
     return term === 0 && replica.log.lastIndex === 0;
@@ -272,7 +293,7 @@
 
   /**
    * @param now monotonic milliseconds
-   * @returns what this member knows
+   * @returns the state of this member
    */
   status(now: number): ConsensusStatus {
     const {id, role, term, leader, leadership, replica} = this.#state;
@@ -300,8 +321,9 @@
     const {leadership, replica, term, id} = this.#state;
     if (!leadership) return;
     const index = leadership.majorityIndex();
-    // An entry of an earlier term on a majority can still be overwritten by
-    // another leader; it is committed only by one of the own term after it.
+    // An entry of an earlier term can still be overwritten by another leader
+    // although a majority stores it. It is committed only together with a later
+    // entry of the current term.
     if (replica.log.termAt(index) !== term) return;
     replica.commitTo(index);
     const {members, membersIndex} = replica.log;
--- a/packages/lovagepond-consensus/src/consensus_elector.ts
+++ b/packages/lovagepond-consensus/src/consensus_elector.ts
@@ -1,5 +1,5 @@
 /**
- * Elections: whom this member votes for, and how it is elected itself.
+ * Elections: granting votes and requesting them.
  */
 import {isMajority, isVoter} from './consensus_members.js';
 import {type MemberState, type MessageBody} from './consensus_member_state.js';
@@ -11,13 +11,13 @@
 } from './consensus_messages.js';
 import {MEMBER_ROLE, type MemberId} from './consensus_types.js';
 
-/** The part of a member that deals with votes. */
+/** Handles votes and elections of one member. */
 export class Elector {
   readonly #state: MemberState;
   readonly #granted = new Set<MemberId>();
   #attempt = 0;
 
-  /** @param state the member's state, shared with its other parts */
+  /** @param state state of the member, shared with its other components */
   constructor(state: MemberState) {
     this.#state = state;
   }
@@ -30,7 +30,7 @@
   }
 
   /**
-   * @param message asks whether this member would vote for the sender
+   * @param message a pre-vote request
    * @param now monotonic milliseconds
    */
   onPreVote(message: PreVoteRequest, now: number): void {
@@ -44,7 +44,7 @@
   }
 
   /**
-   * @param message an answer to this member's question
+   * @param message a reply to a pre-vote request of this member
    * @param now monotonic milliseconds
    */
   onPreVoteReply(message: PreVoteReply, now: number): void {
@@ -57,7 +57,7 @@
   }
 
   /**
-   * @param message asks for this member's vote
+   * @param message a vote request
    * @param now monotonic milliseconds
    */
   onVote(message: VoteRequest, now: number): void {
@@ -77,7 +77,7 @@
   }
 
   /**
-   * @param message a vote
+   * @param message a reply to a vote request of this member
    * @param now monotonic milliseconds
    */
   onVoteReply(message: VoteReply, now: number): void {
@@ -88,8 +88,9 @@
   }
 
   /**
-   * Counts the own vote once it is synced. Counted before, a crash could
-   * forget it, and the member would vote again in the same term.
+   * Counts the vote of this member for itself once the vote is synced. Counted
+   * earlier, the vote could be lost in a crash and the member could vote again
+   * in the same term.
    *
    * @param now monotonic milliseconds
    */
@@ -99,11 +100,11 @@
   }
 
   /**
-   * A learner, or a member with an emptied disk that nobody promoted yet,
-   * never tries: it would speak for a log that it doesn't have. A voter whose
-   * removal is not committed yet must try: when only its log holds the
-   * removal, the voters left can't be elected against that longer log, and the
-   * group would stand still.
+   * A learner, such as a member that lost its disk and was not promoted yet,
+   * must not become a candidate, because its log may be incomplete. A voter
+   * whose removal is not committed yet must be able to: if only its log
+   * contains the removal, the remaining voters can't win an election against
+   * that longer log, and the group would have no leader.
    */
   #mayBeElected(): boolean {
     const {id, replica} = this.#state;
--- a/packages/lovagepond-consensus/src/consensus_follower.ts
+++ b/packages/lovagepond-consensus/src/consensus_follower.ts
@@ -1,26 +1,26 @@
 /**
- * What a member does with a leader's entries and snapshots.
+ * Handling of log entries and snapshots from the leader.
  */
 import {type MemberState} from './consensus_member_state.js';
 import {type AppendRequest, type SnapshotChunk} from './consensus_messages.js';
 import {SnapshotReceiver} from './consensus_snapshot_receiver.js';
 
-/** The part of a member that follows. */
+/** Handles the messages of a leader to one member. */
 export class Follower {
   readonly #state: MemberState;
   readonly #receiver = new SnapshotReceiver();
   #term = 0;
-  /** The latest confirmation round of this term's leader. */
+  /** Latest confirmation round of the leader in this term. */
   #round = 0;
   #ackedIndex = 0;
 
-  /** @param state the member's state, shared with its other parts */
+  /** @param state state of the member, shared with its other components */
   constructor(state: MemberState) {
     this.#state = state;
   }
 
   /**
-   * @param message entries, or none
+   * @param message entries, or a heartbeat without entries
    * @param now monotonic milliseconds
    */
   onAppend(message: AppendRequest, now: number): void {
@@ -33,12 +33,12 @@
       this.#refuse(message, message.prevIndex, result.hintIndex);
       return;
     }
-    // What was written is acknowledged when it is synced, in onStored.
+    // Written entries are acknowledged in onStored, once they are synced.
     if (!result.wrote) this.#acknowledge();
   }
 
   /**
-   * @param message a part of a snapshot
+   * @param message a snapshot chunk
    * @param now monotonic milliseconds
    */
   onSnapshotChunk(message: SnapshotChunk, now: number): void {
@@ -59,7 +59,7 @@
     this.#state.reply(message, {kind: 'snapshotReply', ...progress});
   }
 
-  /** Acknowledges what has become synced. */
+  /** Acknowledges entries that were synced since the last call. */
   onStored(): void {
     const {replica, leader, leadership} = this.#state;
     if (!leader || leadership) return;
--- a/packages/lovagepond-consensus/src/consensus_leadership.ts
+++ b/packages/lovagepond-consensus/src/consensus_leadership.ts
@@ -1,5 +1,5 @@
 /**
- * What a member does while it leads: replication, commits, lease and reads.
+ * Work of a leader: replication, commits, lease and reads.
  */
 import {invariant} from '@lovagepond/core';
 import {sumBytes} from './consensus_log.js';
@@ -24,7 +24,7 @@
   type MemberId,
 } from './consensus_types.js';
 
-/** What a leader needs of the member that leads. */
+/** Interface of the member to its leadership. */
 export interface LeaderView {
   readonly id: MemberId;
   readonly address: string;
@@ -35,23 +35,24 @@
 }
 
 /**
- * Every so many heartbeats one goes to observers: four of them, heard at each,
- * raised the processor time of a quiet fleet of nine entry hosts by half (42 to
- * 68 s in a day of a minute). They still hear the leader several times before
- * they take themselves for forgotten.
+ * Number of heartbeat rounds of which one includes the observers. With all
+ * heartbeats sent to four observers, an idle fleet of nine entry hosts needs
+ * half as much processor time again: 68 s instead of 42 s in a run of a minute.
+ * At this rate observers still have leader contact several times before they
+ * would ask to join again.
  */
 const ROUNDS_PER_OBSERVER_HEARTBEAT = 4;
 
-/** One leader in one term. */
+/** Leadership of one member in one term. */
 export class Leadership {
   readonly #view: LeaderView;
   readonly #rounds: ConfirmationRounds;
   readonly #progress = new Map<MemberId, FollowerProgress>();
-  /** Index of the first entry of the own term. */
+  /** Index of the first entry of this term. */
   readonly #termStart: number;
 
   /**
-   * @param view the member that leads
+   * @param view the leading member
    * @param now monotonic milliseconds
    */
   constructor(view: LeaderView, now: number) {
@@ -61,13 +62,14 @@
     this.updateMembers(now);
   }
 
-  /** True once an entry of the own term is committed. */
+  /** True once an entry of this term is committed. */
   get hasCommittedInTerm(): boolean {
     return this.#view.replica.commitIndex >= this.#termStart;
   }
 
   /**
-   * Takes the log's member list in force over.
+   * Starts tracking new members and stops tracking removed ones, after a change
+   * of the member list in the log.
    *
    * @param now monotonic milliseconds
    */
@@ -86,7 +88,7 @@
 
   /**
    * @param now monotonic milliseconds
-   * @returns false when this member must stop leading
+   * @returns false if this member must step down
    */
   tick(now: number): boolean {
     this.#rounds.recordTick(now);
@@ -94,7 +96,11 @@
     return !this.#rounds.hasLostMajority(now);
   }
 
-  /** @param now monotonic milliseconds; sends what waits to be sent */
+  /**
+   * Sends pending entries and starts a round if a read needs one.
+   *
+   * @param now monotonic milliseconds
+   */
   flush(now: number): void {
     if (this.#rounds.needsRound()) this.#startRound(now);
     for (const member of this.#followers()) this.#sendEntries(member, now);
@@ -108,13 +114,13 @@
     return this.hasCommittedInTerm && this.#rounds.isLeaseValid(now);
   }
 
-  /** @returns the highest index that a majority has synced */
+  /** @returns the highest index that a majority of the voters has synced */
   majorityIndex(): number {
     const {replica, id} = this.#view;
     const {log} = replica;
     return majorityValue(log.members, member => {
-      // The leader counts itself only up to its own sync: an entry counted
-      // earlier could be lost by a crash although it was called committed.
+      // The leader counts itself only up to its synced index. A crash could
+      // lose an entry that counted earlier, after it was reported as committed.
       if (member === id) return this.#view.replica.syncedIndex;
       return this.#progress.get(member)?.match ?? 0;
     });
@@ -122,7 +128,7 @@
 
   /**
    * @param id identity of a follower
-   * @returns true when its synced log holds all that is committed
+   * @returns true if its synced log contains all committed entries
    */
   isCaughtUp(id: MemberId): boolean {
     const match = this.#progress.get(id)?.match ?? 0;
@@ -132,7 +138,8 @@
   /**
    * @param id identity of a member
    * @param now monotonic milliseconds
-   * @returns true for this one, and for one that answered lately
+   * @returns true for this member, and for members that replied within an
+   *     election timeout
    */
   isActive(id: MemberId, now: number): boolean {
     if (id === this.#view.id) return true;
@@ -143,7 +150,8 @@
   /**
    * @param id identity of a member
    * @param now monotonic milliseconds
-   * @returns time since its last answer, or since it was first followed
+   * @returns time since its last reply in milliseconds; before the first one,
+   *     since the leader began to track the member
    */
   timeSinceReplyMs(id: MemberId, now: number): number {
     const progress = this.#progress.get(id);
@@ -158,18 +166,18 @@
 
   /** @returns tokens of the reads that may be answered now */
   takeConfirmedReads(): readonly number[] {
-    // Before a commit in the own term the commit index may lag behind what
-    // earlier leaders committed, and a read would miss acknowledged writes.
+    // Before the first commit of this term, the commit index may be lower than
+    // that of earlier leaders, and a read could miss acknowledged writes.
     return this.hasCommittedInTerm ? this.#rounds.takeConfirmedReads() : [];
   }
 
-  /** @returns tokens of all waiting reads; they will not be answered */
+  /** @returns tokens of all pending reads; none of them will be confirmed */
   takeAllReads(): readonly number[] {
     return this.#rounds.takeAllReads();
   }
 
   /**
-   * @param message a follower's answer in the own term
+   * @param message a reply of a follower in this term
    * @param now monotonic milliseconds
    */
   receiveAppendReply(message: AppendReply, now: number): void {
@@ -185,7 +193,7 @@
   }
 
   /**
-   * @param message a follower's answer in the own term
+   * @param message a reply of a follower in this term
    * @param now monotonic milliseconds
    */
   receiveSnapshotReply(message: SnapshotReply, now: number): void {
@@ -232,7 +240,7 @@
     }
   }
 
-  /** An observer's answer confirms nothing: it only has to know its leader. */
+  /** Observers count towards no quorum. They only need to know the leader. */
   #isHeartbeatDueTo({observer}: Member): boolean {
     return (
       !observer || this.#rounds.current % ROUNDS_PER_OBSERVER_HEARTBEAT === 0
@@ -242,10 +250,11 @@
   #sendHeartbeat(member: Member, now: number): void {
     const progress = this.#progress.get(member.id);
     if (!progress) return;
-    // What is lost on the way is sent again once an answer shows it: a silent
-    // follower may be down for long, and with each heartbeat, all that it lacks
-    // would fill the links (0.37 GB between availability zones in a minute of
-    // some thirty changes, where 0.02 are usual).
+    // Heartbeats carry no entries: lost entries are sent again once a reply
+    // shows the loss. An unresponsive follower may be down for long, and
+    // sending all missing entries with each heartbeat would saturate the links:
+    // 0.37 GB between availability zones in a minute with some thirty changes,
+    // instead of the usual 0.02 GB.
     if (progress.transfer) this.#sendChunk(member, progress.transfer, 0);
     else this.#probe(member, progress, now);
   }
@@ -268,7 +277,10 @@
     this.#probe(member, progress, now);
   }
 
-  /** Asks without entries how far the follower's log matches. */
+  /**
+   * Sends an append message without entries, to find out how far the log of the
+   * follower matches.
+   */
   #probe(member: Member, progress: FollowerProgress, now: number): void {
     const prevIndex = progress.heartbeatIndex;
     const prevTerm = this.#view.replica.log.termAt(prevIndex);
@@ -314,7 +326,11 @@
     now: number,
   ): void {
     const {snapshot} = this.#view.replica;
-    invariant(snapshot !== undefined, 109, 'compacted without a snapshot');
+    invariant(
+      snapshot !== undefined,
+      109,
+      'log is compacted without a snapshot',
+    );
     progress.startTransfer(snapshot);
     this.#sendNextChunk(member, progress, now);
   }
@@ -331,7 +347,7 @@
     this.#sendChunk(member, transfer, snapshotChunkBytes);
   }
 
-  /** Without bytes, it asks how much of the snapshot has arrived. */
+  /** With `bytes` of 0, only asks how much of the snapshot has arrived. */
   #sendChunk(member: Member, transfer: SnapshotTransfer, bytes: number): void {
     const {snapshot, offset} = transfer;
     this.#view.outbox.send(member.address, {
--- a/packages/lovagepond-consensus/src/consensus_member_state.ts
+++ b/packages/lovagepond-consensus/src/consensus_member_state.ts
@@ -1,6 +1,6 @@
 /**
- * What one member is in its term: term and vote, role, leader and the promise
- * it gave to that leader.
+ * State of one member in its term: term, vote, role, leader and the promise not
+ * to vote for others that it gave to the leader.
  */
 import {invariant, type Random} from '@lovagepond/core';
 import {Leadership} from './consensus_leadership.js';
@@ -17,15 +17,16 @@
   type MemberRole,
 } from './consensus_types.js';
 
-/** What a member is built from. */
+/** Input of a member. */
 export interface CoreOptions {
   readonly stored: StoredState;
   readonly address: string;
   readonly timings: ConsensusTimings;
   readonly random: Random;
   /**
-   * After this time no former life of the member promised anything, monotonic
-   * milliseconds; by default up to now.
+   * Time by which any previous run of this member had ended, in monotonic
+   * milliseconds: that run gave no promise to a leader after it. Defaults to
+   * the time at which this member is created.
    */
   readonly previousRunEndedBy?: number;
 }
@@ -35,17 +36,17 @@
   : never;
 
 /**
- * A pre-vote that found no majority is tried again after this part of the time
- * that an election gets. It changes nothing at the others, and when all members
- * were stopped, the first one up asks in vain, and would ask again only when the
- * others have long been up.
+ * A pre-vote without a majority is retried after this fraction of an election
+ * timeout; pre-votes change no state at other members. When all members
+ * restart, the first one gets no reply, and a full timeout would delay the
+ * election until long after the others are up.
  */
 const PRE_VOTE_RETRY_FRACTION = 0.5;
 
 /** A message without its envelope. */
 export type MessageBody = WithoutEnvelope<ConsensusMessage>;
 
-/** Term, role and promises of one member. */
+/** Term, role and voting promise of one member. */
 export class MemberState {
   readonly id: MemberId;
   readonly options: CoreOptions;
@@ -60,7 +61,7 @@
   #electionDue = 0;
 
   /**
-   * @param options what the member is built from
+   * @param options input of the member
    * @param now monotonic milliseconds
    */
   constructor(options: CoreOptions, now: number) {
@@ -70,11 +71,12 @@
     this.replica = new Replica(stored, timings, this.outbox);
     this.#term = stored.hardState.term;
     this.#vote = stored.hardState.vote;
-    // A restarted member forgot which leader it promised to follow. It counts
-    // the end of its former life as contact, so that its vote cuts no lease
-    // short. That holds for a sole voter too: the leader that is removing itself
-    // still leads. Counted from when the process was there and not from when
-    // this member was ready, most of the promise is over by then.
+    // A restarted member does not know which leader it promised to follow, so
+    // it counts the end of its previous run as leader contact: its vote must
+    // not cut a lease short. A sole voter waits as well, because a leader that
+    // is removing itself may still lead. Counting from the end of the previous
+    // run instead of the creation of this member means that most of the promise
+    // has expired by now.
     this.#leaderContact = options.previousRunEndedBy ?? now;
     this.#electionDue = now + this.#firstTimeout(now);
   }
@@ -84,41 +86,42 @@
     return this.#term;
   }
 
-  /** The member voted for in the current term; empty when none. */
+  /** The member voted for in the current term; empty if none. */
   get vote(): MemberId {
     return this.#vote;
   }
 
-  /** What this member does in its term. */
+  /** Role of this member in its term. */
   get role(): MemberRole {
     return this.#role;
   }
 
-  /** The leader of the term, when known. */
+  /** The leader of the term, if known. */
   get leader(): Member | undefined {
     return this.#leader;
   }
 
-  /** Set while this member leads. */
+  /** Leader state; undefined while this member does not lead. */
   get leadership(): Leadership | undefined {
     return this.#leadership;
   }
 
   /**
    * @param now monotonic milliseconds
-   * @returns true when this member should try to be elected
+   * @returns true once the election timeout has expired
    */
   isElectionDue(now: number): boolean {
     return now >= this.#electionDue;
   }
 
   /**
-   * The promise that leases stand on: for an election timeout after a leader's
-   * message no other member gets this one's vote. It also keeps a member that
-   * was cut off, and now asks with a higher term, from deposing that leader.
+   * Leases rely on this promise: for an election timeout after a message from
+   * the leader, this member votes for no other member. The promise also
+   * prevents a member that was partitioned off and requests votes with a higher
+   * term from deposing the leader.
    *
    * @param now monotonic milliseconds
-   * @returns true while this member may vote for nobody else
+   * @returns true while this member must not vote for another member
    */
   isBoundToLeader(now: number): boolean {
     const {electionTimeoutMs} = this.options.timings;
@@ -127,9 +130,10 @@
   }
 
   /**
-   * @param lastIndex the last index of another log
-   * @param lastTerm the term of its last entry
-   * @returns true when that log holds all that this one may have committed
+   * @param lastIndex last index of another log
+   * @param lastTerm term of the last entry of that log
+   * @returns true if that log is at least as up to date as this one, so that it
+   *     contains all entries that this one may have committed
    */
   isUpToDate(lastIndex: number, lastTerm: number): boolean {
     const {log} = this.replica;
@@ -139,7 +143,8 @@
 
   /**
    * @param now monotonic milliseconds
-   * @returns time since a leader's last message, or since the start
+   * @returns time since the last message from a leader in milliseconds; before
+   *     the first one, since the end of the previous run
    */
   timeSinceLeaderContactMs(now: number): number {
     return now - this.#leaderContact;
@@ -150,27 +155,31 @@
     this.#electionDue = now + this.#drawTimeout();
   }
 
-  /** Tries to be elected now, without waiting for the timeout. */
+  /** Makes the next tick start an election. */
   makeElectionDue(): void {
     this.#electionDue = -Infinity;
   }
 
-  /** @param candidate the member that gets the vote of this term */
+  /** @param candidate the member that receives the vote in this term */
   voteFor(candidate: MemberId): void {
     invariant(
       this.#vote === '' || this.#vote === candidate,
       110,
-      'a second vote in one term',
+      'second vote in one term',
     );
     this.#setHardState(this.#term, candidate);
   }
 
   /**
-   * @param term a higher term, seen in a message
+   * @param term a higher term, received in a message
    * @param now monotonic milliseconds
    */
   adoptTerm(term: number, now: number): void {
-    invariant(term > this.#term, 111, 'a term went back');
+    invariant(
+      term > this.#term,
+      111,
+      'adopted term is not higher than the current one',
+    );
     this.stepDown(now);
     this.#setHardState(term, '');
     this.replica.resetVerified();
@@ -183,7 +192,7 @@
     this.#electionDue = now + this.#drawTimeout() * PRE_VOTE_RETRY_FRACTION;
   }
 
-  /** Starts a term of its own, with its own vote. */
+  /** Starts a new term and votes for itself. */
   becomeCandidate(): void {
     this.#role = MEMBER_ROLE.CANDIDATE;
     this.#setHardState(this.#term + 1, this.id);
@@ -203,9 +212,9 @@
   }
 
   /**
-   * @param message a message from the leader of its term
+   * @param message a message from a leader
    * @param now monotonic milliseconds
-   * @returns false when the sender's term is over
+   * @returns false if the term of the sender is over
    */
   follow(
     message: Pick<ConsensusMessage, 'from' | 'fromAddress' | 'term'>,
@@ -222,7 +231,11 @@
     return true;
   }
 
-  /** @param now monotonic milliseconds; ends leading or trying to */
+  /**
+   * Ends leadership or candidacy.
+   *
+   * @param now monotonic milliseconds
+   */
   stepDown(now: number): void {
     this.#role = MEMBER_ROLE.FOLLOWER;
     this.#setLeader(undefined);
@@ -248,8 +261,9 @@
   }
 
   /**
-   * @param message the message to answer; its sender may be in no list yet
-   * @param body the answer, sent once term and vote are synced
+   * @param message the message to reply to; its sender may not be in the member
+   *     list yet
+   * @param body the reply, sent once term and vote are synced
    */
   reply(
     message: Pick<ConsensusMessage, 'from' | 'fromAddress'>,
@@ -272,15 +286,19 @@
     this.outbox.push({kind: 'leaderChanged', leader});
   }
 
-  /** All members may start at once, and must not ask at the same moment. */
+  /**
+   * Random, because members that start together must not start elections
+   * together.
+   */
   #firstTimeout(now: number): number {
     const {timings, random} = this.options;
     const {electionTimeoutMs} = timings;
-    const boundMs = electionTimeoutMs - this.timeSinceLeaderContactMs(now);
-    return Math.max(0, boundMs) + electionTimeoutMs * random.next();
+    const remainingPromiseMs =
+      electionTimeoutMs - this.timeSinceLeaderContactMs(now);
+    return Math.max(0, remainingPromiseMs) + electionTimeoutMs * random.next();
   }
 
-  /** Drawn anew each time, so that members don't ask at the same moment. */
+  /** Random for each call, so that members do not start elections together. */
   #drawTimeout(): number {
     const {timings, random} = this.options;
     return timings.electionTimeoutMs * (1 + random.next());
--- a/packages/lovagepond-consensus/src/consensus_outbox.ts
+++ b/packages/lovagepond-consensus/src/consensus_outbox.ts
@@ -1,21 +1,20 @@
 /**
- * What the deciding part wants done, in order, and which messages wait until
- * something is synced.
+ * Actions of the core in their order, and messages that wait for a sync.
  */
 import {type ConsensusMessage} from './consensus_messages.js';
 import {type StorageWrite} from './consensus_storage.js';
 import {type LogEntry, type Member, type Snapshot} from './consensus_types.js';
 
-/** Something for the shell to do. Actions are carried out in order. */
+/** An action for the node. Actions are performed in order. */
 export type ConsensusAction =
   | {
       readonly kind: 'send';
       readonly address: string;
       readonly message: ConsensusMessage;
     }
-  /** To be answered by `stored(id)`, in the order of the ids. */
+  /** The node reports completion by `stored(id)`, in the order of the ids. */
   | {readonly kind: 'write'; readonly id: number; readonly write: StorageWrite}
-  /** As `write`, in the same order. */
+  /** Reported like `write`, in the same order. */
   | {
       readonly kind: 'saveSnapshot';
       readonly id: number;
@@ -24,10 +23,13 @@
   /** Committed entries that follow those applied before. */
   | {readonly kind: 'apply'; readonly entries: readonly LogEntry[]}
   | {readonly kind: 'restore'; readonly snapshot: Snapshot}
-  /** To be answered at once by `snapshotTaken`. */
+  /** The node replies immediately by `snapshotTaken`. */
   | {readonly kind: 'takeSnapshot'; readonly index: number}
   | {readonly kind: 'leaderChanged'; readonly leader: Member | undefined}
-  /** This member no longer leads: its open proposals are unknown. */
+  /**
+   * This member lost leadership: the outcome of its pending proposals is
+   * unknown.
+   */
   | {readonly kind: 'leadershipLost'}
   | {
       readonly kind: 'readReady';
@@ -42,7 +44,7 @@
   readonly message: ConsensusMessage;
 }
 
-/** Collects actions, numbers writes, and holds back messages. */
+/** Collects actions, numbers writes, and defers messages until a sync. */
 export class Outbox {
   #actions: ConsensusAction[] = [];
   #deferred: DeferredMessage[] = [];
@@ -50,14 +52,14 @@
   #termWrite = 0;
   #storedWrite = 0;
 
-  /** @param action what is to be done next */
+  /** @param action the next action */
   push(action: ConsensusAction): void {
     this.#actions.push(action);
   }
 
   /**
    * @param write a change of the stored state
-   * @returns the write's id, higher than all before
+   * @returns the id of the write, higher than all before
    */
   write(write: StorageWrite): number {
     this.#lastWrite += 1;
@@ -67,8 +69,8 @@
   }
 
   /**
-   * @param snapshot what to store
-   * @returns the write's id, higher than all before
+   * @param snapshot the snapshot to store
+   * @returns the id of the write, higher than all before
    */
   saveSnapshot(snapshot: Snapshot): number {
     this.#lastWrite += 1;
@@ -77,20 +79,20 @@
   }
 
   /**
-   * @param address where the receiver is reached
-   * @param message what it gets
+   * @param address address of the receiver
+   * @param message the message
    */
   send(address: string, message: ConsensusMessage): void {
     this.push({kind: 'send', address, message});
   }
 
   /**
-   * Sends once term and vote are synced. A vote or a term that left before its
-   * sync could be given again, to another, after a crash: two leaders in one
-   * term.
+   * Sends the message once term and vote are synced. A term or vote that is
+   * sent before could be lost in a crash, and the member could then vote for
+   * another candidate in the same term, which would lead to two leaders.
    *
-   * @param address where the receiver is reached
-   * @param message what it gets
+   * @param address address of the receiver
+   * @param message the message
    */
   sendWhenTermStored(address: string, message: ConsensusMessage): void {
     if (this.isTermStored) {
@@ -100,7 +102,7 @@
     this.#deferred.push({write: this.#termWrite, address, message});
   }
 
-  /** True when the latest term and vote are synced. */
+  /** True if the latest term and vote are synced. */
   get isTermStored(): boolean {
     return this.#termWrite <= this.#storedWrite;
   }
@@ -126,12 +128,12 @@
   lastIndex: number;
 }
 
-/** The last index of the log that is known to be synced. */
+/** Tracks the last log index that is synced. */
 export class SyncedIndex {
   #index: number;
   #pending: PendingWrite[] = [];
 
-  /** @param index the last index found in storage */
+  /** @param index last log index at the time storage was opened */
   constructor(index: number) {
     this.#index = index;
   }
@@ -142,16 +144,16 @@
   }
 
   /**
-   * @param id a write
-   * @param lastIndex the log's last index once it is synced
+   * @param id id of a write
+   * @param lastIndex last log index once this write is synced
    */
   wrote(id: number, lastIndex: number): void {
     this.#pending.push({id, lastIndex});
   }
 
   /**
-   * A write under way that holds replaced entries must not count for those
-   * that replaced them.
+   * Lowers the indexes of pending writes, because a sync of replaced entries
+   * says nothing about the entries that replaced them.
    *
    * @param from entries from this index on are replaced
    */
--- a/packages/lovagepond-consensus/src/consensus_progress.ts
+++ b/packages/lovagepond-consensus/src/consensus_progress.ts
@@ -1,75 +1,85 @@
 /**
- * What a leader knows of one follower's log.
+ * Replication progress of one follower, as tracked by the leader.
  */
 import {type Snapshot} from './consensus_types.js';
 
-/** How the leader sends to a follower. */
+/** Modes of sending to a follower. */
 export const PROGRESS_MODE = {
-  /** The follower's log is not known yet: one message at a time. */
+  /** The matching index of the follower is unknown: one message at a time. */
   PROBE: 'probe',
-  /** Its log matches: messages follow each other without waiting. */
+  /** The log of the follower matches: messages are pipelined. */
   REPLICATE: 'replicate',
-  /** It lacks entries that are compacted: it gets a snapshot. */
+  /** The follower lacks compacted entries: it receives a snapshot. */
   SNAPSHOT: 'snapshot',
 } as const;
 
 /** One of the values of {@link PROGRESS_MODE}. */
 export type ProgressMode = (typeof PROGRESS_MODE)[keyof typeof PROGRESS_MODE];
 
-/** A snapshot on its way to a follower. */
+/** A snapshot transfer to a follower. */
 export interface SnapshotTransfer {
   readonly snapshot: Snapshot;
   offset: number;
 }
 
-/** Entries that left for a follower and aren't acknowledged yet. */
+/** Entries sent to a follower and not acknowledged yet. */
 interface InflightAppend {
   readonly lastIndex: number;
   readonly bytes: number;
-  /** When they left, monotonic milliseconds. */
+  /** Time of sending, monotonic milliseconds. */
   readonly sentAt: number;
 }
 
 /**
- * Bytes of entries under way at which the next message waits for an
- * acknowledgement. A short message overtakes a long one on its way, is refused,
- * and everything is sent again: a member that returns with an empty disk would
- * receive its log many times over. What is this short arrives in order.
+ * Total size of unacknowledged entries, in bytes, at which the next message
+ * waits for an acknowledgement. Messages may be reordered: when a short one
+ * overtakes a long one, the follower refuses it and the leader sends everything
+ * again, so a member that returns with an empty disk would receive its log many
+ * times. Messages below this size arrive in order.
  */
 const MAX_INFLIGHT_BYTES = 16 * 1024;
 
 /**
- * Time after which a follower that answers, and hasn't got what was sent, is
- * sent it again, milliseconds: many times the way of a full message on a slow
- * link (256 KiB at 100 Mbit/s are 21 ms). Sent again with each heartbeat, long
- * messages would queue faster than the follower takes them in.
+ * Time after which unacknowledged entries are sent again to a follower that
+ * replies, in milliseconds. The value is many times the transfer time of a full
+ * message on a slow link (21 ms for 256 KiB at 100 Mbit/s). Resending with each
+ * heartbeat would queue long messages faster than the follower can receive
+ * them.
  */
 const RESEND_AFTER_MS = 400;
 
-/** One follower as its leader sees it. */
+/** Replication progress of one follower. */
 export class FollowerProgress {
-  /** The last index that is synced at the follower and equals the leader's. */
+  /**
+   * Last index up to which the synced log of the follower matches that of the
+   * leader.
+   */
   match = 0;
-  /** The index to send next. */
+  /** Next index to send. */
   next: number;
-  /** The last confirmation round that the follower answered. */
+  /** Latest confirmation round acknowledged by the follower. */
   ackedRound = 0;
-  /** When it last answered, monotonic milliseconds; undefined before. */
+  /**
+   * Time of the last reply, monotonic milliseconds; undefined before the first
+   * reply.
+   */
   lastReplyAt: number | undefined;
   mode: ProgressMode = PROGRESS_MODE.PROBE;
   transfer: SnapshotTransfer | undefined;
-  /** A message is under way for which the leader waits. */
+  /** True while the leader waits for the reply to a probe or chunk. */
   waiting = false;
   #inflight: readonly InflightAppend[] = [];
-  /** When the last part of a snapshot left, monotonic milliseconds. */
+  /** Time of sending the last snapshot chunk, monotonic milliseconds. */
   #chunkSentAt = 0;
 
-  /** When the leader began to follow it, monotonic milliseconds. */
+  /**
+   * Time when the leader began to track the follower, monotonic milliseconds.
+   */
   readonly trackedSince: number;
 
   /**
-   * @param next the index to try first
-   * @param trackedSince present time, monotonic milliseconds
+   * @param next first index to try
+   * @param trackedSince current time, monotonic milliseconds
    */
   constructor(next: number, trackedSince: number) {
     this.next = next;
@@ -77,8 +87,8 @@
   }
 
   /**
-   * @param limit messages that may be under way
-   * @returns true when another message with entries may leave
+   * @param limit maximum number of unacknowledged messages
+   * @returns true if another message with entries may be sent
    */
   hasRoom(limit: number): boolean {
     if (this.mode !== PROGRESS_MODE.REPLICATE) return !this.waiting;
@@ -87,31 +97,35 @@
   }
 
   /**
-   * The index up to which a heartbeat asks whether the logs are equal. Entries
-   * under way are left out: a heartbeat overtakes them and would be refused.
+   * The index at which a heartbeat compares the logs. Unacknowledged entries
+   * are left out: a heartbeat overtakes them and would be refused.
    */
   get heartbeatIndex(): number {
     return this.#inflight.length > 0 ? this.match : this.next - 1;
   }
 
   /**
-   * @param lastIndex the last entry of a message that leaves now
-   * @param bytes sum of its entries' data
-   * @param sentAt present time, monotonic milliseconds
+   * @param lastIndex index of the last entry in the sent message
+   * @param bytes total size of the data of its entries
+   * @param sentAt current time, monotonic milliseconds
    */
   sentEntries(lastIndex: number, bytes: number, sentAt: number): void {
     this.#inflight = [...this.#inflight, {lastIndex, bytes, sentAt}];
     this.next = lastIndex + 1;
   }
 
-  /** @param now monotonic milliseconds; a part of a snapshot leaves */
+  /**
+   * Records that a snapshot chunk was sent.
+   *
+   * @param now monotonic milliseconds
+   */
   sentChunk(now: number): void {
     this.waiting = true;
     this.#chunkSentAt = now;
   }
 
   /**
-   * @param matchIndex the follower's log is synced and equal up to here
+   * @param matchIndex index up to which the synced log of the follower matches
    * @param now monotonic milliseconds
    */
   accepted(matchIndex: number, now: number): void {
@@ -135,9 +149,9 @@
   }
 
   /**
-   * @param refusedIndex the index before the entries that were refused
-   * @param hintIndex where the follower proposes to try
-   * @returns false for a late refusal that says nothing new
+   * @param refusedIndex the index before the refused entries
+   * @param hintIndex the index that the follower proposes to try
+   * @returns false for a late refusal without new information
    */
   refused(refusedIndex: number, hintIndex: number): boolean {
     if (refusedIndex <= this.match || refusedIndex >= this.next) return false;
@@ -149,7 +163,7 @@
     return true;
   }
 
-  /** @param snapshot what the follower needs before any entry */
+  /** @param snapshot the snapshot that the follower needs before any entry */
   startTransfer(snapshot: Snapshot): void {
     this.mode = PROGRESS_MODE.SNAPSHOT;
     this.transfer = {snapshot, offset: 0};
@@ -158,17 +172,17 @@
   }
 
   /**
-   * @param nextOffset how much of the snapshot the follower has
+   * @param nextOffset number of snapshot bytes that the follower has received
    * @param now monotonic milliseconds
    */
   receivedChunk(nextOffset: number, now: number): void {
     const {transfer} = this;
     if (!transfer) return;
-    // With all bytes received, the follower only has to sync.
+    // The follower has received all bytes and only has to sync them.
     if (nextOffset >= transfer.snapshot.data.length) return;
     const hasMore = nextOffset > transfer.offset;
-    // An earlier answer, or one to a heartbeat that overtook the part, says
-    // nothing of what is under way.
+    // A late reply, or one to a heartbeat that overtook the chunk, does not
+    // show whether the chunk was lost.
     if (!hasMore && now - this.#chunkSentAt < RESEND_AFTER_MS) return;
     transfer.offset = nextOffset;
     this.waiting = false;
--- a/packages/lovagepond-consensus/src/consensus_replica.ts
+++ b/packages/lovagepond-consensus/src/consensus_replica.ts
@@ -1,6 +1,6 @@
 /**
- * One member's copy of the log and of the state: what it holds, what of it is
- * synced, committed and applied, and its snapshots.
+ * The replica of one member: its log with the written, synced and committed
+ * indexes, and its snapshots.
  */
 import {invariant} from '@lovagepond/core';
 import {ReplicatedLog, sumBytes} from './consensus_log.js';
@@ -13,7 +13,7 @@
   type Snapshot,
 } from './consensus_types.js';
 
-/** What a follower answers to entries. */
+/** Result of appending entries on a follower. */
 export type AppendResult =
   | {readonly accepted: true; readonly wrote: boolean}
   | {readonly accepted: false; readonly hintIndex: number};
@@ -23,7 +23,7 @@
   readonly snapshot: Snapshot;
 }
 
-/** A member's copy of the log and of the state. */
+/** Log and snapshot of one member. */
 export class Replica {
   readonly log: ReplicatedLog;
   readonly #outbox: Outbox;
@@ -32,10 +32,12 @@
   #snapshot: Snapshot | undefined;
   #pendingSnapshot: PendingSnapshot | undefined;
   #commitIndex: number;
-  /** The log equals the leader's of this term up to here. */
+  /** Index up to which the log matches that of the leader in this term. */
   #verifiedIndex: number;
   #writtenIndex: number;
-  /** Bytes of the entries committed since the last snapshot was asked for. */
+  /**
+   * Total size of the entries committed since the last snapshot was requested.
+   */
   #bytesSinceSnapshot = 0;
 
   constructor(stored: StoredState, timings: ConsensusTimings, outbox: Outbox) {
@@ -52,38 +54,38 @@
     if (snapshot) outbox.push({kind: 'restore', snapshot});
   }
 
-  /** Index up to which the log is committed and handed to be applied. */
+  /** Commit index; entries up to it are passed on to be applied. */
   get commitIndex(): number {
     return this.#commitIndex;
   }
 
-  /** Last index of the log that is synced. */
+  /** Last log index that is synced. */
   get syncedIndex(): number {
     return this.#synced.index;
   }
 
-  /** Last index that is synced and known to equal the leader's log. */
+  /** Last log index that is synced and known to match the log of the leader. */
   get ackIndex(): number {
     return Math.min(this.#verifiedIndex, this.#synced.index);
   }
 
-  /** The latest snapshot that may be sent to others. */
+  /** Latest stored or installed snapshot, which may be sent to followers. */
   get snapshot(): Snapshot | undefined {
     return this.#snapshot;
   }
 
-  /** Forgets what was known to equal the leader's log: the term changed. */
+  /** Resets the verified index after a change of the term. */
   resetVerified(): void {
     this.#verifiedIndex = this.#commitIndex;
   }
 
   /**
-   * Adds an entry of this leader; `writeNew` then stores it.
+   * Appends an entry as leader; `writeNew` stores it.
    *
-   * @param kind what the entry holds
-   * @param data the entry's data
-   * @param term the leader's term
-   * @returns the entry's index
+   * @param kind kind of the entry
+   * @param data data of the entry
+   * @param term term of the leader
+   * @returns the index of the entry
    */
   add(kind: EntryKind, data: Uint8Array, term: number): number {
     const index = this.log.lastIndex + 1;
@@ -91,7 +93,7 @@
     return index;
   }
 
-  /** Writes, as one batch, the entries added since the last call. */
+  /** Writes the entries added since the last call as one batch. */
   writeNew(): void {
     if (this.#writtenIndex === this.log.lastIndex) return;
     const entries = this.log.slice(this.#writtenIndex + 1, this.log.lastIndex);
@@ -100,7 +102,7 @@
 
   /**
    * @param message entries from the leader of the current term
-   * @returns whether they fit the log
+   * @returns whether the entries were accepted
    */
   receive(message: AppendRequest): AppendResult {
     const {prevIndex, prevTerm, entries} = message;
@@ -120,11 +122,15 @@
     return {accepted: true, wrote: firstNew !== undefined};
   }
 
-  /** @param index the log is committed up to here */
+  /** @param index the new commit index */
   commitTo(index: number): void {
     if (index <= this.#commitIndex) return;
     const entries = this.log.slice(this.#commitIndex + 1, index);
-    invariant(entries.at(-1)?.index === index, 105, 'commit past the log');
+    invariant(
+      entries.at(-1)?.index === index,
+      105,
+      'commit index beyond the last entry',
+    );
     this.#commitIndex = index;
     this.#bytesSinceSnapshot += sumBytes(entries);
     this.#outbox.push({kind: 'apply', entries});
@@ -132,22 +138,26 @@
   }
 
   /**
-   * @param index the index asked for
-   * @param data the state machine's state there
+   * @param index the requested index
+   * @param data state of the state machine at that index
    */
   snapshotTaken(index: number, data: Uint8Array): void {
     const term = this.log.termAt(index);
-    invariant(term !== undefined, 106, 'a snapshot outside of the log');
+    invariant(term !== undefined, 106, 'snapshot index is not in the log');
     const members = this.log.membersAt(index);
     const snapshot = {index, term, members, data};
     const write = this.#outbox.saveSnapshot(snapshot);
     this.#pendingSnapshot = {write, snapshot};
   }
 
-  /** @param snapshot a leader's snapshot, newer than the commit index */
+  /** @param snapshot a snapshot from the leader, newer than the commit index */
   install(snapshot: Snapshot): void {
     const {index, term} = snapshot;
-    invariant(index > this.#commitIndex, 107, 'an old snapshot installed');
+    invariant(
+      index > this.#commitIndex,
+      107,
+      'installed snapshot is not newer',
+    );
     if (this.log.termAt(index) !== term) {
       this.#synced.truncated(this.#commitIndex + 1);
       this.log.reset(snapshot);
@@ -185,7 +195,11 @@
   #replaceFrom(index: number, entries: AppendRequest['entries']): void {
     const conflict = index <= this.log.lastIndex;
     if (conflict) {
-      invariant(index > this.#verifiedIndex, 108, "a leader's log changed");
+      invariant(
+        index > this.#verifiedIndex,
+        108,
+        'leader replaced verified entries',
+      );
       this.log.truncate(index);
       this.#synced.truncated(index);
     }
@@ -194,7 +208,10 @@
     this.#write({...(conflict && {truncateFrom: index}), entries: added});
   }
 
-  /** Skips a whole term at a time, so that a long divergence ends soon. */
+  /**
+   * Skips a whole term at a time, so that few messages are needed to find the
+   * matching index after a long divergence.
+   */
   #hintBefore(index: number): number {
     if (index > this.log.lastIndex) return this.log.lastIndex;
     const term = this.log.termAt(index);
--- a/packages/lovagepond-consensus/src/consensus_rounds.ts
+++ b/packages/lovagepond-consensus/src/consensus_rounds.ts
@@ -1,9 +1,10 @@
 /**
- * Confirmation rounds: how a leader knows that it still leads.
+ * Confirmation rounds, by which a leader verifies that it still leads.
  *
- * Each heartbeat starts a round; followers return its number. When a majority
- * has answered a round, nobody else led at the round's start, and those who
- * answered elect nobody for an election timeout after it.
+ * Each heartbeat starts a round, and followers echo its number. Once a majority
+ * has replied to a round, no other member led when the round started, and the
+ * members that replied vote for no other member for an election timeout after
+ * that start.
  */
 import {type ConsensusTimings} from './consensus_types.js';
 
@@ -14,19 +15,20 @@
 
 interface PendingRead {
   readonly token: number;
-  /** The first round that started after the read arrived. */
+  /** First round that starts after the read arrived. */
   readonly round: number;
-  /** It is answered by the next heartbeat's round. */
+  /** The read may wait for the round of the next heartbeat. */
   readonly mayWait: boolean;
 }
 
 /**
- * The lease must end before a follower's promise does: the leader's clock may
- * be slow and the follower's fast, each by the allowance. Without the factor a
- * deposed leader still answers reads that miss its successor's commits.
+ * The lease must end before the promises of the followers do. The clock of the
+ * leader may be slow and that of a follower fast, each by the allowance.
+ * Without this factor, a deposed leader would still answer reads that miss
+ * commits of its successor.
  *
- * @param timings times of the group
- * @returns length of a lease on the leader's clock, milliseconds
+ * @param timings timings of the group
+ * @returns duration of a lease on the clock of the leader, milliseconds
  */
 function leaseLengthMs(timings: ConsensusTimings): number {
   const drift = timings.clockDriftAllowance;
@@ -34,12 +36,12 @@
 }
 
 /**
- * A leader whose own loop stood still for longer than this part of an election
- * timeout may have its followers' answers unread before it.
+ * Fraction of an election timeout. If the event loop of the leader stalls for
+ * longer, replies of followers may be waiting unread.
  */
 const STALL_FRACTION = 0.4;
 
-/** The rounds of one leader in one term, and the reads that wait for them. */
+/** Rounds of one leader in one term, and the reads that wait for them. */
 export class ConfirmationRounds {
   readonly #timings: ConsensusTimings;
   readonly #leaderSince: number;
@@ -48,7 +50,10 @@
   #confirmed = 0;
   #confirmedAt = -Infinity;
   #tickedAt: number;
-  /** When the leader's own stall ended, and the round that it was granted for. */
+  /**
+   * End of the last stall that was excused, and the confirmed round at that
+   * time.
+   */
   #stalledUntil = -Infinity;
   #stalledRound = -1;
   #reads: PendingRead[] = [];
@@ -60,13 +65,14 @@
   }
 
   /**
-   * Taking over after a stop of all processes, a leader reads and passes on what
-   * a dozen engines hold: it stood still for 0.3 s, gave up a group that was
-   * well, and callers were refused for half a second more. So a stall of its own
-   * doesn't count as the followers' silence, once between two confirmed rounds.
-   * The lease isn't lengthened: it ends by the clock.
+   * Excuses a stall of the leader's own event loop: the time does not count as
+   * missing replies, once between two confirmed rounds. A leader that takes
+   * over after a restart of all processes reads and forwards the state of a
+   * dozen engines, which stalls it for 0.3 s. It would then step down although
+   * the group is healthy, and callers would be refused for another half second.
+   * The lease is not extended and ends by the clock.
    *
-   * @param now monotonic milliseconds; to be called with each tick
+   * @param now monotonic milliseconds; call it with each tick
    */
   recordTick(now: number): void {
     const stallMs = now - this.#tickedAt;
@@ -85,7 +91,7 @@
 
   /**
    * @param now monotonic milliseconds
-   * @returns true when the next heartbeat is due
+   * @returns true if the next heartbeat is due
    */
   isHeartbeatDue(now: number): boolean {
     const last = this.#rounds.at(-1)?.startedAt ?? -Infinity;
@@ -98,7 +104,7 @@
     this.#rounds.push({number: this.#current, startedAt: now});
   }
 
-  /** @param round a majority has answered this round, or a later one */
+  /** @param round the latest round that a majority has replied to */
   confirm(round: number): void {
     if (round <= this.#confirmed) return;
     this.#confirmed = round;
@@ -117,7 +123,7 @@
 
   /**
    * @param now monotonic milliseconds
-   * @returns true when no majority answered for an election timeout
+   * @returns true if no majority has replied for an election timeout
    */
   hasLostMajority(now: number): boolean {
     const contact = Math.max(
@@ -129,16 +135,16 @@
   }
 
   /**
-   * @param token the caller's number for a read that arrives now
-   * @param mayWait the read may wait for the next heartbeat: with a round for
-   *     each read, 27 gateways that ask twice a second had a group of eight
-   *     send three times the messages of its heartbeats
+   * @param token identifies a read that arrives now
+   * @param mayWait true if the read may wait for the next heartbeat. With a
+   *     round for each read, a group of eight members sends three times the
+   *     messages of its heartbeats when 27 gateways read twice a second.
    */
   addRead(token: number, mayWait: boolean): void {
     this.#reads.push({token, round: this.#current + 1, mayWait});
   }
 
-  /** @returns true when a read needs a round now and none is under way */
+  /** @returns true if a read needs a round now and none is in progress */
   needsRound(): boolean {
     const underWay = this.#reads.some(
       read => read.round <= this.#current && read.round > this.#confirmed,
@@ -148,7 +154,7 @@
     return !underWay && this.#reads.some(needs);
   }
 
-  /** @returns tokens of the reads that are confirmed now */
+  /** @returns tokens of the reads that are confirmed by now */
   takeConfirmedReads(): readonly number[] {
     const done = this.#reads.filter(read => read.round <= this.#confirmed);
     if (done.length === 0) return [];
@@ -156,7 +162,7 @@
     return done.map(read => read.token);
   }
 
-  /** @returns tokens of all reads; they will not be answered */
+  /** @returns tokens of all pending reads; none of them will be confirmed */
   takeAllReads(): readonly number[] {
     const tokens = this.#reads.map(read => read.token);
     this.#reads = [];
