--- a/packages/lovagepond-consensus/src/consensus_formation.ts
+++ b/packages/lovagepond-consensus/src/consensus_formation.ts
@@ -1,12 +1,12 @@
 /**
- * How hosts without a group form one, or join the one there is.
+ * Forming a group, or joining the existing one.
  *
- * A host whose disk was emptied must not form a second group beside the one
- * that it has forgotten. So only one host may form a group: the seed with the
- * lowest address among those that have a disk, and only after every other seed
- * said in the same round that it remembers none. When one of them doesn't
- * answer, it waits. When no seed has a disk, the lowest of them appoints one
- * host that has, and never another.
+ * A host that lost its disk must not form a second group beside the one that it
+ * belonged to. So only one host may form a group: the seed with the lowest
+ * address among those with a disk, and only after all other seeds replied in
+ * the same round that they belong to no group. If a seed does not reply, the
+ * host waits. If no seed has a disk, the seed with the lowest address appoints
+ * one host with a disk, and never another one.
  */
 import {
   type FormationMessage,
@@ -19,26 +19,31 @@
   type MemberList,
 } from './consensus_types.js';
 
-/** What formation reads of its member. */
+/** Interface of the member to its formation. */
 export interface FormationView {
   readonly id: MemberId;
   readonly address: string;
-  /** The seeds: hosts that are told to all at the first start. */
+  /** Seed addresses, which are configured at all hosts for the first start. */
   readonly peers: readonly string[];
   readonly helloIntervalMs: number;
   readonly mayForm: boolean;
-  /** This host has no disk. */
+  /** True if this host has no disk. */
   readonly observer: boolean;
   isBlank(): boolean;
-  /** True when it remembers a group that seems to have forgotten it. */
+  /**
+   * True if this member belongs to a group but has long had no leader contact,
+   * so that it may have been removed.
+   */
   hasLostLeader(now: number): boolean;
   isLeading(): boolean;
   members(): MemberList;
-  /** True when this host leads and the member answered lately. */
+  /**
+   * True if this host leads and the member replied within an election timeout.
+   */
   isActive(id: MemberId): boolean;
 }
 
-/** Something for the shell to do. */
+/** An action for the node to perform. */
 export type FormationAction =
   | {
       readonly kind: 'send';
@@ -46,29 +51,35 @@
       readonly message: FormationMessage;
     }
   | {readonly kind: 'bootstrap'; readonly members: MemberList}
-  /** A host that is no member wants to be one. */
+  /** A host that is not a member asks to join. */
   | {readonly kind: 'join'; readonly hello: HelloRequest};
 
-/** Round of a wish that a member passed on; a host's own begin with 1. */
+/**
+ * Round number of a join request that a member forwarded. The rounds of a host
+ * start at 1.
+ */
 export const FORWARDED_ROUND = 0;
 
 /**
- * Time between two introductions of a leader to the hosts that it doesn't hear,
- * milliseconds: short against the second that it takes until all hosts serve
- * again after a stop of all. Some of these hosts may be gone for good.
+ * Time between two announcements of a leader to hosts that do not reply to it,
+ * in milliseconds. It is short compared with the second in which all hosts
+ * serve again after a restart of all. Some of these hosts may never return.
  */
 const ANNOUNCEMENT_INTERVAL_MS = 100;
 
-/** Forms or joins a group while there is none that counts this host in. */
+/** Forms or joins a group while this host belongs to none. */
 export class Formation {
   readonly #view: FormationView;
-  /** The other seeds. */
+  /** Seeds other than this host. */
   readonly #otherSeeds: readonly string[];
-  /** Hosts that said in this round that they remember no group. */
+  /** Hosts that replied in this round that they belong to no group. */
   readonly #blankPeers = new Map<string, Member>();
-  /** Addresses of hosts that said that they have no disk. */
+  /** Addresses of hosts that reported that they have no disk. */
   readonly #observers = new Set<string>();
-  /** Members that said so, while this host knew of no group. */
+  /**
+   * Addresses of members that announced themselves while this host belonged to
+   * no group.
+   */
   readonly #announced = new Set<string>();
   #actions: FormationAction[] = [];
   #round = 0;
@@ -76,7 +87,7 @@
   #nextAnnouncement = -Infinity;
   #appointed: MemberId | undefined;
 
-  /** @param view the member that forms or joins */
+  /** @param view the member that forms or joins a group */
   constructor(view: FormationView) {
     this.#view = view;
     this.#otherSeeds = view.peers.filter(peer => peer !== view.address);
@@ -90,8 +101,8 @@
   }
 
   /**
-   * Members that said that they are there while this host remembers no group:
-   * others that ask it can be sent to them.
+   * Addresses of members that announced themselves while this host belongs to
+   * no group. Callers of this host can be redirected to them.
    */
   get announcedMembers(): readonly string[] {
     return this.#view.isBlank() ? [...this.#announced] : [];
@@ -117,7 +128,7 @@
     this.#bootstrapWhenAllBlank();
   }
 
-  /** @param message a host says that it is there */
+  /** @param message a hello from another host */
   onHello(message: HelloRequest): void {
     const {id, address, observer} = this.#view;
     const blank = this.#view.isBlank();
@@ -134,7 +145,7 @@
     this.#actions.push({kind: 'join', hello: message});
   }
 
-  /** @param message the answer to this host's question */
+  /** @param message a reply to a hello of this host */
   onHelloReply(message: HelloReply): void {
     const {id} = this.#view;
     if (message.to !== id || message.round !== this.#round) return;
@@ -152,9 +163,10 @@
   }
 
   /**
-   * Hosts that started without a memory know the seeds only, and the seeds may
-   * be just such hosts: after a stop of all, those without a disk would ask each
-   * other for the group until the leader gave them up.
+   * Announces this leader to seeds and to members that do not reply. Hosts with
+   * empty storage know only the seeds, and the seeds may all have empty storage
+   * too. After a restart of all hosts, those without a disk would only ask each
+   * other for the group until the leader removed their previous identities.
    */
   #announce(now: number): void {
     if (now < this.#nextAnnouncement) return;
@@ -181,8 +193,8 @@
   }
 
   /**
-   * A second appointment could make a second group, so there is none, even if
-   * the first host is never heard of again.
+   * At most one host is ever appointed, even if that host never replies again:
+   * a second appointment could result in a second group.
    */
   #appoint({from, blank, observer}: HelloRequest): boolean {
     const {address, mayForm, peers} = this.#view;
--- a/packages/lovagepond-consensus/src/consensus_formation_performer.ts
+++ b/packages/lovagepond-consensus/src/consensus_formation_performer.ts
@@ -1,5 +1,5 @@
 /**
- * Carries out what formation decides, at one member.
+ * Performs the actions of group formation at one member.
  */
 import {
   type Formation,
@@ -18,12 +18,12 @@
   type MemberList,
 } from './consensus_types.js';
 
-/** What the performer calls. */
+/** Functions that the performer calls. */
 export interface FormationPerformerDependencies {
   send(address: string, message: FormationMessage): void;
   status(): ConsensusStatus;
   bootstrap(members: MemberList): void;
-  /** Called at a leader with a host that asks to be let in. */
+  /** Called on the leader when a host asks to join. */
   join(host: JoiningHost): void;
 }
 
@@ -33,7 +33,7 @@
   ) => void;
 };
 
-/** Performs formation's actions. */
+/** Performs the actions of a formation. */
 export class FormationPerformer {
   readonly #dependencies: FormationPerformerDependencies;
   readonly #handlers: Handlers = {
@@ -48,12 +48,12 @@
     },
   };
 
-  /** @param dependencies what it calls */
+  /** @param dependencies functions to call */
   constructor(dependencies: FormationPerformerDependencies) {
     this.#dependencies = dependencies;
   }
 
-  /** @param formation whose collected actions are performed */
+  /** @param formation the formation whose pending actions are performed */
   perform(formation: Formation): void {
     for (const action of formation.takeActions()) {
       const handler = this.#handlers[action.kind] as (
@@ -73,9 +73,10 @@
   }
 
   /**
-   * A host that wants to join knows some members, and the leader may be none of
-   * them: it would wait for good, the lost voter would stay counted, and the
-   * next loss would leave the group without a majority.
+   * Forwards a join request to the leader. The joining host may know only
+   * followers. Without the leader it would wait forever, the lost voter would
+   * keep counting towards the quorum, and the next loss would leave the group
+   * without a majority.
    */
   #forward(hello: HelloRequest, leader: Member): void {
     this.#dependencies.send(leader.address, {...hello, round: FORWARDED_ROUND});
--- a/packages/lovagepond-consensus/src/consensus_member_removal.ts
+++ b/packages/lovagepond-consensus/src/consensus_member_removal.ts
@@ -1,42 +1,49 @@
 /**
- * Decides which silent members a leader takes off the list.
+ * Choice of unresponsive members for removal by the leader.
  *
- * A host that is gone for good stays counted in each majority until somebody
- * takes it off. After a planned replacement, where the newcomer joins before
- * the old host ends, a group of three has four voters, one of them gone: the
- * next lost disk then leaves two of four, which can't elect a leader ever again.
+ * A host that never returns counts towards the quorum until it is removed.
+ * After a planned replacement, where the new host joins before the old one
+ * stops, a group of three has four voters and one of them is gone. Losing one
+ * more disk then leaves two of four voters, which can never elect a leader
+ * again.
  */
 import {type MemberId, type MemberList} from './consensus_types.js';
 
 /**
- * Silence after which a voter's place may be given to a host that joins, and
- * after which a learner is taken off, milliseconds: longer than a restart or a
- * short freeze, since it costs the one that returns a second change of members.
+ * Time without a reply, in milliseconds, after which a joining host may replace
+ * a voter, and after which a learner is removed. It is longer than a restart or
+ * a short freeze, because a member that returns later needs another membership
+ * change.
  */
 export const LOST_AFTER_MS = 4_000;
 
 /**
- * Silence after which a voter is taken off a group that has enough others,
- * milliseconds. A further loss may follow four seconds after a replaced host's
- * successor has started, and the old host ends in the second of them.
+ * Time without a reply, in milliseconds, after which a voter is removed from a
+ * group that has enough others. The next loss may follow four seconds after the
+ * successor of a replaced host has started, and the old host stops during the
+ * second of these four seconds.
  */
 const SURPLUS_LOST_AFTER_MS = 1_000;
 
-/** Fewer voters are never left: two of them could bear no loss at all. */
+/**
+ * Minimum number of voters that a removal leaves: two voters tolerate no
+ * failure.
+ */
 const MIN_VOTERS = 3;
 
-/** What is known of the members, and what the group must bear. */
+/** Input for choosing a member to remove. */
 export interface RemovalView {
   readonly members: MemberList;
-  /** @returns time since a member's last answer, milliseconds */
+  /** @returns time since the last reply of a member, milliseconds */
   timeSinceReplyMs(id: MemberId): number;
-  /** Undefined where voters are taken off by operators only. */
+  /** Undefined if only operators remove voters. */
   readonly toleratedLosses: number | undefined;
 }
 
 /**
- * @param view the members as their leader sees them
- * @returns the member to take off, if any: the one that is silent longest
+ * @param view the members as seen by the leader
+ * @returns the member to remove, if any: the one that has not replied for the
+ *     longest time
  */
 export function chooseRemoval(view: RemovalView): MemberId | undefined {
   if (view.toleratedLosses === undefined) return undefined;
@@ -53,7 +60,10 @@
   return longest;
 }
 
-/** The voters left have a majority after the loss of any so many of them. */
+/**
+ * True if the voters that remain after a removal keep a majority when
+ * `toleratedLosses` of them fail.
+ */
 function hasSurplus({members, toleratedLosses = 0}: RemovalView): boolean {
   const voters = members.filter(({voter}) => voter).length;
   return voters > Math.max(MIN_VOTERS, 2 * toleratedLosses + 1);
--- a/packages/lovagepond-consensus/src/consensus_member_replacement.ts
+++ b/packages/lovagepond-consensus/src/consensus_member_replacement.ts
@@ -1,5 +1,5 @@
 /**
- * Puts a new member in an old one's place, one change after the other.
+ * Replacement of members by a sequence of single-server changes.
  */
 import {findMember, type MemberChange} from './consensus_members.js';
 import {chooseRemoval, LOST_AFTER_MS} from './consensus_member_removal.js';
@@ -13,29 +13,29 @@
   type MemberList,
 } from './consensus_types.js';
 
-/** What replacement needs of its member. */
+/** Interface of the member to its replacements. */
 export interface ReplacementView {
   change(change: MemberChange): Promise<ChangeOutcome>;
   status(): ConsensusStatus;
   isCaughtUp(id: MemberId): boolean;
   isActive(id: MemberId): boolean;
-  /** Time since a member's last answer, milliseconds. */
+  /** Time since the last reply of a member, milliseconds. */
   timeSinceReplyMs(id: MemberId): number;
   /** See {@link ConsensusSettings.toleratedLosses}. */
   readonly toleratedLosses: number | undefined;
-  /** Hosts at new addresses take the places of lost voters. */
+  /** True if hosts at new addresses may replace lost voters. */
   readonly openMembership: boolean;
-  /** True when a host at the address may join by itself. */
+  /** True if a host at the address may join without an operator. */
   mayJoin(address: string): boolean;
 }
 
-/** A host that wants to be a member. */
+/** A host that asks to join. */
 export interface JoiningHost {
   readonly id: MemberId;
   readonly address: string;
-  /** Its data folder is empty; else it was a member before. */
+  /** True if its data folder is empty; false if it was a member before. */
   readonly blank: boolean;
-  /** It never votes. */
+  /** True if the host has no disk and never votes. */
   readonly observer: boolean;
 }
 
@@ -44,7 +44,7 @@
   resolve(isCaughtUp: boolean): void;
 }
 
-/** True when the identity that had the address before is still a member. */
+/** True if an earlier identity at the same address is still a member. */
 function isSuccessor(members: MemberList, member: Member, at: number): boolean {
   const before = members.slice(0, at);
   return before.some(({address}) => address === member.address);
@@ -54,28 +54,28 @@
   return members.find(member => member.address === address);
 }
 
-/** It is to vote once it has caught up. */
+/** True for a learner that is to be promoted once it has caught up. */
 function isLearner({voter, observer}: Member): boolean {
   return !voter && !observer;
 }
 
-/** Runs replacements while its member leads. */
+/** Runs replacements while the member leads. */
 export class MemberReplacement {
   readonly #view: ReplacementView;
   readonly #joining = new Set<MemberId>();
   #waiters: Waiter[] = [];
   #tickWaiters: (() => void)[] = [];
 
-  /** @param view the member that leads */
+  /** @param view the leading member */
   constructor(view: ReplacementView) {
     this.#view = view;
   }
 
   /**
-   * @param oldId identity of the member to remove; absent to add one
+   * @param oldId identity of the member to remove; undefined to only add one
    * @param newId identity of the new member
-   * @param address where the new member is reached
-   * @returns the first outcome that isn't a success, or the last
+   * @param address address of the new member
+   * @returns the first outcome other than `committed`, or else the last one
    */
   async start(
     oldId: MemberId | undefined,
@@ -89,9 +89,10 @@
     const promote: MemberChange = {kind: 'promote', id: newId};
     if (oldId === undefined) return this.#change(promote);
     const remove: MemberChange = {kind: 'remove', id: oldId};
-    // A dead voter goes first: with it and the new one the group needs one
-    // more answer for each commit. A live one goes last: without it the group
-    // has, for a moment, one voter less to lose.
+    // An unresponsive voter is removed first: with both it and the new voter,
+    // each commit would need one more acknowledgement. A responsive one is
+    // removed last: without it the group would briefly tolerate one failure
+    // less.
     const changes = this.#view.isActive(oldId)
       ? [promote, remove]
       : [remove, promote];
@@ -104,9 +105,9 @@
   }
 
   /**
-   * Lets a host in: one with an empty data folder in place of the identity that
-   * its address had, which can't come back, and one that was taken off the list
-   * while it was away.
+   * Lets a host join. A host with an empty data folder replaces the previous
+   * identity at its address, which can't return. A host with stored state was
+   * removed while it was down.
    *
    * @param host the host
    */
@@ -129,7 +130,7 @@
     );
   }
 
-  /** No other host is let in until the work for this one has ended. */
+  /** No other host may join until `work` is done. */
   #runExclusively(id: MemberId, work: () => Promise<unknown>): void {
     this.#joining.add(id);
     void work().finally(() => {
@@ -138,9 +139,9 @@
   }
 
   /**
-   * The leader before may have crashed when it had promoted the host, and not yet
-   * taken off the identity that its address had. That one can't come back, and as
-   * a voter it would count against every majority.
+   * The previous leader may have crashed after it promoted the host and before
+   * it removed the previous identity at that address. That identity can't
+   * return, and as a voter it would count towards each quorum.
    */
   #removePredecessor(others: MemberList, {id, address}: JoiningHost): void {
     const predecessor = findAt(others, address);
@@ -161,9 +162,9 @@
   }
 
   /**
-   * A host at a new address takes the place of a voter that doesn't answer:
-   * else each lost host would raise the majority needed for good, until the
-   * hosts that are left can't make one.
+   * With open membership, a host at a new address replaces a voter that no
+   * longer replies. Otherwise each lost host would raise the quorum for good,
+   * until the remaining hosts can't form one.
    */
   #findPredecessor(
     others: MemberList,
@@ -177,13 +178,19 @@
     );
   }
 
-  /** Whether a silent voter is lost shows soon: the newcomer waits so long. */
+  /**
+   * True while a voter does not reply but may still return. A host at a new
+   * address waits until it is clear whether the voter is lost.
+   */
   #hasUnresponsiveVoter(others: MemberList): boolean {
     if (!this.#view.openMembership) return false;
     return others.some(({id, voter}) => voter && !this.#view.isActive(id));
   }
 
-  /** To be called often: tells who has caught up, and goes on after a crash. */
+  /**
+   * Resolves waiting calls, resumes replacements that an earlier leader left
+   * unfinished, and removes unresponsive members. Call it periodically.
+   */
   tick(): void {
     const {role, members} = this.#view.status();
     const isLeading = role === MEMBER_ROLE.LEADER;
@@ -206,8 +213,9 @@
   }
 
   /**
-   * A member that an operator took off must not come back by itself, so only a
-   * group that takes silent members off by itself lets former ones in.
+   * A member that was removed by an operator must not return without one. So
+   * members with stored state may join only if the group removes unresponsive
+   * members automatically.
    */
   #mayJoin({address, blank}: JoiningHost): boolean {
     if (!blank && this.#view.toleratedLosses === undefined) return false;
@@ -219,7 +227,7 @@
     if (id !== undefined) void this.#view.change({kind: 'remove', id});
   }
 
-  /** Gives up what is under way. */
+  /** Ends all waiting calls without success. */
   stop(): void {
     this.#resolveWaiters(() => true);
     this.#resumeTickWaiters();
@@ -244,8 +252,9 @@
   }
 
   /**
-   * Waits while another change is under way, such as that of a host that joins
-   * by itself: a leader that can't commit it steps down, so the wait ends.
+   * Retries at each tick while another change is pending, such as that of a
+   * joining host. The wait ends, because a leader that can't commit the change
+   * steps down.
    */
   async #changeWhenFree(change: MemberChange): Promise<ChangeOutcome> {
     for (;;) {
@@ -258,7 +267,7 @@
     }
   }
 
-  /** A step that an earlier call has done counts as done. */
+  /** A step that was completed by an earlier call counts as committed. */
   async #change(change: MemberChange): Promise<ChangeOutcome> {
     const outcome = await this.#changeWhenFree(change);
     if (outcome.kind !== 'refused') return outcome;
