--- a/packages/lovagepond-consensus/src/consensus_action_performer.ts
+++ b/packages/lovagepond-consensus/src/consensus_action_performer.ts
@@ -1,5 +1,5 @@
 /**
- * Carries out what the core wants done.
+ * Performs the actions of the core.
  */
 import {type Unregister} from '@lovagepond/core';
 import {type ConsensusCore} from './consensus_core.js';
@@ -17,10 +17,10 @@
 /** Called when the leader known to this member changes. */
 export type LeaderListener = (leader: Member | undefined) => void;
 
-/** Called after entries were applied, with the last applied index. */
+/** Called with the last applied index after entries were applied. */
 export type AppliedListener = (appliedIndex: number) => void;
 
-/** What actions are carried out with. */
+/** Dependencies of {@link ActionPerformer}. */
 export interface PerformerDependencies {
   readonly stateMachine: StateMachine;
   readonly transport: ConsensusTransport;
@@ -38,7 +38,7 @@
 
 const NO_RESULT = new Uint8Array();
 
-/** Carries out actions in order, and tells listeners. */
+/** Performs actions in order and notifies listeners. */
 export class ActionPerformer {
   readonly #dependencies: PerformerDependencies;
   readonly #leaderListeners = new Set<LeaderListener>();
@@ -50,7 +50,7 @@
     this.#handlers = this.#makeHandlers();
   }
 
-  /** @param core the core whose actions are carried out */
+  /** @param core the core whose pending actions are performed */
   perform(core: ConsensusCore): void {
     for (;;) {
       const actions = core.takeActions();
@@ -67,7 +67,7 @@
 
   /**
    * @param listener called when the known leader changes
-   * @returns a function that takes the registration back
+   * @returns a function that removes the listener
    */
   onLeaderChange(listener: LeaderListener): Unregister {
     this.#leaderListeners.add(listener);
@@ -78,7 +78,7 @@
 
   /**
    * @param listener called after entries were applied
-   * @returns a function that takes the registration back
+   * @returns a function that removes the listener
    */
   onApplied(listener: AppliedListener): Unregister {
     this.#appliedListeners.add(listener);
@@ -87,7 +87,7 @@
     };
   }
 
-  /** @param leader the leader known now */
+  /** @param leader the currently known leader */
   notifyLeaderChange(leader: Member | undefined): void {
     for (const listener of [...this.#leaderListeners]) listener(leader);
   }
--- a/packages/lovagepond-consensus/src/consensus_dependencies.ts
+++ b/packages/lovagepond-consensus/src/consensus_dependencies.ts
@@ -1,20 +1,20 @@
 /**
- * What a member of the group is given: its disk, its links, its clock and the
- * state that the log's commands build.
+ * Dependencies of a member: storage, transport, clock and the state machine to
+ * which the commands in the log are applied.
  */
 import {type Clock, type Logger, type Random} from '@lovagepond/core';
 import {type ConsensusStorage} from './consensus_storage.js';
 import {type ConsensusTransport} from './consensus_transport.js';
 import {type StateMachine} from './consensus_types.js';
 
-/** What a node is built from. */
+/** Dependencies of a consensus node. */
 export interface ConsensusDependencies {
   readonly stateMachine: StateMachine;
   readonly storage: ConsensusStorage;
   /**
-   * Opens the same data anew after a failure, by storage that believes only
-   * what it has written again. Without it a member whose storage failed stops
-   * for good.
+   * Reopens the same data after a storage failure. The returned storage must
+   * rewrite the data before it relies on it. Without this function, a member
+   * stops for good when its storage fails.
    */
   readonly reopenStorage?: () => ConsensusStorage;
   readonly transport: ConsensusTransport;
@@ -22,8 +22,8 @@
   readonly random: Random;
   readonly log: Logger;
   /**
-   * When this process was there, by the clock: no former one has promised
-   * anything since. Without it the start of the member counts.
+   * Start of this process on `clock`: no previous process has given a promise
+   * since then. Defaults to the start of the member.
    */
   readonly processStartedAt?: number;
 }
--- a/packages/lovagepond-consensus/src/consensus_node.ts
+++ b/packages/lovagepond-consensus/src/consensus_node.ts
@@ -1,6 +1,6 @@
 /**
- * The shell of consensus: connects the deciding part to storage, transport,
- * the state machine and the timer.
+ * A consensus member with I/O: connects the core to storage, transport, state
+ * machine and timer.
  */
 import {type Unregister} from '@lovagepond/core';
 import {
@@ -31,23 +31,26 @@
 } from './consensus_types.js';
 
 /**
- * A heartbeat is sent at the first look after it is due, so half an interval late
- * at most. With four looks an interval, eight members spent 0.75 of a core idle,
- * with two 0.64.
+ * Ticks per heartbeat interval. A heartbeat is sent at the first tick after it
+ * is due, so at most half an interval late. With four ticks, eight idle members
+ * use 0.75 of a core; with two, they use 0.64.
  */
 const TICKS_PER_HEARTBEAT = 2;
-/** Time between hellos of a host without a group, in election timeouts. */
+/** Interval between hellos of a host without a group, in election timeouts. */
 const HELLO_INTERVAL_TIMEOUTS = 0.5;
 
-/** Time between two tries to use storage that failed, milliseconds. */
+/** Interval between attempts to reopen failed storage, milliseconds. */
 const REOPEN_MS = 500;
 
-/** What was stored contradicts itself: only an operator can decide. */
+/**
+ * True if the stored data is damaged: only an operator can resolve that, so
+ * storage is not reopened.
+ */
 function isDamage(err: unknown): boolean {
   return err instanceof StorageError && err.failure.kind === 'damaged';
 }
 
-const NEVER_STARTED: ConsensusStatus = {
+const INITIAL_STATUS: ConsensusStatus = {
   id: '',
   role: MEMBER_ROLE.FOLLOWER,
   term: 0,
@@ -73,12 +76,12 @@
   #formation: Formation | undefined;
   #timer: NodeJS.Timeout | undefined;
   #unregister: Unregister = () => undefined;
-  #lastStatus: ConsensusStatus = NEVER_STARTED;
+  #lastStatus: ConsensusStatus = INITIAL_STATUS;
   readonly #emptyState: Uint8Array;
   #storage: ConsensusStorage;
   #reopenTimer: NodeJS.Timeout | undefined;
   #flushScheduled = false;
-  /** See {@link CoreParts.silentSince}. */
+  /** See {@link CoreOptions.previousRunEndedBy}. */
   #previousRunEndedBy: number | undefined;
 
   constructor(
@@ -139,9 +142,9 @@
   }
 
   /**
-   * Opens storage and starts; resolves before there is a leader.
+   * Opens storage and starts the member. Resolves before a leader is elected.
    *
-   * @throws StorageError when the stored state is damaged
+   * @throws StorageError if the stored state is damaged
    */
   async start(): Promise<void> {
     const {transport, random} = this.#dependencies;
@@ -180,7 +183,7 @@
     this.#tick();
   }
 
-  /** Ends at once; proposals under way become `unknown`. */
+  /** Stops immediately; pending proposals resolve to `unknown`. */
   async stop(): Promise<void> {
     clearTimeout(this.#reopenTimer);
     this.#halt();
@@ -188,15 +191,15 @@
   }
 
   /**
-   * @param command a command of the state machine
-   * @returns what became of it
+   * @param command a command for the state machine
+   * @returns the outcome of the proposal
    */
   propose(command: Uint8Array): Promise<ProposeOutcome> {
     return this.#awaitProposal(this.#core?.propose(command));
   }
 
   /**
-   * @param mayWait the answer may come with the next heartbeat
+   * @param mayWait true if the read may wait for the next heartbeat
    * @returns `ok` once a read of the state machine is linearizable
    */
   readBarrier(mayWait = false): Promise<ReadOutcome> {
@@ -208,19 +211,22 @@
     });
   }
 
-  /** @returns what this member knows now */
+  /** @returns the current state of this member */
   status(): ConsensusStatus {
     return this.#core?.status(this.#now()) ?? this.#lastStatus;
   }
 
-  /** @returns members that this host could send others to, while it is none */
+  /**
+   * @returns addresses of members to which callers can be redirected while this
+   *     host belongs to no group
+   */
   announcedMembers(): readonly string[] {
     return this.#formation?.announcedMembers ?? [];
   }
 
   /**
    * @param listener called when the known leader changes
-   * @returns a function that takes the registration back
+   * @returns a function that removes the listener
    */
   onLeaderChange(listener: LeaderListener): Unregister {
     return this.#performer.onLeaderChange(listener);
@@ -228,28 +234,28 @@
 
   /**
    * @param listener called after entries were applied
-   * @returns a function that takes the registration back
+   * @returns a function that removes the listener
    */
   onApplied(listener: AppliedListener): Unregister {
     return this.#performer.onApplied(listener);
   }
 
   /**
-   * Adds a member that receives the log and counts in no majority.
+   * Adds a member that receives the log and does not count towards the quorum.
    *
    * @param id identity of the new member
-   * @param address where it is reached
-   * @returns what became of the change
+   * @param address address of the new member
+   * @returns the outcome of the change
    */
   addLearner(id: MemberId, address: string): Promise<ChangeOutcome> {
     return this.#change({kind: 'addLearner', id, address});
   }
 
   /**
-   * Makes a learner that has caught up a voter.
+   * Promotes a learner that has caught up to a voter.
    *
    * @param id identity of the learner
-   * @returns what became of the change
+   * @returns the outcome of the change
    */
   promote(id: MemberId): Promise<ChangeOutcome> {
     return this.#change({kind: 'promote', id});
@@ -257,21 +263,21 @@
 
   /**
    * @param id identity of the member to remove
-   * @returns what became of the change
+   * @returns the outcome of the change
    */
   removeMember(id: MemberId): Promise<ChangeOutcome> {
     return this.#change({kind: 'remove', id});
   }
 
   /**
-   * Adds the new member as a learner, waits until it has caught up, and puts
-   * it in the old one's place. May be called again after a failure: steps done
-   * already are left out.
+   * Adds the new member as a learner, waits until it has caught up, and
+   * replaces the old member by it. May be called again after a failure:
+   * completed steps are skipped.
    *
    * @param oldId identity of the member to remove
-   * @param newId identity of the member that takes its place
-   * @param address where the new member is reached
-   * @returns what became of the first change that failed, or of the last
+   * @param newId identity of the new member
+   * @param address address of the new member
+   * @returns the outcome of the first change that failed, or of the last one
    */
   replaceMember(
     oldId: MemberId,
@@ -326,7 +332,9 @@
     return this.#pending.addProposal(proposal.index, proposal.term);
   }
 
-  /** Proposals of one turn of the loop share one message and one sync. */
+  /**
+   * Proposals in the same event loop iteration share one message and one sync.
+   */
   #scheduleFlush(): void {
     if (this.#flushScheduled) return;
     this.#flushScheduled = true;
@@ -370,9 +378,9 @@
   }
 
   /**
-   * Begins anew from what the disk holds, as after a restart of the process: a
-   * disk that was full or refused writes for a while would else cost the group
-   * a member for good, and the next loss its majority.
+   * Restarts from the stored data, as after a restart of the process. Otherwise
+   * a disk that was full or failed writes for a while would cost the group a
+   * member for good, and the next loss would cost it its majority.
    */
   async #reopen(): Promise<void> {
     const {reopenStorage, stateMachine, log} = this.#dependencies;
@@ -394,7 +402,7 @@
 
   #halt(failure?: string): void {
     const {id, term, members, lastIndex} = this.status();
-    const stopped = {...NEVER_STARTED, id, term, members, lastIndex};
+    const stopped = {...INITIAL_STATUS, id, term, members, lastIndex};
     this.#lastStatus = failure ? {...stopped, failure} : stopped;
     clearInterval(this.#timer);
     this.#unregister();
--- a/packages/lovagepond-consensus/src/consensus_pending.ts
+++ b/packages/lovagepond-consensus/src/consensus_pending.ts
@@ -1,5 +1,5 @@
 /**
- * Callers that wait for a proposal or a read.
+ * Pending proposals and reads.
  */
 import {type LogEntry, type Member} from './consensus_types.js';
 import {type ProposeOutcome, type ReadOutcome} from './consensus_types.js';
@@ -9,16 +9,16 @@
   resolve(outcome: ProposeOutcome): void;
 }
 
-/** Gives each waiting caller exactly one answer. */
+/** Resolves each pending call exactly once. */
 export class PendingCalls {
   readonly #proposals = new Map<number, PendingProposal>();
   readonly #reads = new Map<number, (outcome: ReadOutcome) => void>();
   #lastToken = 0;
 
   /**
-   * @param index where the proposal stands in the log
-   * @param term the term it was proposed in
-   * @returns what becomes of it
+   * @param index log index of the proposal
+   * @param term term of the proposal
+   * @returns the outcome of the proposal
    */
   addProposal(index: number, term: number): Promise<ProposeOutcome> {
     return new Promise(resolve => {
@@ -27,15 +27,16 @@
   }
 
   /**
-   * @param entry an entry that was applied
-   * @param result the state machine's result
+   * @param entry an applied entry
+   * @param result the result of the state machine
    */
   applied(entry: LogEntry, result: Uint8Array): void {
     const {index, term} = entry;
     const pending = this.#proposals.get(index);
     if (!pending) return;
     this.#proposals.delete(index);
-    // The entry of another leader stands there: this one never commits.
+    // At this index an entry of another leader was committed, so the proposal
+    // never commits.
     const isOurs = pending.term === term;
     const outcome: ProposeOutcome = isOurs
       ? {kind: 'committed', result, index}
@@ -44,8 +45,8 @@
   }
 
   /**
-   * Answers all proposals at once: this member no longer leads, and its entries
-   * may or may not be committed by the next leader.
+   * Resolves all pending proposals to `unknown`: this member lost leadership,
+   * and the next leader may or may not commit its entries.
    */
   abandonProposals(): void {
     const pending = [...this.#proposals.values()];
@@ -54,8 +55,8 @@
   }
 
   /**
-   * @param start called with the read's token
-   * @returns what becomes of the read
+   * @param start called with the token of the read
+   * @returns the outcome of the read
    */
   addRead(start: (token: number) => void): Promise<ReadOutcome> {
     return new Promise(resolve => {
@@ -66,8 +67,8 @@
   }
 
   /**
-   * @param tokens the reads that get the answer
-   * @param outcome the answer
+   * @param tokens tokens of the reads
+   * @param outcome the outcome of these reads
    */
   answerReads(tokens: readonly number[], outcome: ReadOutcome): void {
     for (const token of tokens) {
@@ -76,7 +77,7 @@
     }
   }
 
-  /** @param leader to whom the callers may turn */
+  /** @param leader the leader that callers can use instead */
   refuseAllReads(leader?: Member): void {
     const outcome = {kind: 'notLeader' as const, ...(leader && {leader})};
     this.answerReads([...this.#reads.keys()], outcome);
--- a/packages/lovagepond-consensus/src/consensus_status_log.ts
+++ b/packages/lovagepond-consensus/src/consensus_status_log.ts
@@ -1,5 +1,5 @@
 /**
- * Logs what a member believes of its group, whenever that changes.
+ * Logs the role, term and members of a member when one of them changes.
  */
 import {type Logger} from '@lovagepond/core';
 import {
@@ -9,7 +9,10 @@
   type MemberRole,
 } from './consensus_types.js';
 
-/** Of an identity, what tells it from the others. */
+/**
+ * Number of characters of an identity that are logged; they identify a member
+ * in its group.
+ */
 const SHOWN_ID_LENGTH = 8;
 
 function describe({id, address, voter}: Member): string {
@@ -17,19 +20,19 @@
   return voter ? shown : `${shown} (learner)`;
 }
 
-/** Follows one member. */
+/** Logs status changes of one member. */
 export class StatusLog {
   readonly #log: Logger;
   #members: MemberList | undefined;
   #role: MemberRole | undefined;
   #term = -1;
 
-  /** @param log where changes go */
+  /** @param log receives one line per change */
   constructor(log: Logger) {
     this.#log = log;
   }
 
-  /** @param status what the member knows now */
+  /** @param status current status of the member */
   update(status: ConsensusStatus): void {
     const {id, role, term, members, lastIndex, commitIndex} = status;
     const isUnchanged =
