--- a/packages/lovagepond-consensus/src/__tests__/model/consensus_model.ts
+++ b/packages/lovagepond-consensus/src/__tests__/model/consensus_model.ts
@@ -1,6 +1,6 @@
 /**
- * Drives several cores through faults from a seed, and checks after each step
- * what must always hold.
+ * Runs several cores through seeded faults, and checks invariants after each
+ * step.
  */
 import {Random} from '@lovagepond/core';
 import {expect} from 'vitest';
@@ -36,11 +36,11 @@
   readonly message: ConsensusMessage;
 }
 
-/** The group, its network and the checks. */
+/** The group, its network and the invariant checks. */
 export class ConsensusModel {
   readonly hosts: ModelHost[] = [];
   time = 0;
-  /** Highest index that was acknowledged to a client. */
+  /** Highest index acknowledged to a client. */
   ackedIndex = 0;
   ackedCount = 0;
   readsAnswered = 0;
@@ -131,7 +131,10 @@
     this.#perform(host);
   }
 
-  /** Quiet times between bursts let time pass faster: see #stepMs. */
+  /**
+   * Proposes in bursts only. Between bursts the model time advances faster: see
+   * #stepMs.
+   */
   #proposeInBurst(): void {
     if (this.#random.next() < BURST_TOGGLE_SHARE) {
       this.#isBursting = !this.#isBursting;
@@ -159,7 +162,7 @@
     this.#perform(host);
   }
 
-  /** Delivers any message under way: order is not kept. */
+  /** Delivers a random message in transit, so the order is not kept. */
   deliver(): void {
     if (this.#network.length === 0) return;
     const at = this.#random.below(this.#network.length);
@@ -188,7 +191,7 @@
     host.disk.crash(this.#random);
   }
 
-  /** The process is there for some time before its member is. */
+  /** The process starts some time before its member. */
   restart(host: ModelHost): void {
     const drift = this.#faults.drift;
     host.rate = this.#random.next() < 0.5 ? 1 + drift : 1 - drift;
@@ -196,25 +199,25 @@
     host.state = {index: 0, digest: 0};
     const downMs = this.time - host.crashedAt;
     const startingMs = this.#random.next() * downMs * host.rate;
-    const parts = {
+    const options = {
       previousRunEndedBy: this.nowAt(host) - startingMs,
       stored: host.disk.open(),
       address: host.address,
       timings: MODEL_TIMINGS,
       random: new Random(this.#random.below(2 ** 31)),
     };
-    host.core = new ConsensusCore(parts, this.nowAt(host));
+    host.core = new ConsensusCore(options, this.nowAt(host));
     this.#perform(host);
   }
 
-  /** The host comes back with an empty disk, so with a new identity. */
+  /** The host returns with an empty disk and so with a new identity. */
   loseDisk(host: ModelHost): void {
     this.crash(host);
     host.members = [];
     host.disk = new ModelDisk(this.#makeId());
   }
 
-  /** Blocks one direction; messages vanish silently. */
+  /** Blocks one direction of a link; its messages are lost without an error. */
   block(from: ModelHost, to: ModelHost): void {
     this.#blocked.add(this.#link(from, to));
   }
@@ -240,13 +243,15 @@
       if (status.role === 'leader') this.#oracle.checkLeader(host, status);
       if (!status.leaseValid) continue;
       holders += 1;
-      // A read under a lease must see all that any client was told.
+      // A read under a lease must return all acknowledged entries.
       expect(host.state.index).toBeGreaterThanOrEqual(this.ackedIndex);
     }
     if (holders > 1) throw new Error('two members hold a lease at once');
   }
 
-  /** Lets time pass with fast disks and links; blocked links stay so. */
+  /**
+   * Advances the time with fast disks and links; blocked links stay blocked.
+   */
   advance(ms: number): void {
     for (let passed = 0; passed < ms; passed += 1) {
       this.time += 1;
@@ -259,7 +264,7 @@
     }
   }
 
-  /** Ends all faults and expects the group to work again. */
+  /** Ends all faults and expects the group to recover. */
   expectRecovery(): void {
     this.#faults = {...this.#faults, loss: 0, duplication: 0};
     this.heal();
@@ -272,7 +277,7 @@
       if (leader && this.#random.next() < 0.01) this.propose(leader);
       if (leader && this.#hasConverged(leader, target)) return;
     }
-    throw new Error('not converged after the faults ended');
+    throw new Error('group did not recover after the faults ended');
   }
 
   #recoveryStep(): void {
@@ -335,7 +340,7 @@
     expect(host.state.index).toBeGreaterThanOrEqual(index);
     for (const token of tokens) {
       const floor = host.reads.get(token) ?? 0;
-      if (host.state.index < floor) throw new Error('a stale read');
+      if (host.state.index < floor) throw new Error('stale read');
       host.reads.delete(token);
       this.readsAnswered += 1;
     }
@@ -354,7 +359,7 @@
     if (late) this.#network.push(late);
   }
 
-  /** With nothing under way, time passes faster. */
+  /** Time advances faster while no message or write is pending. */
   #stepMs(): number {
     const isIdle =
       this.#network.length === 0 &&
@@ -362,7 +367,9 @@
     return isIdle ? IDLE_STEP_MS : this.#faults.stepMs;
   }
 
-  /** Any host that believes it leads, deposed ones too. */
+  /**
+   * Returns a random host in the leader role, which may be a deposed leader.
+   */
   pickLeader(): ModelHost {
     const leads = (host: ModelHost): boolean =>
       host.core !== undefined && this.status(host).role === 'leader';
--- a/packages/lovagepond-consensus/src/__tests__/model/consensus_model_disk.ts
+++ b/packages/lovagepond-consensus/src/__tests__/model/consensus_model_disk.ts
@@ -1,6 +1,6 @@
 /**
- * A disk that loses, on a crash, what was not synced: any tail of the writes,
- * the last of them torn in the middle.
+ * A disk that loses a random tail of its unsynced writes in a crash. The first
+ * lost write may be torn.
  */
 import {type Random} from '@lovagepond/core';
 import {type ConsensusAction} from '../../consensus_outbox.js';
@@ -45,10 +45,10 @@
   }
 }
 
-/** Synced content, and what is written and not yet synced. */
+/** Synced content and unsynced writes. */
 export class ModelDisk {
   readonly #synced = new DiskContent();
-  /** What the disk holds when all that was written is synced. */
+  /** Content including all unsynced writes. */
   #latest = new DiskContent();
   #unsynced: DiskAction[] = [];
 
@@ -84,7 +84,7 @@
     this.#latest.apply(action);
   }
 
-  /** @returns the last write that is synced now */
+  /** @returns id of the last write that is synced now */
   syncSome(random: Random): number | undefined {
     return this.#sync(random.below(this.#unsynced.length + 1));
   }
--- a/packages/lovagepond-consensus/src/__tests__/model/consensus_model_faults.ts
+++ b/packages/lovagepond-consensus/src/__tests__/model/consensus_model_faults.ts
@@ -1,5 +1,5 @@
 /**
- * Faults that the model meets, drawn from the seed.
+ * Seeded faults of the model.
  */
 import {type Random} from '@lovagepond/core';
 import {
@@ -12,7 +12,10 @@
 import {type ConsensusModel} from './consensus_model.js';
 import {type ModelHost} from './consensus_model_host.js';
 
-/** Small limits, so that short runs meet snapshots, chunks and full windows. */
+/**
+ * Small limits, so that short runs include snapshots, chunks and full append
+ * windows.
+ */
 export const MODEL_TIMINGS: ConsensusTimings = {
   heartbeatIntervalMs: 100,
   electionTimeoutMs: 600,
@@ -26,7 +29,7 @@
   maxInflightAppends: 3,
 };
 
-/** How often each fault happens: per message, or per election timeout. */
+/** Probability of each fault: per message, or per election timeout. */
 export interface ModelFaults {
   readonly loss: number;
   readonly duplication: number;
@@ -34,9 +37,9 @@
   readonly partition: number;
   readonly diskLoss: number;
   readonly memberChange: number;
-  /** Relative error of each host's clock, one way or the other. */
+  /** Relative error of the clock of each host, fast or slow. */
   readonly drift: number;
-  /** Mean time between events: the larger, the slower network and disks. */
+  /** Mean time between events; higher values mean slower networks and disks. */
   readonly stepMs: number;
   /** Share of events that sync a disk. */
   readonly storeShare: number;
@@ -45,7 +48,7 @@
 const HEALS_PER_TIMEOUT = 0.6;
 const RESTARTS_PER_TIMEOUT = 4;
 
-/** Crashes hosts, cuts links, empties disks and changes members. */
+/** Crashes hosts, blocks links, empties disks and changes members. */
 export class FaultInjector {
   readonly #model: ConsensusModel;
   readonly #random: Random;
@@ -57,7 +60,7 @@
     this.#faults = faults;
   }
 
-  /** @param stepMs time that has passed since the last call */
+  /** @param stepMs time since the last call in milliseconds */
   inject(stepMs: number): void {
     const random = this.#random;
     const faults = this.#faults;
@@ -79,7 +82,7 @@
     if (happens(faults.memberChange)) this.#changeAtRandom();
   }
 
-  /** Cuts a host off: both ways, one way, or from one other host. */
+  /** Partitions a host: in both directions, in one, or from one other host. */
   #partition(): void {
     const isLeader = this.#random.next() < 0.5;
     const host = isLeader
@@ -100,18 +103,18 @@
     const {members} = this.#model.status(leader);
     const host = this.#random.pick(this.#model.hosts);
     const learner = members.find(member => !member.voter);
-    const dead = members.find(
+    const lost = members.find(
       member => !this.#model.hosts.some(({disk: {id}}) => id === member.id),
     );
     const isMember = members.some(member => member.id === host.disk.id);
-    let change: MemberChange = {kind: 'remove', id: (dead ?? members[0])!.id};
-    if (learner && learner !== dead && this.#random.next() < 0.8) {
+    let change: MemberChange = {kind: 'remove', id: (lost ?? members[0])!.id};
+    if (learner && learner !== lost && this.#random.next() < 0.8) {
       change = {kind: 'promote', id: learner.id};
     } else if (!isMember && host.core) {
       change = {kind: 'addLearner', id: host.disk.id, address: host.address};
     }
     const changed = changeMembers(members, change);
-    if (changed.ok && this.#canWork(changed.members)) {
+    if (changed.ok && this.#hasQuorum(changed.members)) {
       this.#model.change(change);
     }
   }
@@ -120,12 +123,12 @@
     if (this.#model.committedIndex === 0) return false;
     return this.#model.hosts.every(({members, disk}) => {
       const lists = [members, ...disk.memberLists(decodeMembers)];
-      return lists.every(list => this.#canWork(list, host));
+      return lists.every(list => this.#hasQuorum(list, host));
     });
   }
 
-  /** True when the voters that still have their disks are a majority. */
-  #canWork(members: MemberList, without?: ModelHost): boolean {
+  /** True if the voters that still have their disks are a majority. */
+  #hasQuorum(members: MemberList, without?: ModelHost): boolean {
     if (members.length === 0) return true;
     const alive = this.#model.hosts.filter(host => host !== without);
     return isMajority(members, new Set(alive.map(host => host.disk.id)));
--- a/packages/lovagepond-consensus/src/__tests__/model/consensus_model_host.ts
+++ b/packages/lovagepond-consensus/src/__tests__/model/consensus_model_host.ts
@@ -1,5 +1,5 @@
 /**
- * A host of the model, and what all hosts together must keep.
+ * A host of the model, and the invariants across all hosts.
  */
 import {expect} from 'vitest';
 import {type ConsensusCore} from '../../consensus_core.js';
@@ -11,13 +11,13 @@
 } from '../../consensus_types.js';
 import {ModelDisk} from './consensus_model_disk.js';
 
-/** A state machine: its state is a digest of all applied entries. */
+/** State of a state machine: a digest of all applied entries. */
 export interface AppliedState {
   index: number;
   digest: number;
 }
 
-/** One host: its disk survives a crash, its core doesn't. */
+/** One host. Its disk survives a crash, its core does not. */
 export class ModelHost {
   core: ConsensusCore | undefined;
   state: AppliedState = {index: 0, digest: 0};
@@ -48,7 +48,7 @@
   return Buffer.from(JSON.stringify(state));
 }
 
-/** What was committed and who led: compared with each host's view. */
+/** Committed entries and leaders, compared with the view of each host. */
 export class ModelOracle {
   /** Digest of the state after each committed index. */
   readonly #digests: number[] = [0];
@@ -69,7 +69,9 @@
     expect(host.state.digest).toBe(this.#digests[index]);
   }
 
-  /** Applied order, and committed entries that never change. */
+  /**
+   * Checks that entries are applied in order and never change once committed.
+   */
   apply(host: ModelHost, entry: LogEntry): void {
     expect(entry.index).toBe(host.state.index + 1);
     const digest = mixDigest(host.state.digest, entry);
@@ -78,12 +80,12 @@
       this.#digests.push(digest);
       this.#committed.push(entry);
     } else if (known !== digest) {
-      throw new Error(`committed entry ${entry.index} changed`);
+      throw new Error(`committed entry ${entry.index} was replaced`);
     }
     host.state = {index: entry.index, digest};
   }
 
-  /** Election safety, and leader completeness when a leader is new. */
+  /** Checks election safety, and leader completeness for a new leader. */
   checkLeader(host: ModelHost, status: ConsensusStatus): void {
     const known = this.#leaders.get(status.term);
     if (known === host.disk.id) return;
@@ -92,11 +94,16 @@
     for (const entry of this.#committed) {
       if (host.disk.latestTermAt(entry.index) === entry.term) continue;
       if (entry.index <= host.disk.latestSnapshotIndex) continue;
-      throw new Error(`the leader of ${status.term} lacks ${entry.index}`);
+      throw new Error(
+        `leader of term ${status.term} lacks entry ${entry.index}`,
+      );
     }
   }
 
-  /** Same index and term: the same entry, and the same term before it. */
+  /**
+   * Checks log matching: entries with the same index and term are equal, and so
+   * are the terms of their predecessors.
+   */
   checkLogMatching(hosts: readonly ModelHost[]): void {
     const seen = new Map<string, string>();
     for (const {disk} of hosts) {
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_core.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_core.test.ts
@@ -35,7 +35,7 @@
   data: encodeMembers(MEMBERS),
 };
 
-/** One core whose peers are played by the test. */
+/** One core; the test plays the other members. */
 class CoreRig {
   readonly core: ConsensusCore;
   readonly actions: ConsensusAction[] = [];
@@ -43,14 +43,14 @@
   #lastWrite = 0;
 
   constructor(stored: Partial<StoredState>) {
-    const whole = {
+    const defaults = {
       id: 'a',
       hardState: {term: 3, vote: ''},
       entries: [MEMBERS_ENTRY],
     };
     this.core = new ConsensusCore(
       {
-        stored: {...whole, ...stored},
+        stored: {...defaults, ...stored},
         address: 'a:1',
         timings: TIMINGS,
         random: new Random(1),
@@ -85,7 +85,7 @@
     );
   }
 
-  /** Wins the election of term 4. */
+  /** Makes this member win the election of term 4. */
   lead(): void {
     this.now = AFTER_TIMEOUT;
     this.core.tick(this.now);
@@ -135,9 +135,9 @@
     rig = new CoreRig({});
   });
 
-  // A leader finds an entry of an earlier term on a majority. Another member,
-  // with a later term in its log, could still be elected and replace it.
-  it('commits no entry of an earlier term by counting copies', () => {
+  // A majority stores an entry of an earlier term. Another member with a later
+  // term in its log could still be elected and replace that entry.
+  it('commits no entry of an earlier term by counting replicas', () => {
     rig = new CoreRig({entries: [MEMBERS_ENTRY, entry(2, 2)]});
     rig.lead();
     rig.acknowledge('b', 2);
@@ -146,10 +146,10 @@
     expect(rig.status.commitIndex).toBe(3);
   });
 
-  // One follower is down for long while many changes are made. The leader can't
-  // know that its messages reach nobody; if each heartbeat took all the changes
-  // along, it would fill the links between hosts for as long as that lasts.
-  it('sends no entries again and again to a follower that is silent', () => {
+  // A follower is down while many changes are made. If each heartbeat carried
+  // all missing entries, it would saturate the links between hosts for the
+  // whole outage.
+  it('does not resend entries to an unresponsive follower', () => {
     rig.lead();
     const sentToSilent = (): number =>
       rig.sentTo('c').flatMap(({entries}) => entries).length;
@@ -173,10 +173,11 @@
     expect(sentToSilent()).toBeGreaterThan(before);
   });
 
-  // A configuration of 90 kB is on its way to a follower. Each message has a
-  // call of its own, so the short heartbeat arrives first. If it asked for the
-  // entry under way, it would be refused, and the entry sent a second time.
-  it('asks in a heartbeat for nothing that is still on its way', () => {
+  // A configuration of 90 kB is in transit to a follower. Messages are separate
+  // calls, so a short heartbeat arrives first. If it compared the logs at the
+  // entry in transit, the follower would refuse it and the entry would be sent
+  // twice.
+  it('sends heartbeats that refer to no entries in transit', () => {
     rig.lead();
     rig.acknowledge('b', 2);
     rig.propose('x'.repeat(90_000));
@@ -191,10 +192,10 @@
     expect(rig.sentTo('b').at(-1)?.entries).toMatchObject([{index: 4}]);
   });
 
-  // A follower came back with an empty disk and takes in slowly what it lacks.
-  // Sent the same with each heartbeat, it would be ever further behind; sent it
-  // never again, it would wait for good for what was lost on the way.
-  it('sends entries again only when an answer shows them lost', () => {
+  // A follower returned with an empty disk and receives the missing entries
+  // slowly. Resending them with each heartbeat would delay it further and
+  // further; never resending them would leave it waiting for lost ones.
+  it('resends entries only when a reply shows that they are lost', () => {
     rig.lead();
     rig.acknowledge('b', 2);
     rig.acknowledge('c', 1);
@@ -214,9 +215,9 @@
     expect(carried()).toBe(2);
   });
 
-  // The same for the parts of a snapshot. Answers to heartbeats that overtook a
-  // part name the offset before it, as do answers that come late.
-  it('sends a part of a snapshot again only when it is lost', () => {
+  // The same for snapshot chunks. Replies to heartbeats that overtook a chunk,
+  // and late replies, name the offset before it.
+  it('resends a snapshot chunk only when it is lost', () => {
     const data = Buffer.from('a state of two parts');
     const snapshot = {index: 1, term: 1, members: MEMBERS, data};
     rig = new CoreRig({snapshot, entries: [entry(2, 3)]});
@@ -226,9 +227,9 @@
     const offsets = (): number[] =>
       rig
         .sent('snapshotChunk')
-        .flatMap(part =>
-          part.kind === 'snapshotChunk' && part.data.length > 0
-            ? [part.offset]
+        .flatMap(chunk =>
+          chunk.kind === 'snapshotChunk' && chunk.data.length > 0
+            ? [chunk.offset]
             : [],
         );
     const answer = (nextOffset: number): void => {
@@ -248,8 +249,8 @@
   });
 
   // Long commands, such as configurations of many routes, would fill a small
-  // disk long before their number asks for a snapshot.
-  it('asks for a snapshot after so many bytes of commands', () => {
+  // disk long before the number of entries triggers a snapshot.
+  it('requests a snapshot after the configured bytes of commands', () => {
     rig.lead();
     rig.acknowledge('b', 2);
     const asked = (): number[] =>
@@ -276,7 +277,7 @@
     expect(asked()).toEqual([3, 5]);
   });
 
-  it('counts itself for a commit only up to its own sync', () => {
+  it('counts its own entries towards a commit only once synced', () => {
     rig.lead();
     rig.acknowledge('b', 2);
     rig.propose('x');
@@ -286,9 +287,10 @@
     expect(rig.status.commitIndex).toBe(3);
   });
 
-  // All members were stopped. The first one up asks while nobody can answer; a
-  // majority is up a moment later and shouldn't stand idle for long.
-  it('asks again soon when nobody answered its pre-vote', () => {
+  // All members restart. The first one gets no reply to its pre-vote. A
+  // majority is up a moment later and should not stay without a leader for
+  // long.
+  it('retries an unanswered pre-vote before a full timeout', () => {
     rig.now = AFTER_TIMEOUT;
     rig.core.tick(rig.now);
     rig.collect();
@@ -304,10 +306,10 @@
     expect(asked()).toBe(4);
   });
 
-  // A candidate's request arrives twice, the second one after a crash. The
-  // vote for another in the same term must be remembered, so it must have
-  // been synced before it was sent.
-  it('sends a vote after its sync, and one only in a term', () => {
+  // Vote requests of two candidates in the same term arrive, the second one
+  // after a crash. The vote must have been synced before it was sent, or the
+  // member would vote twice.
+  it('sends a vote after its sync, and only one per term', () => {
     rig.now = AFTER_TIMEOUT;
     const log = {lastIndex: 9, lastTerm: 3};
     rig.receive('b', 4, {kind: 'vote', ...log});
@@ -322,9 +324,9 @@
     expect(rig.sent('voteReply')).toMatchObject([{to: 'c', granted: false}]);
   });
 
-  // A member that was cut off asks for votes in a higher term, while the leader
-  // works. An answer would carry that term back and depose the leader.
-  it('gives no vote and takes no term while it hears a leader', () => {
+  // A partitioned member requests votes in a higher term while the leader
+  // works. A reply would raise the term and depose the leader.
+  it('grants no vote and adopts no term during leader contact', () => {
     rig.now = AFTER_TIMEOUT;
     const append = {kind: 'append', prevIndex: 1, prevTerm: 1, commitIndex: 0};
     rig.receive('b', 3, {...append, entries: [], round: 1});
@@ -347,7 +349,7 @@
     expect(rig.sent('appendReply')).toMatchObject([{matchIndex: 2, round: 7}]);
   });
 
-  it('answers a read after a round that began after it', () => {
+  it('answers a read after a round that started after the read', () => {
     rig.lead();
     rig.acknowledge('b', 2);
     rig.core.read(1);
@@ -360,10 +362,11 @@
     expect(rig.actions).toContainEqual(ready);
   });
 
-  // A new leader's process is busy for longer than an election timeout, with
-  // its followers' answers unread. Giving up then would leave the fleet without
-  // a leader once more. It may not do so without end: cut off, it has to go.
-  it('outlives one stall of its own, and no silence of the others', () => {
+  // The process of a new leader stalls for longer than an election timeout,
+  // with replies of its followers unread. Stepping down would leave the group
+  // without a leader again. The leader may ignore only one such stall: if it is
+  // partitioned, it has to step down.
+  it('keeps leading after one stall, but not without replies', () => {
     rig.lead();
     const tick = (): void => {
       rig.core.tick(rig.now);
@@ -382,7 +385,7 @@
     expect(rig.status.role).toBe('follower');
   });
 
-  it('gives up after a second stall without an answer between them', () => {
+  it('steps down after a second stall without a reply in between', () => {
     rig.lead();
     for (let stall = 0; stall < 2; stall += 1) {
       rig.now += TIMINGS.electionTimeoutMs * 1.5;
@@ -392,7 +395,7 @@
     expect(rig.status.role).toBe('follower');
   });
 
-  it('changes members one at a time, after a commit in its term', () => {
+  it('changes one member at a time, after a commit in its term', () => {
     const add = {kind: 'addLearner', id: 'd', address: 'd:1'} as const;
     rig.lead();
     const early = rig.core.changeMembers(add, rig.now);
@@ -412,8 +415,8 @@
     expect(rig.core.changeMembers(promote, rig.now)).toMatchObject({index: 4});
   });
 
-  // A write of entries is under way when others replace them in the log. Its
-  // sync says nothing about those that took their place.
+  // A write of entries is in progress when other entries replace them in the
+  // log. Its sync says nothing about the replacements.
   it('does not count replaced entries as synced', () => {
     const synced = new SyncedIndex(1);
     synced.wrote(1, 5);
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_core_model.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_core_model.test.ts
@@ -6,7 +6,7 @@
 const STEPS = 6_000;
 const RUNS = 60;
 
-/** Hosts that take the place of others, in larger groups. */
+/** Spare hosts in larger groups. */
 const SPARES = 2;
 const RUNS_OF_LARGER = 20;
 const PROPERTY_SEED = 20_261_202;
@@ -33,9 +33,10 @@
   faults: ModelFaults,
 ];
 
-/** Seeds that failed once, before a fault was mended or without a safeguard. */
+/** Examples that fail without an earlier fix, or with a safeguard removed. */
 const REGRESSIONS: Example[] = [
-  // A leader that removed itself, alone with its log, was never elected.
+  // A leader that removed itself, and whose log alone contains the removal, is
+  // never elected.
   [
     1189957784,
     3,
@@ -52,7 +53,7 @@
       storeShare: 0.2,
     },
   ],
-  // Acknowledged before the sync, entries are lost by a crash.
+  // Entries that were acknowledged before their sync are lost in a crash.
   [
     1424409591,
     4,
@@ -69,7 +70,7 @@
       storeShare: 0.05,
     },
   ],
-  // A host with an emptied disk votes under the identity it had before.
+  // A host that lost its disk votes under its previous identity.
   [
     -1636100356,
     4,
@@ -107,11 +108,11 @@
 ];
 
 describe('ConsensusCore under faults', () => {
-  // Messages are lost, doubled, late and out of order; hosts crash with torn
-  // writes, come back with empty disks, are cut off in one direction, and
-  // their clocks drift, while members are replaced. Whatever the order, no
-  // client may miss what it was told, and the group works again afterwards.
-  it('keeps every promise, from any seed', {timeout: 60_000}, () => {
+  // Messages are lost, duplicated, delayed and reordered; hosts crash with torn
+  // writes, return with empty disks or are partitioned in one direction; clocks
+  // drift, and members are replaced. In any order of events no client may miss
+  // an acknowledged write, and the group must recover afterwards.
+  it('keeps all guarantees, for any seed', {timeout: 60_000}, () => {
     fc.assert(
       fc.property(
         fc.integer(),
@@ -133,9 +134,9 @@
     );
   });
 
-  // Groups of two hosts a zone, and of as many members as may be set aside: more
-  // members vote, are replaced and catch up at the same time.
-  it('keeps every promise in larger groups', {timeout: 60_000}, () => {
+  // Groups with two hosts per availability zone: more members vote, are
+  // replaced and catch up at the same time.
+  it('keeps all guarantees in larger groups', {timeout: 60_000}, () => {
     fc.assert(
       fc.property(
         fc.integer(),
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_file_storage.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_file_storage.test.ts
@@ -39,7 +39,7 @@
   return (err as {failure: StorageFailure}).failure;
 }
 
-/** A disk whose calls fail from a set moment on, or once. */
+/** A disk with one kind of call that fails while `failing` is set. */
 class FailingDisk extends NodeDisk implements Disk {
   failing: 'write' | 'sync' | 'rename' | undefined;
   code = 'EIO';
@@ -78,7 +78,7 @@
 });
 
 describe('FileStorage', () => {
-  it('has identity, term, vote, entries and snapshot again', async () => {
+  it('restores identity, term, vote, entries and snapshot', async () => {
     const storage = new FileStorage(folder);
     const {id} = await storage.open();
     await storage.write([
@@ -102,7 +102,7 @@
       [5, 2],
     ]);
 
-    // A snapshot that contradicts the log drops all of it.
+    // A snapshot that contradicts the log drops all its entries.
     const other = new FileStorage(folder);
     await other.open();
     await other.saveSnapshot({index: 5, term: 3, members, data});
@@ -110,10 +110,11 @@
     expect(indexes(await reopen())).toEqual([]);
   });
 
-  // The host loses power during a write that nobody was told of. Any number of
-  // its bytes may be on the disk. The member starts with all that was synced
-  // before, and with the write whole or not at all, and goes on writing.
-  it('cuts a torn tail at every byte and goes on', async () => {
+  // The host loses power during an unacknowledged write, and any number of its
+  // bytes may be on the disk. The member must start with all synced entries,
+  // and with the torn write either whole or not at all, and must be able to
+  // continue writing.
+  it('truncates a torn write at any byte and continues', async () => {
     const storage = new FileStorage(folder);
     await storage.open();
     await storage.write([{entries: [makeEntry(1)]}]);
@@ -133,9 +134,9 @@
     }
   });
 
-  // A byte of synced data changes on the disk. Read as a torn tail, the member
-  // would forget what it acknowledged and vote as if it had never been. It
-  // must refuse to start and name the file, wherever the byte is.
+  // A byte of synced data is corrupted on the disk. If it were treated as a
+  // torn write, the member would lose entries it acknowledged and a vote that
+  // it gave. It must refuse to start and name the file, wherever the byte is.
   it('refuses a flipped byte anywhere in synced data', async () => {
     const storage = new FileStorage(folder);
     await storage.open();
@@ -156,9 +157,9 @@
     }
   });
 
-  // Part of the folder is gone: the log without its snapshot, or the snapshot
-  // without its log. Neither may be taken for an empty disk.
-  it('refuses a folder that lost one of its files', async () => {
+  // One of the files is missing: the snapshot that the log follows, or the log.
+  // Neither may be treated as an empty disk.
+  it('refuses a folder with a missing file', async () => {
     const storage = new FileStorage(folder);
     await storage.open();
     await storage.write([{entries: [makeEntry(1)]}]);
@@ -181,8 +182,8 @@
     expect(forgotten).toMatchObject({kind: 'damaged'});
   });
 
-  // A sync fails once. The kernel may have dropped the pages, so a second sync
-  // would report success for lost data: no later call may reach the disk.
+  // A sync fails once. The kernel may have dropped the pages, and a second sync
+  // would report success for lost data, so no later call may reach the disk.
   it.each([
     ['sync', 'EIO', 'ioFailed'],
     ['write', 'ENOSPC', 'diskFull'],
@@ -206,9 +207,9 @@
     expect(indexes(await reopen())[0]).toBe(1);
   });
 
-  // The host stops between the snapshot's rename and the new segment's. The
-  // old log beside the newer snapshot must give the same state as either.
-  it('starts from a newer snapshot beside the old log', async () => {
+  // The host stops after renaming the snapshot and before renaming the new
+  // segment. The old log and the newer snapshot must give the same state.
+  it('starts from a newer snapshot and the old log', async () => {
     const disk = new FailingDisk(folder);
     const storage = new FileStorage(disk);
     const {id} = await storage.open();
@@ -225,9 +226,10 @@
     expect(indexes(await reopen())).toEqual([3]);
   });
 
-  // The disk is full for a while. What was not acknowledged may be missing; what
-  // was must be there once it takes bytes again, and can be added to.
-  it('opens again after a full disk with all that was acknowledged', async () => {
+  // The disk is full for a while. Unacknowledged entries may be missing
+  // afterwards, but acknowledged ones must be there, and the log must accept
+  // more.
+  it('reopens after a full disk with all acknowledged entries', async () => {
     const disk = new FailingDisk(folder);
     const first = new FileStorage(disk);
     await first.open();
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_lease.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_lease.test.ts
@@ -28,7 +28,7 @@
   readonly followers: readonly ModelHost[];
 }
 
-/** Three hosts with a leader that has committed something. */
+/** Starts three hosts whose leader has committed an entry. */
 function startGroup(seed: number): Group {
   const model = new ConsensusModel(seed, 3, 0, NO_FAULTS);
   model.advance(T * 5);
@@ -40,7 +40,7 @@
   return {model, leader, followers};
 }
 
-/** Changes the rate of a host's clock without a jump. */
+/** Changes the rate of the clock of a host without a jump. */
 function drift(model: ConsensusModel, host: ModelHost, rate: number): void {
   host.offset = model.nowAt(host) - model.time * rate;
   host.rate = rate;
@@ -55,13 +55,14 @@
 
 const seeds = Array.from({length: SEEDS}, (_, seed) => [seed]);
 
-// In all of these the model checks, each millisecond, that at most one member
-// holds a lease, and that its holder has applied all that clients were told.
+// In each of these tests the model checks every millisecond that at most one
+// member holds a lease, and that its holder has applied all acknowledged
+// entries.
 describe('a leader under a lease', () => {
-  // A leader on a slow clock is cut off silently; its followers' clocks are
-  // fast. They elect another, which acknowledges a write. A read under the old
-  // lease must not be answered any more.
-  it.each(seeds)('loses it before a successor, seed %i', seed => {
+  // A leader with a slow clock is partitioned, and the clocks of its followers
+  // are fast. They elect another leader, which acknowledges a write. The old
+  // leader must no longer answer reads under its lease.
+  it.each(seeds)('loses it before a successor is elected, seed %i', seed => {
     const group = startGroup(seed);
     const {model, leader, followers} = group;
     drift(model, leader, 1 - DRIFT);
@@ -78,9 +79,10 @@
     expect(model.ackedCount).toBe(ackedCount + 1);
   });
 
-  // One follower no longer hears the leader and asks for votes; the other one
-  // does, and forgets so by a restart. Its vote now would make a second leader
-  // beside one that is cut off a moment later and still trusts its lease.
+  // One follower has lost contact with the leader and requests votes. The other
+  // one has contact, but restarts. If it voted now, there would be a second
+  // leader beside the first one, which is partitioned a moment later and still
+  // holds its lease.
   it.each(seeds)('keeps it when a follower restarts, seed %i', seed => {
     const group = startGroup(seed);
     const {model, leader, followers} = group;
@@ -94,9 +96,10 @@
     expect(model.leader()).not.toBe(leader);
   });
 
-  // A member that was cut off for long comes back, or hears nobody while all
-  // hear it. Neither may cost the others their leader or its term.
-  it.each(seeds)('is not disturbed by a cut off member, seed %i', seed => {
+  // A member returns after a long partition, or receives nothing while all
+  // others receive its messages. Neither may depose the leader or raise the
+  // term.
+  it.each(seeds)('is not deposed by a partitioned member, seed %i', seed => {
     const group = startGroup(seed);
     const {model, leader, followers} = group;
     const {term} = model.status(leader);
@@ -112,9 +115,9 @@
     expect(model.status(leader)).toMatchObject({role: 'leader', term});
   });
 
-  // The leader's messages arrive and the answers don't: without a majority's
-  // answers it must stop by itself, so that the others can elect.
-  it.each(seeds)('steps down when it hears no majority, seed %i', seed => {
+  // The messages of the leader arrive and the replies don't. Without replies of
+  // a majority it must step down, so that the others can elect a leader.
+  it.each(seeds)('steps down without replies of a majority, seed %i', seed => {
     const {model, leader, followers} = startGroup(seed);
     for (const host of followers) model.block(host, leader);
     model.advance(T + MODEL_TIMINGS.heartbeatIntervalMs);
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_losses.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_losses.test.ts
@@ -18,7 +18,7 @@
   snapshotEveryEntries: 16,
 };
 
-/** Time that a host gets to be a full member again, milliseconds. */
+/** Time for a host to become a full member again, milliseconds. */
 const CATCH_UP_MS = 4_000;
 
 class CommandList implements StateMachine {
@@ -48,16 +48,16 @@
 
 const SEED_HOSTS = 3;
 
-/** Hosts that come and go, and what was acknowledged to clients. */
+/** Hosts that start and stop, and the commands acknowledged to clients. */
 class Fleet {
   hosts: Host[] = [];
-  /** Told to hosts that start; lags behind what happens. */
+  /** Seed addresses given to hosts that start; may be outdated. */
   seedAddresses: readonly string[];
   readonly acknowledged: string[] = [];
   readonly #network = new MemoryNetwork();
   readonly #toleratedLosses: number;
-  #made = 0;
-  #started = 0;
+  #idCount = 0;
+  #startCount = 0;
 
   constructor(seedAddresses: readonly string[], toleratedLosses: number) {
     this.seedAddresses = seedAddresses;
@@ -66,10 +66,10 @@
 
   async start(
     address: string,
-    more: Partial<ConsensusSettings> = {},
+    overrides: Partial<ConsensusSettings> = {},
     storage: ConsensusStorage = new MemoryStorage(this.#makeId(address)),
   ): Promise<Host> {
-    this.#started += 1;
+    this.#startCount += 1;
     const list = new CommandList();
     const settings: ConsensusSettings = {
       address,
@@ -77,15 +77,15 @@
       timings,
       openMembership: true,
       toleratedLosses: this.#toleratedLosses,
-      ...more,
+      ...overrides,
     };
     const node = new ConsensusNode(settings, {
       stateMachine: list,
       storage,
       transport: this.#network.attach(address),
       clock: {now: () => performance.now(), wallTime: () => 0},
-      // Hosts with one seed would split every vote.
-      random: new Random(this.#started),
+      // With the same random seed, each election would end in a split vote.
+      random: new Random(this.#startCount),
       log: SILENT,
     });
     await node.start();
@@ -94,7 +94,7 @@
     return host;
   }
 
-  /** @returns what is needed to start it again with its disk */
+  /** @returns the stopped host, with its disk */
   async stop(host: Host): Promise<Host> {
     if (this.hosts.length >= SEED_HOSTS) {
       this.seedAddresses = this.addresses.slice(0, SEED_HOSTS);
@@ -130,8 +130,8 @@
   }
 
   #makeId(address: string): string {
-    this.#made += 1;
-    return `${address}#${this.#made}`;
+    this.#idCount += 1;
+    return `${address}#${this.#idCount}`;
   }
 }
 
@@ -139,7 +139,7 @@
   await vi.advanceTimersByTimeAsync(ms);
 }
 
-const namesOf = (count: number): string[] =>
+const addressesOf = (count: number): string[] =>
   Array.from({length: count}, (_, at) => `${String.fromCharCode(97 + at)}:1`);
 
 let fleet: Fleet;
@@ -147,7 +147,7 @@
 
 type FaultScenario = (random: Random) => Promise<void>;
 
-/** The machines were all there when it began, and are after it. */
+/** Each fault starts and ends with all hosts running. */
 const FAULT_SCENARIOS: Readonly<Record<string, FaultScenario>> = {
   lostDisk: async random => {
     const {address} = await fleet.stop(random.pick(fleet.hosts));
@@ -185,14 +185,14 @@
   count: number,
   toleratedLosses: number,
 ): Promise<void> {
-  const names = namesOf(count);
+  const names = addressesOf(count);
   fleet = new Fleet(names.slice(0, 3), toleratedLosses);
   for (const name of names) await fleet.start(name);
   await advance(5_000);
   expect(fleet.votersOf(fleet.leader!)).toEqual(names);
 }
 
-/** As many disks as may be lost at once, while all other hosts restart. */
+/** Restarts all hosts, `losses` of them with empty disks. */
 async function loseAtOnce(random: Random, losses: number): Promise<void> {
   const stopped: Host[] = [];
   for (const host of [...fleet.hosts]) stopped.push(await fleet.stop(host));
@@ -216,11 +216,11 @@
   vi.useRealTimers();
 });
 
-describe('a group that loses hosts again and again', () => {
-  // Two disks are lost one after the other, then a host is replaced as planned:
-  // the newcomer joins while the old one is still there. Later one more disk is
-  // lost. Were the replaced host still counted, two of four voters would be
-  // left, and from then on every caller would get 503.
+describe('a group with repeated host losses', () => {
+  // Two disks are lost one after the other. Then a host is replaced as planned:
+  // the new host joins before the old one stops. Later another disk is lost. If
+  // the replaced host still counted, only two of four voters would be left, and
+  // from then on every caller would get 503.
   it('survives a lost disk after a planned replacement', async () => {
     await formFleet(3, 1);
     const random = new Random(1);
@@ -233,16 +233,16 @@
     expect(await fleet.propose()).toBe(true);
   });
 
-  // Each of many troubles is followed by the time that a host gets to catch up.
-  // After it the voters are exactly the hosts there are, and as many disks as
-  // the group must bear may be lost at once, with all other hosts restarting.
+  // Each of many faults is followed by the time that a host needs to catch up.
+  // Afterwards the voters must be exactly the running hosts, and the tolerated
+  // number of disks may be lost at once while all other hosts restart.
   it.each([
     {count: 3, losses: 1, seeds: [11, 12, 13, 14]},
     {count: 4, losses: 1, seeds: [21, 22, 23]},
     {count: 6, losses: 2, seeds: [31, 32, 33]},
     {count: 8, losses: 2, seeds: [41, 42]},
   ])(
-    'counts the living hosts of $count only, and bears $losses lost disks',
+    'counts only running hosts of $count, and tolerates $losses lost disks',
     {timeout: 60_000},
     async ({count, losses, seeds}) => {
       for (const seed of seeds) {
@@ -267,10 +267,10 @@
     },
   );
 
-  // A host is away for longer than the others wait, so they no longer count
-  // it. It comes back with its disk under the name that it had, and nobody
-  // sends to it: it has to ask, or it would stay outside for good.
-  it('takes a member in again that was taken off while it was away', async () => {
+  // A host is down until the group removes it. It returns with its disk and its
+  // identity, and no member sends to it. It has to ask to join, or it would
+  // stay outside forever.
+  it('readmits a member that was removed while it was down', async () => {
     await formFleet(4, 1);
     const away = fleet.hosts.find(host => host !== fleet.leader)!;
     await fleet.stop(away);
@@ -279,14 +279,14 @@
     expect(await fleet.propose()).toBe(true);
     await fleet.start(away.address, {mayForm: false}, away.storage);
     await advance(CATCH_UP_MS);
-    expect(fleet.votersOf(fleet.leader!)).toEqual(namesOf(4));
+    expect(fleet.votersOf(fleet.leader!)).toEqual(addressesOf(4));
   });
 });
 
 describe('hosts without a disk', () => {
-  // They receive the log and pass calls on, and never vote: a vote kept in
-  // memory is forgotten with its process, and with it what it acknowledged.
-  it('follow the group, and are no voters', async () => {
+  // They receive the log and forward calls, but never vote: a restart would
+  // lose a vote kept in memory, and the entries acknowledged with it.
+  it('receive the log, and are no voters', async () => {
     fleet = new Fleet(['a:1', 'b:1', 'c:1'], 1);
     for (const address of ['a:1', 'b:1', 'c:1']) await fleet.start(address);
     const observer = await fleet.start('o:1', {observer: true});
@@ -305,19 +305,19 @@
     expect(members.filter(({address}) => address === 'o:1')).toHaveLength(1);
   });
 
-  // Nobody is told which hosts have a disk, so the seeds may name some that
-  // have none, or only such. The others have to form one group all the same.
+  // No host knows which seeds have a disk: some of them, or all, may have none.
+  // The hosts with a disk must still form one group.
   it.each([
     {which: 'one', observers: ['a:1']},
     {which: 'two', observers: ['a:1', 'b:1']},
     {which: 'all', observers: ['a:1', 'b:1', 'c:1']},
   ])('may be seeds: $which', async ({observers}) => {
     fleet = new Fleet(['a:1', 'b:1', 'c:1'], 1);
-    for (const address of namesOf(7)) {
+    for (const address of addressesOf(7)) {
       await fleet.start(address, {observer: observers.includes(address)});
     }
     await advance(8_000);
-    const voters = namesOf(7).filter(name => !observers.includes(name));
+    const voters = addressesOf(7).filter(name => !observers.includes(name));
     const leading = fleet.hosts.filter(({node}) => node.status().leaseValid);
     expect(leading).toHaveLength(1);
     expect(fleet.votersOf(leading[0]!)).toEqual(voters);
@@ -328,10 +328,11 @@
     }
   });
 
-  // All hosts lose power. The seeds name those without a disk, which remember
-  // nothing and know only each other, so gateways that know the seeds would get
-  // no configuration until the leader gave their former identities up.
-  it('are found again at once after a stop of all hosts', async () => {
+  // All hosts restart. The configured seeds have no disk, start empty and know
+  // only each other. Without announcements by the leader, gateways that know
+  // only these seeds would get no configuration until the leader removed their
+  // previous identities.
+  it('rejoin quickly after a restart of all hosts', async () => {
     fleet = new Fleet(['a:1', 'b:1', 'c:1'], 1);
     for (const address of ['a:1', 'b:1', 'c:1']) await fleet.start(address);
     const observers = ['o:1', 'p:1', 'q:1'];
@@ -346,8 +347,8 @@
     fleet.hosts = [];
     for (const {address, storage} of stopped) {
       const observer = observers.includes(address);
-      const more = {observer, mayForm: false};
-      await fleet.start(address, more, observer ? undefined : storage);
+      const overrides = {observer, mayForm: false};
+      await fleet.start(address, overrides, observer ? undefined : storage);
     }
     await advance(1_500);
     for (const {list} of fleet.hosts) {
@@ -355,9 +356,9 @@
     }
   });
 
-  // A gateway that asks such a host is sent on to the leader: the host learns of
-  // it from the leader's word, before it is let in and has the log.
-  it('know the leader before they have its log', async () => {
+  // A host without a disk redirects gateways to the leader. It knows the leader
+  // from its announcement, before it has joined and received the log.
+  it('know the leader before they have the log', async () => {
     fleet = new Fleet(['a:1', 'b:1', 'c:1'], 1);
     for (const address of ['a:1', 'b:1', 'c:1']) await fleet.start(address);
     const before = await fleet.start('o:1', {observer: true});
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_member_replacement.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_member_replacement.test.ts
@@ -31,10 +31,11 @@
   {id: 'c', address: 'c:1', voter: true},
 ];
 
-// A host lost its disk. Its new identity votes, and at that moment the leader crashes,
-// with the old identity still on the list. That one can't come back: as a fourth voter
-// it counts against each majority, and the next lost host would end the group.
-test('a leader takes off what the one before it left of a replacement', async () => {
+// A host lost its disk. The leader crashes right after it promoted the new
+// identity, with the old identity still in the list. The old identity can't
+// return: as a fourth voter it would count towards each quorum, and the next
+// lost host would leave the group without a majority.
+test('a leader completes the replacement that another one began', async () => {
   const successor = {id: 'new-a', address: 'a:1', voter: true};
   const {replacement, changes} = makeReplacement([...VOTERS, successor]);
   replacement.tick();
@@ -43,7 +44,7 @@
   expect(changes).toEqual([{kind: 'remove', id: 'old-a'}]);
 });
 
-test('a group at rest is left as it is', () => {
+test('a group without unfinished replacements is not changed', () => {
   const {replacement, changes} = makeReplacement(VOTERS);
   replacement.tick();
   expect(changes).toEqual([]);
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_node.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_node.test.ts
@@ -67,7 +67,7 @@
   await vi.advanceTimersByTimeAsync(ms);
 }
 
-/** Proposes and lets virtual time pass until there is an answer. */
+/** Proposes and advances the virtual time until there is an outcome. */
 async function propose(node: ConsensusNode, text: string): Promise<string> {
   const proposing = node.propose(Buffer.from(text));
   await advance(300);
@@ -86,7 +86,7 @@
 });
 
 describe('ConsensusNode', () => {
-  it('with one member has its state again after a restart', async () => {
+  it('restores the state of a single member after a restart', async () => {
     const storage = new MemoryStorage('m1');
     const first = await startNode('a:1', storage, ['a:1']);
     await advance(1000);
@@ -102,9 +102,9 @@
     expect(second.node.status().leaseValid).toBe(true);
   });
 
-  // The host that formed the group loses its disk and comes back empty while
-  // another host is down, so that the group can't work. It must not form a
-  // second group beside the one it forgot: what was acknowledged would be gone.
+  // The host that formed the group returns with an empty disk while another
+  // host is down, so that the group has no quorum. It must not form a second
+  // group: all acknowledged entries would be missing in it.
   it('forms no second group on an emptied disk', async () => {
     const nodes = [];
     for (const address of ADDRESSES) {
@@ -129,8 +129,8 @@
     expect((await emptied.open()).entries).toEqual([]);
   });
 
-  // The same with the others up: the host joins as a learner, gets the snapshot,
-  // and takes the place of the voter that it was.
+  // The same with the other hosts running: the host joins as a learner,
+  // receives the snapshot, and replaces its previous identity as a voter.
   it('lets a host with an emptied disk catch up and vote again', async () => {
     const nodes = [];
     for (const address of ADDRESSES) {
@@ -156,10 +156,11 @@
     expect(await propose(leading.node, 'g')).toBe('committed');
   });
 
-  // An operator replaces the leader itself by a new host. The new one has all
-  // that was acknowledged before it votes; the old one goes last, then another
-  // leads, and the group goes on with the host that was replaced shut down.
-  it('replaces a leader that is up by a new host', async () => {
+  // An operator replaces the running leader by a new host. The new host has all
+  // acknowledged entries before it votes, and the old leader is removed last.
+  // Then another member leads, and the group works after the old host is
+  // stopped.
+  it('replaces a running leader by a new host', async () => {
     const nodes = [];
     for (const address of ADDRESSES) {
       const storage = new MemoryStorage(address);
@@ -188,8 +189,8 @@
     expect(fresh.register.value).toBe('abcdef');
   });
 
-  // The disk of a member fails under a proposal. The caller gets `unknown`,
-  // later callers are refused, and the member says why it has stopped.
+  // The disk of a member fails during a proposal. The outcome is `unknown`,
+  // later calls are refused, and the status names the reason.
   it('stops with a clear failure when storage fails', async () => {
     const storage = new MemoryStorage('m1');
     const {node} = await startNode('a:1', storage, ['a:1']);
@@ -207,11 +208,11 @@
     });
   });
 
-  // The disk of one of three members is full for a while. It stops at once,
-  // as it can promise nothing; the other two go on. Once the disk takes bytes
-  // again the member has to come back by itself: one more loss would else
-  // leave the group without a majority.
-  it('comes back once its disk works again', async () => {
+  // The disk of one of three members is full for a while. The member stops at
+  // once, since its promises would not be durable; the other two continue. Once
+  // the disk accepts writes, the member has to return by itself, or one more
+  // loss would leave the group without a majority.
+  it('resumes once its disk works again', async () => {
     const storages = ADDRESSES.map((_, at) => new MemoryStorage(`m${at}`));
     const nodes = [];
     for (const [at, address] of ADDRESSES.entries()) {
@@ -224,7 +225,7 @@
     const leading = nodes.find(({node}) => node.status().role === 'leader')!;
     const failedAt = nodes.findIndex(one => one !== leading);
     const full = new StorageError({kind: 'diskFull', file: 'log'});
-    // To open it anew takes a write, too.
+    // Opening writes to the disk, too.
     const failing = (['write', 'open'] as const).map(call =>
       vi.spyOn(storages[failedAt]!, call).mockRejectedValue(full),
     );
@@ -240,10 +241,10 @@
     expect(nodes[failedAt]!.register.value).toBe('ab');
   });
 
-  // The seeds name three hosts. A fourth joins beside them; then one is gone for
-  // good, and a fifth takes its place. Were the lost one still counted, the next
-  // loss would leave two of four, which can't accept a change.
-  it('lets hosts in that no seed names, in place of lost ones', async () => {
+  // There are three seeds. A fourth host joins them, then one voter is lost for
+  // good and a fifth host replaces it. If the lost voter still counted, the
+  // next loss would leave two of four voters, which can't commit a change.
+  it('lets hosts that are no seeds replace lost ones', async () => {
     const open = {openMembership: true};
     const join = (address: string): ReturnType<typeof startNode> =>
       startNode(address, new MemoryStorage(address), ADDRESSES, open);
@@ -265,11 +266,11 @@
     const lostId = nodes[lost]!.node.status().id;
     await nodes[lost]!.node.stop();
     nodes.splice(lost, 1);
-    // The leader misses its answers by then.
+    // By now the leader counts it as inactive.
     await advance(timings.electionTimeoutMs);
     nodes.push(await join('e:1'));
     await advance(2500);
-    // Silent for less than four seconds, it may only be restarting.
+    // After less than four seconds it may only be restarting.
     expect(voters()).toContain(lostId);
     expect(voters()).not.toContain('e:1');
     await advance(4000);
@@ -287,10 +288,10 @@
     ]);
   });
 
-  // A host replaces one that is gone, and none of the members it was told of
-  // leads. Only a leader can let it in: unheard, it would wait for good, and
-  // the next loss would end the group.
-  it('lets a host in that knows only a follower', async () => {
+  // A new host replaces a lost one and knows only a follower, but only the
+  // leader can let it join. If the request were not forwarded, the host would
+  // wait forever, and the next loss would leave the group without a majority.
+  it('lets a host join that knows only a follower', async () => {
     const nodes: Awaited<ReturnType<typeof startNode>>[] = [];
     const open = {openMembership: true};
     for (const address of ADDRESSES) {
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_rounds.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_rounds.test.ts
@@ -2,7 +2,7 @@
 import {ConfirmationRounds} from '../../consensus_rounds.js';
 import {DEFAULT_CONSENSUS_TIMINGS} from '../../consensus_types.js';
 
-/** A leader whose first round is confirmed. */
+/** Starts the rounds of a leader; the first one is confirmed. */
 function startRounds(): ConfirmationRounds {
   const rounds = new ConfirmationRounds(DEFAULT_CONSENSUS_TIMINGS, 0);
   rounds.start(0);
@@ -10,9 +10,9 @@
   return rounds;
 }
 
-// Dozens of gateways ask twice a second for the newest revision. A round of
-// messages for each would be many times the heartbeats.
-test('a read that may wait asks for no round, and shares the next one', () => {
+// Dozens of gateways read the newest revision twice a second. A round for each
+// read would cost many times the messages of the heartbeats.
+test('a read that may wait starts no round and shares the next one', () => {
   const rounds = startRounds();
   rounds.addRead(1, true);
   rounds.addRead(2, true);
@@ -23,14 +23,14 @@
   expect(rounds.takeConfirmedReads()).toEqual([1, 2]);
 });
 
-test('a read that may not wait asks for a round, also beside one that may', () => {
+test('a read that may not wait starts a round despite one that may', () => {
   const rounds = startRounds();
   rounds.addRead(1, true);
   rounds.addRead(2, false);
   expect(rounds.needsRound()).toBe(true);
 });
 
-test('a read is not answered by a round that began before it', () => {
+test('a read is not confirmed by a round that started before it', () => {
   const rounds = startRounds();
   rounds.start(45);
   rounds.addRead(1, true);
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_status_log.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_status_log.test.ts
@@ -2,10 +2,10 @@
 import {StatusLog} from '../../consensus_status_log.js';
 import {type ConsensusStatus, type MemberList} from '../../index.js';
 
-// A group can't elect after two of its four disks were lost at once. From the
-// logs alone the engineer must see who counts as a voter, and how far each log
-// goes; a line for each heartbeat would hide it.
-test('tells role, term and members when one of them changes', () => {
+// A group can't elect a leader after two of its four disks were lost at once.
+// The logs must show which members are voters and how far each log reaches, and
+// a line for each heartbeat would bury that.
+test('logs role, term and members when one of them changes', () => {
   const lines: unknown[] = [];
   const log = {
     debug: () => undefined,
