--- a/packages/lovagepond-consensus/src/consensus_formation.ts
+++ b/packages/lovagepond-consensus/src/consensus_formation.ts
@@ -62,8 +62,9 @@
 
 /**
  * Time between two announcements of a leader to hosts that do not reply to it,
- * in milliseconds. It is short compared with the second in which all hosts
- * serve again after a restart of all. Some of these hosts may never return.
+ * in milliseconds. It is short compared with the second that the hosts need to
+ * serve again after a restart of all of them. Some of these hosts may never
+ * return.
  */
 const ANNOUNCEMENT_INTERVAL_MS = 100;
 
@@ -165,8 +166,8 @@
   /**
    * Announces this leader to seeds and to members that do not reply. Hosts with
    * empty storage know only the seeds, and the seeds may all have empty storage
-   * too. After a restart of all hosts, those without a disk would only ask each
-   * other for the group until the leader removed their previous identities.
+   * too. After a restart of all hosts, those without a disk would only exchange
+   * hellos with each other until the leader removed their previous identities.
    */
   #announce(now: number): void {
     if (now < this.#nextAnnouncement) return;
--- a/packages/lovagepond-consensus/src/consensus_leadership.ts
+++ b/packages/lovagepond-consensus/src/consensus_leadership.ts
@@ -347,7 +347,9 @@
     this.#sendChunk(member, transfer, snapshotChunkBytes);
   }
 
-  /** With `bytes` of 0, only asks how much of the snapshot has arrived. */
+  /**
+   * Sends a chunk of at most `bytes`; with 0, a request for the next offset.
+   */
   #sendChunk(member: Member, transfer: SnapshotTransfer, bytes: number): void {
     const {snapshot, offset} = transfer;
     this.#view.outbox.send(member.address, {
--- a/packages/lovagepond-consensus/src/consensus_types.ts
+++ b/packages/lovagepond-consensus/src/consensus_types.ts
@@ -229,7 +229,7 @@
   readonly mayForm?: boolean;
   /**
    * If true, this member as leader also lets hosts that are not in `peers`
-   * join: each replaces a voter that no longer answers, or becomes an
+   * join: each replaces a voter that no longer replies, or becomes an
    * additional voter. False by default.
    */
   readonly openMembership?: boolean;
