--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_losses.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_losses.test.ts
@@ -18,7 +18,7 @@
   snapshotEveryEntries: 16,
 };
 
-/** Time that a host gets to be a full member again, milliseconds. */
+/** Time for a host to become a full member again, milliseconds. */
 const CATCH_UP_MS = 4_000;
 
 class CommandList implements StateMachine {
@@ -46,46 +46,46 @@
   list: CommandList;
 }
 
-const SEEDS = 3;
+const SEED_HOSTS = 3;
 
-/** Hosts that come and go, and what was acknowledged to clients. */
+/** Hosts that start and stop, and the commands acknowledged to clients. */
 class Fleet {
   hosts: Host[] = [];
-  /** Told to hosts that start; lags behind what happens. */
-  seeds: readonly string[];
+  /** Seed addresses given to hosts that start; may be outdated. */
+  seedAddresses: readonly string[];
   readonly acknowledged: string[] = [];
   readonly #network = new MemoryNetwork();
   readonly #toleratedLosses: number;
-  #made = 0;
-  #started = 0;
+  #idCount = 0;
+  #startCount = 0;
 
-  constructor(seeds: readonly string[], toleratedLosses: number) {
-    this.seeds = seeds;
+  constructor(seedAddresses: readonly string[], toleratedLosses: number) {
+    this.seedAddresses = seedAddresses;
     this.#toleratedLosses = toleratedLosses;
   }
 
   async start(
     address: string,
-    more: Partial<ConsensusSettings> = {},
+    overrides: Partial<ConsensusSettings> = {},
     storage: ConsensusStorage = new MemoryStorage(this.#makeId(address)),
   ): Promise<Host> {
-    this.#started += 1;
+    this.#startCount += 1;
     const list = new CommandList();
     const settings: ConsensusSettings = {
       address,
-      peers: this.seeds,
+      peers: this.seedAddresses,
       timings,
       openMembership: true,
       toleratedLosses: this.#toleratedLosses,
-      ...more,
+      ...overrides,
     };
     const node = new ConsensusNode(settings, {
       stateMachine: list,
       storage,
       transport: this.#network.attach(address),
       clock: {now: () => performance.now(), wallTime: () => 0},
-      // Hosts with one seed would split every vote.
-      random: new Random(this.#started),
+      // With the same random seed, each election would end in a split vote.
+      random: new Random(this.#startCount),
       log: SILENT,
     });
     await node.start();
@@ -94,10 +94,10 @@
     return host;
   }
 
-  /** @returns what is needed to start it again with its disk */
+  /** @returns the stopped host, with its disk */
   async stop(host: Host): Promise<Host> {
-    if (this.hosts.length >= SEEDS) {
-      this.seeds = this.addresses.slice(0, SEEDS);
+    if (this.hosts.length >= SEED_HOSTS) {
+      this.seedAddresses = this.addresses.slice(0, SEED_HOSTS);
     }
     this.hosts = this.hosts.filter(other => other !== host);
     await host.node.stop();
@@ -123,60 +123,60 @@
     if (!leader) return false;
     const text = `c${this.acknowledged.length}`;
     const proposing = leader.node.propose(Buffer.from(text));
-    await pass(300);
+    await advance(300);
     const {kind} = await proposing;
     if (kind === 'committed') this.acknowledged.push(text);
     return kind === 'committed';
   }
 
   #makeId(address: string): string {
-    this.#made += 1;
-    return `${address}#${this.#made}`;
+    this.#idCount += 1;
+    return `${address}#${this.#idCount}`;
   }
 }
 
-async function pass(ms: number): Promise<void> {
+async function advance(ms: number): Promise<void> {
   await vi.advanceTimersByTimeAsync(ms);
 }
 
-const namesOf = (count: number): string[] =>
+const addressesOf = (count: number): string[] =>
   Array.from({length: count}, (_, at) => `${String.fromCharCode(97 + at)}:1`);
 
 let fleet: Fleet;
 let nextAddress = 0;
 
-type Trouble = (random: Random) => Promise<void>;
+type FaultScenario = (random: Random) => Promise<void>;
 
-/** The machines were all there when it began, and are after it. */
-const TROUBLES: Readonly<Record<string, Trouble>> = {
+/** Each fault starts and ends with all hosts running. */
+const FAULT_SCENARIOS: Readonly<Record<string, FaultScenario>> = {
   lostDisk: async random => {
     const {address} = await fleet.stop(random.pick(fleet.hosts));
-    await pass(500);
+    await advance(500);
     await fleet.start(address, {mayForm: false});
-    await pass(CATCH_UP_MS);
+    await advance(CATCH_UP_MS);
   },
   replacedAsPlanned: async random => {
     const old = random.pick(fleet.hosts);
-    await startNewcomer();
-    await pass(1_000);
+    await startNewHost();
+    await advance(1_000);
     await fleet.stop(old);
-    await pass(CATCH_UP_MS - 1_000);
+    await advance(CATCH_UP_MS - 1_000);
   },
   replacedWhenLost: async random => {
     await fleet.stop(random.pick(fleet.hosts));
-    await pass(1_000);
-    await startNewcomer();
-    await pass(CATCH_UP_MS);
+    await advance(1_000);
+    await startNewHost();
+    await advance(CATCH_UP_MS);
   },
   awayForLong: async random => {
     const {address, storage} = await fleet.stop(random.pick(fleet.hosts));
-    await pass(7_000);
+    await advance(7_000);
     await fleet.start(address, {mayForm: false}, storage);
-    await pass(CATCH_UP_MS);
+    await advance(CATCH_UP_MS);
   },
 };
 
-async function startNewcomer(): Promise<void> {
+async function startNewHost(): Promise<void> {
   nextAddress += 1;
   await fleet.start(`new${nextAddress}:1`, {mayForm: false});
 }
@@ -185,25 +185,25 @@
   count: number,
   toleratedLosses: number,
 ): Promise<void> {
-  const names = namesOf(count);
+  const names = addressesOf(count);
   fleet = new Fleet(names.slice(0, 3), toleratedLosses);
   for (const name of names) await fleet.start(name);
-  await pass(5_000);
+  await advance(5_000);
   expect(fleet.votersOf(fleet.leader!)).toEqual(names);
 }
 
-/** As many disks as may be lost at once, while all other hosts restart. */
+/** Restarts all hosts, `losses` of them with empty disks. */
 async function loseAtOnce(random: Random, losses: number): Promise<void> {
   const stopped: Host[] = [];
   for (const host of [...fleet.hosts]) stopped.push(await fleet.stop(host));
-  await pass(700);
+  await advance(700);
   const emptied = new Set<Host>();
   while (emptied.size < losses) emptied.add(random.pick(stopped));
   for (const host of stopped) {
     const storage = emptied.has(host) ? undefined : host.storage;
     await fleet.start(host.address, {mayForm: false}, storage);
   }
-  await pass(6_000);
+  await advance(6_000);
 }
 
 beforeEach(() => {
@@ -216,49 +216,49 @@
   vi.useRealTimers();
 });
 
-describe('a group that loses hosts again and again', () => {
-  // Two disks are lost one after the other, then a host is replaced as planned:
-  // the newcomer joins while the old one is still there. Later one more disk is
-  // lost. Were the replaced host still counted, two of four voters would be
-  // left, and from then on every caller would get 503.
+describe('a group with repeated host losses', () => {
+  // Two disks are lost one after the other. Then a host is replaced as planned:
+  // the new host joins before the old one stops. Later another disk is lost. If
+  // the replaced host still counted, only two of four voters would be left, and
+  // from then on every caller would get 503.
   it('survives a lost disk after a planned replacement', async () => {
     await formFleet(3, 1);
     const random = new Random(1);
-    await TROUBLES['lostDisk']!(random);
-    await TROUBLES['lostDisk']!(random);
-    await TROUBLES['replacedAsPlanned']!(random);
+    await FAULT_SCENARIOS['lostDisk']!(random);
+    await FAULT_SCENARIOS['lostDisk']!(random);
+    await FAULT_SCENARIOS['replacedAsPlanned']!(random);
     expect(fleet.votersOf(fleet.leader!)).toEqual(fleet.addresses);
     expect(await fleet.propose()).toBe(true);
     await loseAtOnce(random, 1);
     expect(await fleet.propose()).toBe(true);
   });
 
-  // Each of many troubles is followed by the time that a host gets to catch up.
-  // After it the voters are exactly the hosts there are, and as many disks as
-  // the group must bear may be lost at once, with all other hosts restarting.
+  // Each of many faults is followed by the time that a host needs to catch up.
+  // Afterwards the voters must be exactly the running hosts, and the tolerated
+  // number of disks may be lost at once while all other hosts restart.
   it.each([
     {count: 3, losses: 1, seeds: [11, 12, 13, 14]},
     {count: 4, losses: 1, seeds: [21, 22, 23]},
     {count: 6, losses: 2, seeds: [31, 32, 33]},
     {count: 8, losses: 2, seeds: [41, 42]},
   ])(
-    'counts the living hosts of $count only, and bears $losses lost disks',
+    'counts only running hosts of $count, and tolerates $losses lost disks',
     {timeout: 60_000},
     async ({count, losses, seeds}) => {
       for (const seed of seeds) {
         const random = new Random(seed);
         await formFleet(count, losses);
-        const names = Object.keys(TROUBLES);
+        const names = Object.keys(FAULT_SCENARIOS);
         for (let step = 0; step < 8; step += 1) {
           const name = random.pick(names);
-          await TROUBLES[name]!(random);
+          await FAULT_SCENARIOS[name]!(random);
           const voters = fleet.leader ? fleet.votersOf(fleet.leader) : [];
           expect(voters, `${seed}/${step} ${name}`).toEqual(fleet.addresses);
           expect(await fleet.propose()).toBe(true);
         }
         await loseAtOnce(random, losses);
         expect(await fleet.propose(), `${seed} at the end`).toBe(true);
-        await pass(500);
+        await advance(500);
         for (const {list} of fleet.hosts) {
           expect(list.commands).toEqual(fleet.acknowledged);
         }
@@ -267,113 +267,114 @@
     },
   );
 
-  // A host is away for longer than the others wait, so they no longer count
-  // it. It comes back with its disk under the name that it had, and nobody
-  // sends to it: it has to ask, or it would stay outside for good.
-  it('takes a member in again that was taken off while it was away', async () => {
+  // A host is down until the group removes it. It returns with its disk and its
+  // identity, and no member sends to it. It has to ask to join, or it would
+  // stay outside forever.
+  it('readmits a member that was removed while it was down', async () => {
     await formFleet(4, 1);
     const away = fleet.hosts.find(host => host !== fleet.leader)!;
     await fleet.stop(away);
-    await pass(3_000);
+    await advance(3_000);
     expect(fleet.votersOf(fleet.leader!)).not.toContain(away.address);
     expect(await fleet.propose()).toBe(true);
     await fleet.start(away.address, {mayForm: false}, away.storage);
-    await pass(CATCH_UP_MS);
-    expect(fleet.votersOf(fleet.leader!)).toEqual(namesOf(4));
+    await advance(CATCH_UP_MS);
+    expect(fleet.votersOf(fleet.leader!)).toEqual(addressesOf(4));
   });
 });
 
 describe('hosts without a disk', () => {
-  // They receive the log and pass calls on, and never vote: a vote kept in
-  // memory is forgotten with its process, and with it what it acknowledged.
-  it('follow the group, and are no voters', async () => {
+  // They receive the log and forward calls, but never vote: a restart would
+  // lose a vote kept in memory, and the entries acknowledged with it.
+  it('receive the log, and are no voters', async () => {
     fleet = new Fleet(['a:1', 'b:1', 'c:1'], 1);
     for (const address of ['a:1', 'b:1', 'c:1']) await fleet.start(address);
     const observer = await fleet.start('o:1', {observer: true});
-    await pass(4_000);
+    await advance(4_000);
     expect(fleet.votersOf(fleet.leader!)).toEqual(['a:1', 'b:1', 'c:1']);
     expect(await fleet.propose()).toBe(true);
-    await pass(500);
+    await advance(500);
     expect(observer.list.commands).toEqual(fleet.acknowledged);
 
     await fleet.stop(observer);
-    await pass(500);
+    await advance(500);
     const again = await fleet.start('o:1', {observer: true, mayForm: false});
-    await pass(2_000);
+    await advance(2_000);
     expect(again.list.commands).toEqual(fleet.acknowledged);
     const {members} = fleet.leader!.node.status();
     expect(members.filter(({address}) => address === 'o:1')).toHaveLength(1);
   });
 
-  // Nobody is told which hosts have a disk, so the seeds may name some that
-  // have none, or only such. The others have to form one group all the same.
+  // No host knows which seeds have a disk: some of them, or all, may have none.
+  // The hosts with a disk must still form one group.
   it.each([
     {which: 'one', observers: ['a:1']},
     {which: 'two', observers: ['a:1', 'b:1']},
     {which: 'all', observers: ['a:1', 'b:1', 'c:1']},
   ])('may be seeds: $which', async ({observers}) => {
     fleet = new Fleet(['a:1', 'b:1', 'c:1'], 1);
-    for (const address of namesOf(7)) {
+    for (const address of addressesOf(7)) {
       await fleet.start(address, {observer: observers.includes(address)});
     }
-    await pass(8_000);
-    const voters = namesOf(7).filter(name => !observers.includes(name));
+    await advance(8_000);
+    const voters = addressesOf(7).filter(name => !observers.includes(name));
     const leading = fleet.hosts.filter(({node}) => node.status().leaseValid);
     expect(leading).toHaveLength(1);
     expect(fleet.votersOf(leading[0]!)).toEqual(voters);
     expect(await fleet.propose()).toBe(true);
-    await pass(500);
+    await advance(500);
     for (const {list} of fleet.hosts) {
       expect(list.commands).toEqual(fleet.acknowledged);
     }
   });
 
-  // All hosts lose power. The seeds name those without a disk, which remember
-  // nothing and know only each other, so gateways that know the seeds would get
-  // no configuration until the leader gave their former identities up.
-  it('are found again at once after a stop of all hosts', async () => {
+  // All hosts restart. The configured seeds have no disk, start empty and know
+  // only each other. Without announcements by the leader, gateways that know
+  // only these seeds would get no configuration until the leader removed their
+  // previous identities.
+  it('rejoin quickly after a restart of all hosts', async () => {
     fleet = new Fleet(['a:1', 'b:1', 'c:1'], 1);
     for (const address of ['a:1', 'b:1', 'c:1']) await fleet.start(address);
     const observers = ['o:1', 'p:1', 'q:1'];
     for (const address of observers) {
       await fleet.start(address, {observer: true});
     }
-    await pass(4_000);
+    await advance(4_000);
     expect(await fleet.propose()).toBe(true);
-    fleet.seeds = observers;
+    fleet.seedAddresses = observers;
     const stopped = [...fleet.hosts];
     for (const host of stopped) await host.node.stop();
     fleet.hosts = [];
     for (const {address, storage} of stopped) {
       const observer = observers.includes(address);
-      const more = {observer, mayForm: false};
-      await fleet.start(address, more, observer ? undefined : storage);
+      const overrides = {observer, mayForm: false};
+      await fleet.start(address, overrides, observer ? undefined : storage);
     }
-    await pass(1_500);
+    await advance(1_500);
     for (const {list} of fleet.hosts) {
       expect(list.commands).toEqual(fleet.acknowledged);
     }
   });
 
-  // A gateway that asks such a host is sent on to the leader: the host learns of
-  // it from the leader's word, before it is let in and has the log.
-  it('know the leader before they have its log', async () => {
+  // A host without a disk redirects gateways to the leader. It knows the leader
+  // from its announcement, before it has joined and received the log.
+  it('know the leader before they have the log', async () => {
     fleet = new Fleet(['a:1', 'b:1', 'c:1'], 1);
     for (const address of ['a:1', 'b:1', 'c:1']) await fleet.start(address);
     const before = await fleet.start('o:1', {observer: true});
-    await pass(4_000);
+    await advance(4_000);
     expect(await fleet.propose()).toBe(true);
     await before.node.stop();
-    fleet.seeds = ['o:1'];
+    fleet.seedAddresses = ['o:1'];
     const {node} = await fleet.start('o:1', {observer: true, mayForm: false});
-    for (let step = 0; node.introducedBy().length === 0; step += 1) {
+    for (let step = 0; node.announcedMembers().length === 0; step += 1) {
       expect(step).toBeLessThan(100);
       expect(node.status().members).toEqual([]);
-      await pass(10);
+      await advance(10);
     }
     const leader = fleet.hosts.find(host => host.node.status().leaseValid);
-    expect(node.introducedBy()).toEqual([leader?.address]);
-    await pass(1_500);
-    expect(node.introducedBy()).toEqual([]);
+    expect(node.announcedMembers()).toEqual([leader?.address]);
+    await advance(1_500);
+    expect(node.announcedMembers()).toEqual([]);
   });
 });
--- a/packages/lovagepond-consensus/src/consensus_action_performer.ts
+++ b/packages/lovagepond-consensus/src/consensus_action_performer.ts
@@ -1,5 +1,5 @@
 /**
- * Carries out what the core wants done.
+ * Performs the actions of the core.
  */
 import {type Unregister} from '@lovagepond/core';
 import {type ConsensusCore} from './consensus_core.js';
@@ -17,11 +17,11 @@
 /** Called when the leader known to this member changes. */
 export type LeaderListener = (leader: Member | undefined) => void;
 
-/** Called after entries were applied, with the last applied index. */
+/** Called with the last applied index after entries were applied. */
 export type AppliedListener = (appliedIndex: number) => void;
 
-/** What actions are carried out with. */
-export interface PerformerParts {
+/** Dependencies of {@link ActionPerformer}. */
+export interface PerformerDependencies {
   readonly stateMachine: StateMachine;
   readonly transport: ConsensusTransport;
   readonly writer: StorageWriter;
@@ -38,19 +38,19 @@
 
 const NO_RESULT = new Uint8Array();
 
-/** Carries out actions in order, and tells listeners. */
+/** Performs actions in order and notifies listeners. */
 export class ActionPerformer {
-  readonly #parts: PerformerParts;
+  readonly #dependencies: PerformerDependencies;
   readonly #leaderListeners = new Set<LeaderListener>();
   readonly #appliedListeners = new Set<AppliedListener>();
   readonly #handlers: ActionHandlers;
 
-  constructor(parts: PerformerParts) {
-    this.#parts = parts;
+  constructor(dependencies: PerformerDependencies) {
+    this.#dependencies = dependencies;
     this.#handlers = this.#makeHandlers();
   }
 
-  /** @param core the core whose actions are carried out */
+  /** @param core the core whose pending actions are performed */
   perform(core: ConsensusCore): void {
     for (;;) {
       const actions = core.takeActions();
@@ -67,7 +67,7 @@
 
   /**
    * @param listener called when the known leader changes
-   * @returns a function that takes the registration back
+   * @returns a function that removes the listener
    */
   onLeaderChange(listener: LeaderListener): Unregister {
     this.#leaderListeners.add(listener);
@@ -78,7 +78,7 @@
 
   /**
    * @param listener called after entries were applied
-   * @returns a function that takes the registration back
+   * @returns a function that removes the listener
    */
   onApplied(listener: AppliedListener): Unregister {
     this.#appliedListeners.add(listener);
@@ -87,13 +87,13 @@
     };
   }
 
-  /** @param leader the leader known now */
-  tellLeader(leader: Member | undefined): void {
+  /** @param leader the currently known leader */
+  notifyLeaderChange(leader: Member | undefined): void {
     for (const listener of [...this.#leaderListeners]) listener(leader);
   }
 
   #makeHandlers(): ActionHandlers {
-    const {transport, writer, stateMachine, pending} = this.#parts;
+    const {transport, writer, stateMachine, pending} = this.#dependencies;
     return {
       send: ({address, message}) => {
         transport.send(address, message);
@@ -106,17 +106,17 @@
       },
       apply: ({entries}) => {
         for (const entry of entries) this.#apply(entry);
-        this.#tellApplied(entries.at(-1)?.index ?? 0);
+        this.#notifyApplied(entries.at(-1)?.index ?? 0);
       },
       restore: ({snapshot}) => {
         stateMachine.restore(snapshot.data);
-        this.#tellApplied(snapshot.index);
+        this.#notifyApplied(snapshot.index);
       },
       takeSnapshot: ({index}, core) => {
         core.snapshotTaken(index, stateMachine.snapshot());
       },
       leaderChanged: ({leader}) => {
-        this.tellLeader(leader);
+        this.notifyLeaderChange(leader);
       },
       leadershipLost: () => {
         pending.abandonProposals();
@@ -125,7 +125,7 @@
         pending.answerReads(tokens, {kind: 'ok', index});
       },
       readRefused: ({tokens}) => {
-        const leader = this.#parts.leader();
+        const leader = this.#dependencies.leader();
         const outcome = {kind: 'notLeader' as const, ...(leader && {leader})};
         pending.answerReads(tokens, outcome);
       },
@@ -133,7 +133,7 @@
   }
 
   #apply(entry: LogEntry): void {
-    const {stateMachine, pending} = this.#parts;
+    const {stateMachine, pending} = this.#dependencies;
     const isCommand = entry.kind === ENTRY_KIND.COMMAND;
     const result = isCommand
       ? stateMachine.apply(entry.data, entry.index)
@@ -141,7 +141,7 @@
     pending.applied(entry, result);
   }
 
-  #tellApplied(index: number): void {
+  #notifyApplied(index: number): void {
     for (const listener of [...this.#appliedListeners]) listener(index);
   }
 }
--- a/packages/lovagepond-consensus/src/consensus_formation.ts
+++ b/packages/lovagepond-consensus/src/consensus_formation.ts
@@ -1,12 +1,12 @@
 /**
- * How hosts without a group form one, or join the one there is.
+ * Forming a group, or joining the existing one.
  *
- * A host whose disk was emptied must not form a second group beside the one
- * that it has forgotten. So only one host may form a group: the seed with the
- * lowest address among those that have a disk, and only after every other seed
- * said in the same round that it remembers none. When one of them doesn't
- * answer, it waits. When no seed has a disk, the lowest of them appoints one
- * host that has, and never another.
+ * A host that lost its disk must not form a second group beside the one that it
+ * belonged to. So only one host may form a group: the seed with the lowest
+ * address among those with a disk, and only after all other seeds replied in
+ * the same round that they belong to no group. If a seed does not reply, the
+ * host waits. If no seed has a disk, the seed with the lowest address appoints
+ * one host with a disk, and never another one.
  */
 import {
   type FormationMessage,
@@ -19,26 +19,31 @@
   type MemberList,
 } from './consensus_types.js';
 
-/** What formation reads of its member. */
+/** Interface of the member to its formation. */
 export interface FormationView {
   readonly id: MemberId;
   readonly address: string;
-  /** The seeds: hosts that are told to all at the first start. */
+  /** Seed addresses, which are configured at all hosts for the first start. */
   readonly peers: readonly string[];
   readonly helloIntervalMs: number;
   readonly mayForm: boolean;
-  /** This host has no disk. */
+  /** True if this host has no disk. */
   readonly observer: boolean;
   isBlank(): boolean;
-  /** True when it remembers a group that seems to have forgotten it. */
-  isForgotten(now: number): boolean;
+  /**
+   * True if this member belongs to a group but has long had no leader contact,
+   * so that it may have been removed.
+   */
+  hasLostLeader(now: number): boolean;
   isLeading(): boolean;
   members(): MemberList;
-  /** True when this host leads and the member answered lately. */
+  /**
+   * True if this host leads and the member replied within an election timeout.
+   */
   isActive(id: MemberId): boolean;
 }
 
-/** Something for the shell to do. */
+/** An action for the node to perform. */
 export type FormationAction =
   | {
       readonly kind: 'send';
@@ -46,40 +51,47 @@
       readonly message: FormationMessage;
     }
   | {readonly kind: 'bootstrap'; readonly members: MemberList}
-  /** A host that is no member wants to be one. */
+  /** A host that is not a member asks to join. */
   | {readonly kind: 'join'; readonly hello: HelloRequest};
 
-/** Round of a wish that a member passed on; a host's own begin with 1. */
-export const PASSED_ON_ROUND = 0;
+/**
+ * Round number of a join request that a member forwarded. The rounds of a host
+ * start at 1.
+ */
+export const FORWARDED_ROUND = 0;
 
 /**
- * Time between two introductions of a leader to the hosts that it doesn't hear,
- * milliseconds: short against the second that it takes until all hosts serve
- * again after a stop of all. Some of these hosts may be gone for good.
+ * Time between two announcements of a leader to hosts that do not reply to it,
+ * in milliseconds. It is short compared with the second that the hosts need to
+ * serve again after a restart of all of them. Some of these hosts may never
+ * return.
  */
-const INTRODUCTION_INTERVAL_MS = 100;
+const ANNOUNCEMENT_INTERVAL_MS = 100;
 
-/** Forms or joins a group while there is none that counts this host in. */
+/** Forms or joins a group while this host belongs to none. */
 export class Formation {
   readonly #view: FormationView;
-  /** The other seeds. */
-  readonly #others: readonly string[];
-  /** Hosts that said in this round that they remember no group. */
+  /** Seeds other than this host. */
+  readonly #otherSeeds: readonly string[];
+  /** Hosts that replied in this round that they belong to no group. */
   readonly #blankPeers = new Map<string, Member>();
-  /** Addresses of hosts that said that they have no disk. */
+  /** Addresses of hosts that reported that they have no disk. */
   readonly #observers = new Set<string>();
-  /** Members that said so, while this host knew of no group. */
-  readonly #introduced = new Set<string>();
+  /**
+   * Addresses of members that announced themselves while this host belonged to
+   * no group.
+   */
+  readonly #announced = new Set<string>();
   #actions: FormationAction[] = [];
   #round = 0;
   #nextHello = -Infinity;
-  #nextIntroduction = -Infinity;
+  #nextAnnouncement = -Infinity;
   #appointed: MemberId | undefined;
 
-  /** @param view the member that forms or joins */
+  /** @param view the member that forms or joins a group */
   constructor(view: FormationView) {
     this.#view = view;
-    this.#others = view.peers.filter(peer => peer !== view.address);
+    this.#otherSeeds = view.peers.filter(peer => peer !== view.address);
   }
 
   /** @returns the actions collected since the last call */
@@ -90,30 +102,34 @@
   }
 
   /**
-   * Members that said that they are there while this host remembers no group:
-   * others that ask it can be sent to them.
+   * Addresses of members that announced themselves while this host belongs to
+   * no group. Callers of this host can be redirected to them.
    */
-  get introducedBy(): readonly string[] {
-    return this.#view.isBlank() ? [...this.#introduced] : [];
+  get announcedMembers(): readonly string[] {
+    return this.#view.isBlank() ? [...this.#announced] : [];
   }
 
   /** @param now monotonic milliseconds */
   tick(now: number): void {
-    if (this.#view.isLeading()) this.#introduce(now);
+    if (this.#view.isLeading()) this.#announce(now);
     const blank = this.#view.isBlank();
-    if (!blank && !this.#view.isForgotten(now)) return;
+    if (!blank && !this.#view.hasLostLeader(now)) return;
     if (now < this.#nextHello) return;
     this.#nextHello = now + this.#view.helloIntervalMs;
     this.#round += 1;
     this.#blankPeers.clear();
     const known = this.#view.members().map(({address}) => address);
-    const asked = new Set([...this.#others, ...this.#introduced, ...known]);
-    asked.delete(this.#view.address);
-    this.#sendHello(asked, {blank, joins: true});
+    const targets = new Set([
+      ...this.#otherSeeds,
+      ...this.#announced,
+      ...known,
+    ]);
+    targets.delete(this.#view.address);
+    this.#sendHello(targets, {blank, joins: true});
     this.#bootstrapWhenAllBlank();
   }
 
-  /** @param message a host says that it is there */
+  /** @param message a hello from another host */
   onHello(message: HelloRequest): void {
     const {id, address, observer} = this.#view;
     const blank = this.#view.isBlank();
@@ -125,12 +141,12 @@
       address: fromAddress,
       message: {kind: 'helloReply', ...reply, observer, appoints},
     });
-    if (blank && !message.blank) this.#introduced.add(fromAddress);
+    if (blank && !message.blank) this.#announced.add(fromAddress);
     if (blank || !message.joins) return;
     this.#actions.push({kind: 'join', hello: message});
   }
 
-  /** @param message the answer to this host's question */
+  /** @param message a reply to a hello of this host */
   onHelloReply(message: HelloReply): void {
     const {id} = this.#view;
     if (message.to !== id || message.round !== this.#round) return;
@@ -139,37 +155,38 @@
     const member = {id: from, address: fromAddress, voter: true};
     if (observer) this.#observers.add(fromAddress);
     this.#blankPeers.set(fromAddress, member);
-    if (message.appoints && this.#mayFound) this.#bootstrap([]);
+    if (message.appoints && this.#mayFormGroup) this.#bootstrap([]);
     else this.#bootstrapWhenAllBlank();
   }
 
-  get #mayFound(): boolean {
+  get #mayFormGroup(): boolean {
     return this.#view.mayForm && !this.#view.observer;
   }
 
   /**
-   * Hosts that started without a memory know the seeds only, and the seeds may
-   * be just such hosts: after a stop of all, those without a disk would ask each
-   * other for the group until the leader gave them up.
+   * Announces this leader to seeds and to members that do not reply. Hosts with
+   * empty storage know only the seeds, and the seeds may all have empty storage
+   * too. After a restart of all hosts, those without a disk would only exchange
+   * hellos with each other until the leader removed their previous identities.
    */
-  #introduce(now: number): void {
-    if (now < this.#nextIntroduction) return;
-    this.#nextIntroduction = now + INTRODUCTION_INTERVAL_MS;
+  #announce(now: number): void {
+    if (now < this.#nextAnnouncement) return;
+    this.#nextAnnouncement = now + ANNOUNCEMENT_INTERVAL_MS;
     const members = this.#view.members();
-    const heard = members.filter(({id}) => this.#view.isActive(id));
+    const active = members.filter(({id}) => this.#view.isActive(id));
     const known = members.map(({address}) => address);
-    const targets = new Set([...this.#others, ...known]);
-    for (const {address} of heard) targets.delete(address);
+    const targets = new Set([...this.#otherSeeds, ...known]);
+    for (const {address} of active) targets.delete(address);
     this.#sendHello(targets, {blank: false, joins: false});
   }
 
   #sendHello(
     addresses: Iterable<string>,
-    what: Pick<HelloRequest, 'blank' | 'joins'>,
+    flags: Pick<HelloRequest, 'blank' | 'joins'>,
   ): void {
     const {id: from, address: fromAddress, observer} = this.#view;
     const round = this.#round;
-    const hello = {...what, from, fromAddress, observer, round};
+    const hello = {...flags, from, fromAddress, observer, round};
     for (const address of addresses) {
       const message = {kind: 'hello' as const, ...hello};
       this.#actions.push({kind: 'send', address, message});
@@ -177,15 +194,15 @@
   }
 
   /**
-   * A second appointment could make a second group, so there is none, even if
-   * the first host is never heard of again.
+   * At most one host is ever appointed, even if that host never replies again:
+   * a second appointment could result in a second group.
    */
   #appoint({from, blank, observer}: HelloRequest): boolean {
     const {address, mayForm, peers} = this.#view;
     if (!mayForm || !blank || observer) return false;
     if (!this.#view.observer || !peers.includes(address)) return false;
-    const isLowest = !this.#others.some(other => other < address);
-    const hasDisk = this.#others.some(other => !this.#observers.has(other));
+    const isLowest = !this.#otherSeeds.some(other => other < address);
+    const hasDisk = this.#otherSeeds.some(other => !this.#observers.has(other));
     if (!isLowest || hasDisk) return false;
     this.#appointed ??= from;
     return this.#appointed === from;
@@ -193,9 +210,9 @@
 
   #bootstrapWhenAllBlank(): void {
     const {address, peers} = this.#view;
-    if (!this.#mayFound || !peers.includes(address)) return;
-    if (!this.#others.every(other => this.#blankPeers.has(other))) return;
-    const seeds = this.#others.filter(other => !this.#observers.has(other));
+    if (!this.#mayFormGroup || !peers.includes(address)) return;
+    if (!this.#otherSeeds.every(other => this.#blankPeers.has(other))) return;
+    const seeds = this.#otherSeeds.filter(other => !this.#observers.has(other));
     if (seeds.some(other => other < address)) return;
     this.#bootstrap(seeds.flatMap(seed => this.#blankPeers.get(seed) ?? []));
   }
--- a/packages/lovagepond-consensus/src/consensus_formation_performer.ts
+++ b/packages/lovagepond-consensus/src/consensus_formation_performer.ts
@@ -1,10 +1,10 @@
 /**
- * Carries out what formation decides, at one member.
+ * Performs the actions of group formation at one member.
  */
 import {
   type Formation,
   type FormationAction,
-  PASSED_ON_ROUND,
+  FORWARDED_ROUND,
 } from './consensus_formation.js';
 import {type JoiningHost} from './consensus_member_replacement.js';
 import {
@@ -18,12 +18,12 @@
   type MemberList,
 } from './consensus_types.js';
 
-/** What the performer calls. */
-export interface FormationPerformerParts {
+/** Functions that the performer calls. */
+export interface FormationPerformerDependencies {
   send(address: string, message: FormationMessage): void;
   status(): ConsensusStatus;
   bootstrap(members: MemberList): void;
-  /** Called at a leader with a host that asks to be let in. */
+  /** Called on the leader when a host asks to join. */
   join(host: JoiningHost): void;
 }
 
@@ -33,27 +33,27 @@
   ) => void;
 };
 
-/** Performs formation's actions. */
+/** Performs the actions of a formation. */
 export class FormationPerformer {
-  readonly #parts: FormationPerformerParts;
+  readonly #dependencies: FormationPerformerDependencies;
   readonly #handlers: Handlers = {
     send: ({address, message}) => {
-      this.#parts.send(address, message);
+      this.#dependencies.send(address, message);
     },
     bootstrap: ({members}) => {
-      this.#parts.bootstrap(members);
+      this.#dependencies.bootstrap(members);
     },
     join: ({hello}) => {
       this.#join(hello);
     },
   };
 
-  /** @param parts what it calls */
-  constructor(parts: FormationPerformerParts) {
-    this.#parts = parts;
+  /** @param dependencies functions to call */
+  constructor(dependencies: FormationPerformerDependencies) {
+    this.#dependencies = dependencies;
   }
 
-  /** @param formation whose collected actions are performed */
+  /** @param formation the formation whose pending actions are performed */
   perform(formation: Formation): void {
     for (const action of formation.takeActions()) {
       const handler = this.#handlers[action.kind] as (
@@ -64,20 +64,21 @@
   }
 
   #join(hello: HelloRequest): void {
-    const {role, leader} = this.#parts.status();
+    const {role, leader} = this.#dependencies.status();
     const {from: id, fromAddress: address, blank, observer} = hello;
-    const isPassedOn = hello.round === PASSED_ON_ROUND;
+    const isForwarded = hello.round === FORWARDED_ROUND;
     if (role === MEMBER_ROLE.LEADER) {
-      this.#parts.join({id, address, blank, observer});
-    } else if (leader && !isPassedOn) this.#passOn(hello, leader);
+      this.#dependencies.join({id, address, blank, observer});
+    } else if (leader && !isForwarded) this.#forward(hello, leader);
   }
 
   /**
-   * A host that wants to join knows some members, and the leader may be none of
-   * them: it would wait for good, the lost voter would stay counted, and the
-   * next loss would leave the group without a majority.
+   * Forwards a join request to the leader. The joining host may know only
+   * followers. Without the leader it would wait forever, the lost voter would
+   * keep counting towards the quorum, and the next loss would leave the group
+   * without a majority.
    */
-  #passOn(hello: HelloRequest, leader: Member): void {
-    this.#parts.send(leader.address, {...hello, round: PASSED_ON_ROUND});
+  #forward(hello: HelloRequest, leader: Member): void {
+    this.#dependencies.send(leader.address, {...hello, round: FORWARDED_ROUND});
   }
 }
--- a/packages/lovagepond-consensus/src/consensus_node.ts
+++ b/packages/lovagepond-consensus/src/consensus_node.ts
@@ -1,6 +1,6 @@
 /**
- * The shell of consensus: connects the deciding part to storage, transport,
- * the state machine and the timer.
+ * A consensus member with I/O: connects the core to storage, transport, state
+ * machine and timer.
  */
 import {type Unregister} from '@lovagepond/core';
 import {
@@ -9,13 +9,13 @@
   type LeaderListener,
 } from './consensus_action_performer.js';
 import {ConsensusCore, type Proposal} from './consensus_core.js';
-import {BeliefLog} from './consensus_belief_log.js';
+import {StatusLog} from './consensus_status_log.js';
 import {Formation} from './consensus_formation.js';
 import {FormationPerformer} from './consensus_formation_performer.js';
 import {type MemberChange} from './consensus_members.js';
 import {MemberReplacement} from './consensus_member_replacement.js';
 import {type TransportMessage} from './consensus_messages.js';
-import {type ConsensusParts} from './consensus_parts.js';
+import {type ConsensusDependencies} from './consensus_dependencies.js';
 import {PendingCalls} from './consensus_pending.js';
 import {StorageWriter} from './consensus_storage_writer.js';
 import {type ConsensusStorage} from './consensus_storage.js';
@@ -31,23 +31,26 @@
 } from './consensus_types.js';
 
 /**
- * A heartbeat is sent at the first look after it is due, so half an interval late
- * at most. With four looks an interval, eight members spent 0.75 of a core idle,
- * with two 0.64.
+ * Ticks per heartbeat interval. A heartbeat is sent at the first tick after it
+ * is due, so at most half an interval late. With four ticks, eight idle members
+ * use 0.75 of a core; with two, they use 0.64.
  */
 const TICKS_PER_HEARTBEAT = 2;
-/** Time between hellos of a host without a group, in election timeouts. */
+/** Interval between hellos of a host without a group, in election timeouts. */
 const HELLO_INTERVAL_TIMEOUTS = 0.5;
 
-/** Time between two tries to use storage that failed, milliseconds. */
+/** Interval between attempts to reopen failed storage, milliseconds. */
 const REOPEN_MS = 500;
 
-/** What was stored contradicts itself: only an operator can decide. */
+/**
+ * True if the stored data is damaged: only an operator can resolve that, so
+ * storage is not reopened.
+ */
 function isDamage(err: unknown): boolean {
   return err instanceof StorageError && err.failure.kind === 'damaged';
 }
 
-const NEVER_STARTED: ConsensusStatus = {
+const INITIAL_STATUS: ConsensusStatus = {
   id: '',
   role: MEMBER_ROLE.FOLLOWER,
   term: 0,
@@ -62,33 +65,36 @@
 /** One member of the group. */
 export class ConsensusNode {
   readonly #settings: ConsensusSettings;
-  readonly #parts: ConsensusParts;
+  readonly #dependencies: ConsensusDependencies;
   readonly #pending = new PendingCalls();
   readonly #writer: StorageWriter;
   readonly #performer: ActionPerformer;
   readonly #replacement: MemberReplacement;
   readonly #formationPerformer: FormationPerformer;
-  readonly #beliefs: BeliefLog;
+  readonly #statusLog: StatusLog;
   #core: ConsensusCore | undefined;
   #formation: Formation | undefined;
   #timer: NodeJS.Timeout | undefined;
   #unregister: Unregister = () => undefined;
-  #lastStatus: ConsensusStatus = NEVER_STARTED;
+  #lastStatus: ConsensusStatus = INITIAL_STATUS;
   readonly #emptyState: Uint8Array;
   #storage: ConsensusStorage;
   #reopenTimer: NodeJS.Timeout | undefined;
   #flushScheduled = false;
-  /** See {@link CoreParts.silentSince}. */
-  #silentSince: number | undefined;
+  /** See {@link CoreOptions.previousRunEndedBy}. */
+  #previousRunEndedBy: number | undefined;
 
-  constructor(settings: ConsensusSettings, parts: ConsensusParts) {
+  constructor(
+    settings: ConsensusSettings,
+    dependencies: ConsensusDependencies,
+  ) {
     this.#settings = settings;
-    this.#parts = parts;
-    this.#storage = parts.storage;
-    this.#silentSince = parts.processStartedAt;
-    this.#emptyState = parts.stateMachine.snapshot();
-    this.#beliefs = new BeliefLog(parts.log);
-    this.#writer = new StorageWriter(parts.storage, {
+    this.#dependencies = dependencies;
+    this.#storage = dependencies.storage;
+    this.#previousRunEndedBy = dependencies.processStartedAt;
+    this.#emptyState = dependencies.stateMachine.snapshot();
+    this.#statusLog = new StatusLog(dependencies.log);
+    this.#writer = new StorageWriter(dependencies.storage, {
       onStored: id => {
         this.#run(core => {
           core.stored(id, this.#now());
@@ -99,7 +105,7 @@
       },
     });
     this.#performer = new ActionPerformer({
-      ...parts,
+      ...dependencies,
       writer: this.#writer,
       pending: this.#pending,
       leader: () => this.status().leader,
@@ -109,7 +115,8 @@
       status: () => this.status(),
       isCaughtUp: id => this.#core?.isCaughtUp(id) ?? false,
       isActive: id => this.#core?.isActive(id, this.#now()) ?? false,
-      silenceMs: id => this.#core?.silenceMs(id, this.#now()) ?? 0,
+      timeSinceReplyMs: id =>
+        this.#core?.timeSinceReplyMs(id, this.#now()) ?? 0,
       openMembership: settings.openMembership ?? false,
       toleratedLosses: settings.toleratedLosses,
       mayJoin: address => {
@@ -119,7 +126,7 @@
     });
     this.#formationPerformer = new FormationPerformer({
       send: (address, message) => {
-        parts.transport.send(address, message);
+        dependencies.transport.send(address, message);
       },
       status: () => this.status(),
       bootstrap: members => {
@@ -135,23 +142,23 @@
   }
 
   /**
-   * Opens storage and starts; resolves before there is a leader.
+   * Opens storage and starts the member. Resolves before a leader is elected.
    *
-   * @throws StorageError when the stored state is damaged
+   * @throws StorageError if the stored state is damaged
    */
   async start(): Promise<void> {
-    const {transport, random} = this.#parts;
+    const {transport, random} = this.#dependencies;
     const {address, peers, timings} = this.#settings;
     const stored = await this.#storage.open();
-    const silentSince = this.#silentSince;
-    const parts = {
+    const previousRunEndedBy = this.#previousRunEndedBy;
+    const options = {
       stored,
       address,
       timings,
       random,
-      ...(silentSince !== undefined && {silentSince}),
+      ...(previousRunEndedBy !== undefined && {previousRunEndedBy}),
     };
-    const core = new ConsensusCore(parts, this.#now());
+    const core = new ConsensusCore(options, this.#now());
     this.#core = core;
     this.#formation = new Formation({
       id: stored.id,
@@ -161,7 +168,7 @@
       observer: this.#settings.observer ?? false,
       helloIntervalMs: timings.electionTimeoutMs * HELLO_INTERVAL_TIMEOUTS,
       isBlank: () => core.isBlank,
-      isForgotten: now => core.isForgotten(now),
+      hasLostLeader: now => core.hasLostLeader(now),
       isLeading: () => this.status().role === MEMBER_ROLE.LEADER,
       members: () => this.status().members,
       isActive: id => core.isActive(id, this.#now()),
@@ -176,7 +183,7 @@
     this.#tick();
   }
 
-  /** Ends at once; proposals under way become `unknown`. */
+  /** Stops immediately; pending proposals resolve to `unknown`. */
   async stop(): Promise<void> {
     clearTimeout(this.#reopenTimer);
     this.#halt();
@@ -184,15 +191,15 @@
   }
 
   /**
-   * @param command a command of the state machine
-   * @returns what became of it
+   * @param command a command for the state machine
+   * @returns the outcome of the proposal
    */
   propose(command: Uint8Array): Promise<ProposeOutcome> {
-    return this.#await(this.#core?.propose(command));
+    return this.#awaitProposal(this.#core?.propose(command));
   }
 
   /**
-   * @param mayWait the answer may come with the next heartbeat
+   * @param mayWait true if the read may wait for the next heartbeat
    * @returns `ok` once a read of the state machine is linearizable
    */
   readBarrier(mayWait = false): Promise<ReadOutcome> {
@@ -204,19 +211,22 @@
     });
   }
 
-  /** @returns what this member knows now */
+  /** @returns the current state of this member */
   status(): ConsensusStatus {
     return this.#core?.status(this.#now()) ?? this.#lastStatus;
   }
 
-  /** @returns members that this host could send others to, while it is none */
-  introducedBy(): readonly string[] {
-    return this.#formation?.introducedBy ?? [];
+  /**
+   * @returns addresses of members to which callers can be redirected while this
+   *     host belongs to no group
+   */
+  announcedMembers(): readonly string[] {
+    return this.#formation?.announcedMembers ?? [];
   }
 
   /**
    * @param listener called when the known leader changes
-   * @returns a function that takes the registration back
+   * @returns a function that removes the listener
    */
   onLeaderChange(listener: LeaderListener): Unregister {
     return this.#performer.onLeaderChange(listener);
@@ -224,28 +234,28 @@
 
   /**
    * @param listener called after entries were applied
-   * @returns a function that takes the registration back
+   * @returns a function that removes the listener
    */
   onApplied(listener: AppliedListener): Unregister {
     return this.#performer.onApplied(listener);
   }
 
   /**
-   * Adds a member that receives the log and counts in no majority.
+   * Adds a member that receives the log and does not count towards the quorum.
    *
    * @param id identity of the new member
-   * @param address where it is reached
-   * @returns what became of the change
+   * @param address address of the new member
+   * @returns the outcome of the change
    */
   addLearner(id: MemberId, address: string): Promise<ChangeOutcome> {
     return this.#change({kind: 'addLearner', id, address});
   }
 
   /**
-   * Makes a learner that has caught up a voter.
+   * Promotes a learner that has caught up to a voter.
    *
    * @param id identity of the learner
-   * @returns what became of the change
+   * @returns the outcome of the change
    */
   promote(id: MemberId): Promise<ChangeOutcome> {
     return this.#change({kind: 'promote', id});
@@ -253,21 +263,21 @@
 
   /**
    * @param id identity of the member to remove
-   * @returns what became of the change
+   * @returns the outcome of the change
    */
   removeMember(id: MemberId): Promise<ChangeOutcome> {
     return this.#change({kind: 'remove', id});
   }
 
   /**
-   * Adds the new member as a learner, waits until it has caught up, and puts
-   * it in the old one's place. May be called again after a failure: steps done
-   * already are left out.
+   * Adds the new member as a learner, waits until it has caught up, and
+   * replaces the old member by it. May be called again after a failure:
+   * completed steps are skipped.
    *
    * @param oldId identity of the member to remove
-   * @param newId identity of the member that takes its place
-   * @param address where the new member is reached
-   * @returns what became of the first change that failed, or of the last
+   * @param newId identity of the new member
+   * @param address address of the new member
+   * @returns the outcome of the first change that failed, or of the last one
    */
   replaceMember(
     oldId: MemberId,
@@ -278,7 +288,7 @@
   }
 
   #now(): number {
-    return this.#parts.clock.now();
+    return this.#dependencies.clock.now();
   }
 
   #tick(): void {
@@ -310,10 +320,10 @@
   #change(change: MemberChange): Promise<ChangeOutcome> {
     const proposal = this.#core?.changeMembers(change, this.#now());
     if (proposal?.kind === 'refused') return Promise.resolve(proposal);
-    return this.#await(proposal);
+    return this.#awaitProposal(proposal);
   }
 
-  #await(proposal: Proposal | undefined): Promise<ProposeOutcome> {
+  #awaitProposal(proposal: Proposal | undefined): Promise<ProposeOutcome> {
     if (proposal?.kind !== 'added') {
       const {leader} = this.status();
       return Promise.resolve({kind: 'notLeader', ...(leader && {leader})});
@@ -322,7 +332,9 @@
     return this.#pending.addProposal(proposal.index, proposal.term);
   }
 
-  /** Proposals of one turn of the loop share one message and one sync. */
+  /**
+   * Proposals in the same event loop iteration share one message and one sync.
+   */
   #scheduleFlush(): void {
     if (this.#flushScheduled) return;
     this.#flushScheduled = true;
@@ -340,7 +352,7 @@
     try {
       step(core);
       this.#performer.perform(core);
-      this.#beliefs.note(core.status(this.#now()));
+      this.#statusLog.update(core.status(this.#now()));
     } catch (err) {
       this.#fail(err);
     }
@@ -353,9 +365,9 @@
   #fail(err: unknown): void {
     if (!this.#core) return;
     const failure = err instanceof Error ? err.message : String(err);
-    this.#parts.log.error('consensus has stopped', {failure});
+    this.#dependencies.log.error('consensus has stopped', {failure});
     this.#halt(failure);
-    if (this.#parts.reopenStorage && !isDamage(err)) this.#reopenLater();
+    if (this.#dependencies.reopenStorage && !isDamage(err)) this.#reopenLater();
   }
 
   #reopenLater(): void {
@@ -366,12 +378,12 @@
   }
 
   /**
-   * Begins anew from what the disk holds, as after a restart of the process: a
-   * disk that was full or refused writes for a while would else cost the group
-   * a member for good, and the next loss its majority.
+   * Restarts from the stored data, as after a restart of the process. Otherwise
+   * a disk that was full or failed writes for a while would cost the group a
+   * member for good, and the next loss would cost it its majority.
    */
   async #reopen(): Promise<void> {
-    const {reopenStorage, stateMachine, log} = this.#parts;
+    const {reopenStorage, stateMachine, log} = this.#dependencies;
     if (!reopenStorage) return;
     await this.#storage.close().catch(() => undefined);
     this.#storage = reopenStorage();
@@ -390,17 +402,17 @@
 
   #halt(failure?: string): void {
     const {id, term, members, lastIndex} = this.status();
-    const stopped = {...NEVER_STARTED, id, term, members, lastIndex};
+    const stopped = {...INITIAL_STATUS, id, term, members, lastIndex};
     this.#lastStatus = failure ? {...stopped, failure} : stopped;
     clearInterval(this.#timer);
     this.#unregister();
     this.#writer.stop();
     this.#core = undefined;
-    this.#silentSince = this.#now();
+    this.#previousRunEndedBy = this.#now();
     this.#formation = undefined;
     this.#pending.abandonProposals();
     this.#pending.refuseAllReads();
     this.#replacement.stop();
-    this.#performer.tellLeader(undefined);
+    this.#performer.notifyLeaderChange(undefined);
   }
 }
