--- a/packages/lovagepond-consensus/src/consensus_core.ts
+++ b/packages/lovagepond-consensus/src/consensus_core.ts
@@ -279,7 +279,7 @@
    *     leader contact for several election timeouts
    */
   hasLostLeader(now: number): boolean {
-    const {leadership, options} = this.#state;
+    const {leadership, parts: options} = this.#state;
     if (this.isBlank || leadership) return false;
     const limitMs = REJOIN_AFTER_TIMEOUTS * options.timings.electionTimeoutMs;
     return this.#state.timeSinceLeaderContactMs(now) >= limitMs;
--- a/packages/lovagepond-consensus/src/consensus_member_state.ts
+++ b/packages/lovagepond-consensus/src/consensus_member_state.ts
@@ -49,7 +49,7 @@
 /** Term, role and voting promise of one member. */
 export class MemberState {
   readonly id: MemberId;
-  readonly options: CoreOptions;
+  readonly parts: CoreOptions;
   readonly outbox = new Outbox();
   readonly replica: Replica;
   #term: number;
@@ -66,7 +66,7 @@
    */
   constructor(options: CoreOptions, now: number) {
     const {stored, timings} = options;
-    this.options = options;
+    this.parts = options;
     this.id = stored.id;
     this.replica = new Replica(stored, timings, this.outbox);
     this.#term = stored.hardState.term;
@@ -124,7 +124,7 @@
    * @returns true while this member must not vote for another member
    */
   isBoundToLeader(now: number): boolean {
-    const {electionTimeoutMs} = this.options.timings;
+    const {electionTimeoutMs} = this.parts.timings;
     const isLeading = this.#leadership !== undefined;
     return isLeading || now - this.#leaderContact < electionTimeoutMs;
   }
@@ -202,7 +202,7 @@
   /** @param now monotonic milliseconds */
   becomeLeader(now: number): void {
     const {id, outbox, replica} = this;
-    const {address, timings} = this.options;
+    const {address, timings} = this.parts;
     this.#role = MEMBER_ROLE.LEADER;
     const term = this.#term;
     const view = {id, address, term, timings, outbox, replica};
@@ -255,7 +255,7 @@
    * @returns the message in its envelope
    */
   envelop(body: MessageBody, to: MemberId): ConsensusMessage {
-    const {address} = this.options;
+    const {address} = this.parts;
     const head = {from: this.id, fromAddress: address, to, term: this.#term};
     return {...body, ...head};
   }
@@ -291,7 +291,7 @@
    * together.
    */
   #firstTimeout(now: number): number {
-    const {timings, random} = this.options;
+    const {timings, random} = this.parts;
     const {electionTimeoutMs} = timings;
     const remainingPromiseMs =
       electionTimeoutMs - this.timeSinceLeaderContactMs(now);
@@ -300,7 +300,7 @@
 
   /** Random for each call, so that members do not start elections together. */
   #drawTimeout(): number {
-    const {timings, random} = this.options;
+    const {timings, random} = this.parts;
     return timings.electionTimeoutMs * (1 + random.next());
   }
 }
--- a/packages/lovagepond-control/src/control_role.ts
+++ b/packages/lovagepond-control/src/control_role.ts
@@ -51,7 +51,7 @@
    */
   readonly makeTransport?: (server: Server) => ConsensusTransport;
   readonly timings?: ConsensusTimings;
-  /** See `ConsensusParts.processStartedAt`. */
+  /** See `ConsensusDependencies.processStartedAt`. */
   readonly processStartedAt?: number;
   /** Reads the contexts that an engine holds; by default they aren't read. */
   readonly readHeldContexts?: HeldContextsReader;
--- a/packages/lovagepond-sidecar/src/sidecar_control_link.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_control_link.ts
@@ -113,11 +113,10 @@
     return answer;
   }
 
-  #updateTarget(calledAddress: string, answer: LeaderHint | undefined): void {
-    if (calledAddress !== this.address) return;
+  #updateTarget(callee: string, answer: LeaderHint | undefined): void {
+    if (callee !== this.address) return;
     if (answer === undefined) {
-      if (calledAddress === this.#addresses.current)
-        {this.#addresses.selectNext();}
+      if (callee === this.#addresses.current) this.#addresses.selectNext();
       this.#leader = '';
       return;
     }
