--- a/packages/lovagepond-cli/src/__tests__/e2e/leader_death.test.ts
+++ b/packages/lovagepond-cli/src/__tests__/e2e/leader_failure.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, it} from 'vitest';
-import {until} from './open_chat.js';
+import {waitUntil} from './open_chat.js';
 import {useThreeMembers} from './three_members.js';
 
 const CHANGE = ['workspaces', 'set', 'pharmacy', 'weight=2'];
@@ -42,15 +42,18 @@
 
     const routers = fleet.namesOf('router');
     const nodes = [...routers, ...fleet.namesOf('sidecar')].sort();
-    await until(async () => {
-      const told = (await fleet.ctl('convergence', '--wait')) as Convergence;
-      expect(told).toMatchObject({revision: 2, behind: []});
-      return told.nodes.length === nodes.length;
+    await waitUntil(async () => {
+      const convergence = (await fleet.ctl(
+        'convergence',
+        '--wait',
+      )) as Convergence;
+      expect(convergence).toMatchObject({revision: 2, behind: []});
+      return convergence.nodes.length === nodes.length;
     });
     for (const router of routers) expect(await revisionOf(router)).toBe(2);
 
     await fleet.restart(leader);
-    await until(async () => (await revisionOf(leader)) === 2);
+    await waitUntil(async () => (await revisionOf(leader)) === 2);
     expect(await fleet.ctl('configuration')).toMatchObject({revision: 2});
   });
 });
--- a/packages/lovagepond-cli/src/__tests__/e2e/open_chat.ts
+++ b/packages/lovagepond-cli/src/__tests__/e2e/open_chat.ts
@@ -18,12 +18,14 @@
   /** The router's own without it. */
   readonly deadlineMs?: number;
   /** The chat's messages before this one. */
-  readonly earlier?: readonly {role: string; content: string}[];
+  readonly earlierMessages?: readonly {role: string; content: string}[];
 }
 
 /** Asks until it holds; the test's own limit ends it. */
-export async function until(holds: () => Promise<boolean>): Promise<void> {
-  while (!(await holds())) await wait(POLL_MS);
+export async function waitUntil(
+  condition: () => Promise<boolean>,
+): Promise<void> {
+  while (!(await condition())) await wait(POLL_MS);
 }
 
 async function readRest(
@@ -51,7 +53,7 @@
   maxTokens: number,
   options: ChatOptions = {},
 ): Promise<OpenChat> {
-  const {deadlineMs, earlier = []} = options;
+  const {deadlineMs, earlierMessages = []} = options;
   const res = await fetch(`${url}/v1/chat/completions`, {
     method: 'POST',
     headers: {
@@ -63,7 +65,10 @@
     body: JSON.stringify({
       model: 'any',
       stream: true,
-      messages: [...earlier, {role: 'user', content: `And for ${chat}?`}],
+      messages: [
+        ...earlierMessages,
+        {role: 'user', content: `And for ${chat}?`},
+      ],
       max_tokens: maxTokens,
     }),
   });
@@ -83,7 +88,7 @@
 }
 
 /** @returns name of the one sidecar through which an answer is running */
-export async function findServing(fleet: Fleet): Promise<string> {
+export async function findServingSidecar(fleet: Fleet): Promise<string> {
   for (const name of fleet.namesOf('sidecar')) {
     if (!fleet.get(name).running) continue;
     const {state} = await fleet.dump(name);
--- a/packages/lovagepond-cli/src/__tests__/e2e/sidecar_death.test.ts
+++ b/packages/lovagepond-cli/src/__tests__/e2e/sidecar_failure.test.ts
@@ -1,6 +1,11 @@
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 import {Fleet, streamChat} from '../../../../../scripts/fleet_processes.mjs';
-import {countRequests, findServing, openChat, until} from './open_chat.js';
+import {
+  countRequests,
+  findServingSidecar,
+  openChat,
+  waitUntil,
+} from './open_chat.js';
 
 /** About three seconds at the stand-in's one token a step. */
 const LONG_TOKENS = 160;
@@ -8,7 +13,7 @@
  * About ten seconds: longer than the commands and chats take that run beside
  * it, on a busy host too.
  */
-const LEAVING_TOKENS = 500;
+const DRAINING_TOKENS = 500;
 const SHORT_TOKENS = 8;
 const OTHER_CHATS = 6;
 const FROZEN_DEADLINE_MS = 2_500;
@@ -58,15 +63,17 @@
     const answer = await openChat(
       fleet.callersUrl('router-1'),
       'leaving',
-      LEAVING_TOKENS,
+      DRAINING_TOKENS,
     );
-    const serving = await findServing(fleet);
+    const serving = await findServingSidecar(fleet);
     const before = await countRequests(fleet, serving);
     const exited = fleet.get(serving).end('SIGTERM');
-    await until(async () => (await stateOf(serving)) === 'draining');
+    await waitUntil(async () => (await stateOf(serving)) === 'draining');
     const version = await membershipVersion('control-1');
     for (const router of fleet.namesOf('router')) {
-      await until(async () => (await membershipVersion(router)) === version);
+      await waitUntil(
+        async () => (await membershipVersion(router)) === version,
+      );
     }
     const others = Array.from({length: OTHER_CHATS}, (_, index) =>
       streamChat(fleet.callersUrl(`router-${1 + (index % 2)}`), {
@@ -96,17 +103,17 @@
     const half = await openChat(url1!, 'frozen', LONG_TOKENS, {
       deadlineMs: FROZEN_DEADLINE_MS,
     });
-    const serving = await findServing(fleet);
+    const serving = await findServingSidecar(fleet);
     const before = await countRequests(fleet, serving);
     fleet.get(serving).signal('SIGSTOP');
     const waiting = openChat(url1!, 'frozen', SHORT_TOKENS, {
       deadlineMs: WAITING_DEADLINE_MS,
-      earlier: [
+      earlierMessages: [
         {role: 'user', content: 'And for frozen?'},
         {role: 'assistant', content: 'The first one.'},
       ],
     });
-    await until(async () => {
+    await waitUntil(async () => {
       const {state} = await fleet.dump('router-1');
       return (state['requestsByState'] as {offered?: number}).offered === 1;
     });
@@ -119,7 +126,7 @@
     expect(await countRequests(fleet, serving)).toBe(before);
 
     fleet.get(serving).signal('SIGCONT');
-    await until(async () => {
+    await waitUntil(async () => {
       const {state} = await fleet.dump(serving);
       return (state['gate'] as {runs: number}).runs === 0;
     });
@@ -139,7 +146,7 @@
   it('leaves an honest error to its caller when it is killed', async () => {
     const url = fleet.callersUrl('router-2');
     const answer = await openChat(url, 'killed', LONG_TOKENS);
-    const serving = await findServing(fleet);
+    const serving = await findServingSidecar(fleet);
     await fleet.get(serving).end('SIGKILL');
     const body = await answer.body;
     expect(body).not.toContain('[DONE]');
--- a/packages/lovagepond-cli/src/__tests__/unit/loaded_code.test.ts
+++ b/packages/lovagepond-cli/src/__tests__/unit/loaded_code.test.ts
@@ -2,7 +2,7 @@
 import {beforeAll, describe, expect, it} from 'vitest';
 
 const SOURCE = 'packages/lovagepond-cli/src';
-const SHELL = [`${SOURCE}/main.ts`, `${SOURCE}/command_role.ts`];
+const COMMON_ENTRIES = [`${SOURCE}/main.ts`, `${SOURCE}/command_role.ts`];
 
 /** Files evaluated once these are: all that is not imported when asked for. */
 function listLoaded(
@@ -43,13 +43,13 @@
     ['control', ['undici', 'router', 'sidecar', 'caller', 'backend']],
     ['sidecar', ['control', 'consensus', 'operator', 'caller']],
     ['gateway', ['control', 'consensus', 'sidecar', 'caller', 'prom-client']],
-  ])('%s loads nothing of %j', (role, foreign) => {
-    const entries = [...SHELL, `${SOURCE}/role_${role}.ts`];
+  ])('%s loads nothing of %j', (role, forbidden) => {
+    const entries = [...COMMON_ENTRIES, `${SOURCE}/role_${role}.ts`];
     const loaded = [...listLoaded(metafile, entries)];
     expect(loaded.some(file => file.includes(`lovagepond-${role}/`))).toBe(
       true,
     );
-    const found = foreign.filter(name =>
+    const found = forbidden.filter(name =>
       loaded.some(file =>
         new RegExp(`(^packages/lovagepond-|node_modules/)${name}/`).test(file),
       ),
--- a/packages/lovagepond-cli/src/check_settings_files.ts
+++ b/packages/lovagepond-cli/src/check_settings_files.ts
@@ -57,11 +57,13 @@
     listens.push(...check.listens);
     folders.push(...check.folders);
   }
-  const taken = sharedPlatform
+  const listensToCompare = sharedPlatform
     ? listens.filter(({section}) => section !== 'platform')
     : listens;
-  const shared = findSharedFolders(folders);
-  return {faults: [...faults, ...findOverlaps(taken), ...shared]};
+  const folderFaults = findSharedFolders(folders);
+  return {
+    faults: [...faults, ...findOverlaps(listensToCompare), ...folderFaults],
+  };
 }
 
 /**
--- a/packages/lovagepond-cli/src/command_explain.ts
+++ b/packages/lovagepond-cli/src/command_explain.ts
@@ -6,14 +6,14 @@
 import {createInterface} from 'node:readline';
 import {type Readable} from 'node:stream';
 import {
-  Beliefs,
   type LogLine,
   parseLine,
-  renderBeliefs,
+  ProcessStateTracker,
+  renderProcessStates,
   renderRequest,
   renderSummary,
-  RequestEvidence,
-  SummaryEvidence,
+  RequestReportBuilder,
+  SummaryBuilder,
 } from '@lovagepond/explain';
 import {EXIT_CODE, type ExitCode} from '@lovagepond/process';
 
@@ -21,7 +21,7 @@
 const PROGRESS_LINES = 200_000;
 
 /** What is asked: about one request, about a time, or about all requests. */
-export interface ExplainQuestion {
+export interface ExplainQuery {
   readonly request?: string;
   /** ISO time, or milliseconds since 1970. */
   readonly at?: string;
@@ -45,7 +45,7 @@
 
 async function readLines(
   inputs: readonly Readable[],
-  take: (line: LogLine) => void,
+  onLine: (line: LogLine) => void,
   onProgress: (lines: number) => void,
 ): Promise<void> {
   let count = 0;
@@ -55,7 +55,7 @@
       count += 1;
       if (count % PROGRESS_LINES === 0) onProgress(count);
       const line = parseLine(text);
-      if (line) take(line);
+      if (line) onLine(line);
     }
   }
 }
@@ -72,13 +72,13 @@
  * @returns the exit code
  */
 export async function runExplain(
-  {request, at, summary = false}: ExplainQuestion,
+  {request, at, summary = false}: ExplainQuery,
   files: readonly string[],
   out: Output = process.stdout,
 ): Promise<ExitCode> {
   const time = at === undefined ? undefined : parseTime(at);
-  const asked = [request !== undefined, at !== undefined, summary];
-  if (asked.filter(Boolean).length !== 1) {
+  const selected = [request !== undefined, at !== undefined, summary];
+  if (selected.filter(Boolean).length !== 1) {
     process.stderr.write('say a request id, --at TIME or --summary: one\n');
     return EXIT_CODE.USAGE;
   }
@@ -88,9 +88,9 @@
   }
   try {
     const inputs = openAll(files);
-    if (summary) return await explainAll(inputs, out);
+    if (summary) return await explainSummary(inputs, out);
     return request === undefined
-      ? await explainTime(time ?? 0, inputs, out)
+      ? await explainProcessStates(time ?? 0, inputs, out)
       : await explainRequest(request, inputs, out);
   } catch (err) {
     const reason = err instanceof Error ? err.message : String(err);
@@ -104,43 +104,43 @@
   inputs: readonly Readable[],
   out: Output,
 ): Promise<ExitCode> {
-  const evidence = new RequestEvidence(id);
-  const take = (line: LogLine): void => {
-    evidence.take(line);
+  const builder = new RequestReportBuilder(id);
+  const onLine = (line: LogLine): void => {
+    builder.add(line);
   };
-  await readLines(inputs, take, showProgress);
-  const account = evidence.collect();
-  if (!account) {
+  await readLines(inputs, onLine, showProgress);
+  const report = builder.build();
+  if (!report) {
     process.stderr.write(`no line names the request ${id}\n`);
     return EXIT_CODE.NOT_FOUND;
   }
-  out.write(renderRequest(account));
+  out.write(renderRequest(report));
   return EXIT_CODE.OK;
 }
 
-async function explainAll(
+async function explainSummary(
   inputs: readonly Readable[],
   out: Output,
 ): Promise<ExitCode> {
-  const evidence = new SummaryEvidence();
-  const take = (line: LogLine): void => {
-    evidence.take(line);
+  const builder = new SummaryBuilder();
+  const onLine = (line: LogLine): void => {
+    builder.add(line);
   };
-  await readLines(inputs, take, showProgress);
-  out.write(renderSummary(evidence.collect()));
+  await readLines(inputs, onLine, showProgress);
+  out.write(renderSummary(builder.build()));
   return EXIT_CODE.OK;
 }
 
-async function explainTime(
+async function explainProcessStates(
   time: number,
   inputs: readonly Readable[],
   out: Output,
 ): Promise<ExitCode> {
-  const beliefs = new Beliefs();
-  const take = (line: LogLine): void => {
-    if (line.timeMs <= time) beliefs.take(line);
+  const tracker = new ProcessStateTracker();
+  const onLine = (line: LogLine): void => {
+    if (line.timeMs <= time) tracker.add(line);
   };
-  await readLines(inputs, take, showProgress);
-  out.write(renderBeliefs(beliefs.list()));
+  await readLines(inputs, onLine, showProgress);
+  out.write(renderProcessStates(tracker.list()));
   return EXIT_CODE.OK;
 }
--- a/packages/lovagepond-cli/src/command_fake.ts
+++ b/packages/lovagepond-cli/src/command_fake.ts
@@ -25,7 +25,7 @@
 /** A stand-in that listens. */
 type FakeServer = Role & {readonly address: string};
 
-const FAKE_MAKERS: Readonly<
+const FAKE_FACTORIES: Readonly<
   Record<FakeKind, (address: HostPort) => FakeServer>
 > = {
   engine: address => {
@@ -33,8 +33,8 @@
       ...DEFAULT_FAKE_ENGINE_SETTINGS,
       ...DEFAULT_FAKE_SERVER_SETTINGS,
     };
-    const parts = {clock: new SystemClock()};
-    return new FakeEngineServer({...defaults, ...address}, parts);
+    const dependencies = {clock: new SystemClock()};
+    return new FakeEngineServer({...defaults, ...address}, dependencies);
   },
   service: address => new FakeServiceServer(address),
 };
@@ -45,7 +45,7 @@
  * @returns the stand-in, not started yet
  */
 export function createFake(kind: FakeKind, address: HostPort): FakeServer {
-  return FAKE_MAKERS[kind](address);
+  return FAKE_FACTORIES[kind](address);
 }
 
 /**
--- a/packages/lovagepond-cli/src/command_line.ts
+++ b/packages/lovagepond-cli/src/command_line.ts
@@ -13,7 +13,7 @@
   type RoleName,
   VERSION,
 } from './cli_constants.js';
-import {type ExplainQuestion} from './command_explain.js';
+import {type ExplainQuery} from './command_explain.js';
 import {type StandaloneOptions} from './command_standalone.js';
 import {collectWords, renderCompletion} from './command_completion.js';
 
@@ -87,7 +87,7 @@
         'explain --summary logs/*.log',
       ),
     )
-    .action(async (words: string[], options: ExplainQuestion) => {
+    .action(async (words: string[], options: ExplainQuery) => {
       const {runExplain} = await import('./command_explain.js');
       const [request, ...files] = words;
       const isAboutAll = options.at !== undefined || options.summary === true;
@@ -165,7 +165,7 @@
 /** Adds the `ctl` commands; their code is large and loaded when wanted. */
 export type CtlRegistrar = (ctl: Command) => void;
 
-const CTL_WORDS: ReadonlySet<string> = new Set(['ctl', 'completion']);
+const CTL_COMMANDS: ReadonlySet<string> = new Set(['ctl', 'completion']);
 
 /**
  * @param registerCtl adds the commands of `ctl`; without it `ctl` has none
@@ -204,8 +204,8 @@
  * @param argv the command line, as in `process.argv`
  */
 export async function runCommandLine(argv: readonly string[]): Promise<void> {
-  const wantsCtl = argv.some(word => CTL_WORDS.has(word));
-  const registerCtl = wantsCtl
+  const needsCtl = argv.some(word => CTL_COMMANDS.has(word));
+  const registerCtl = needsCtl
     ? (await import('@lovagepond/operator')).registerCtl
     : undefined;
   try {
--- a/packages/lovagepond-cli/src/command_standalone.ts
+++ b/packages/lovagepond-cli/src/command_standalone.ts
@@ -18,23 +18,23 @@
   RoarrLogger,
   SystemClock,
 } from '@lovagepond/process';
-import {type RoleParts} from './role_definition.js';
+import {type RoleDependencies} from './role_definition.js';
 import {checkFleet} from './self_check.js';
-import {makeStandaloneFleet} from './standalone_fleet.js';
+import {createStandaloneFleet} from './standalone_fleet.js';
 import {StandaloneRole} from './standalone_role.js';
 import {
   type FleetSet,
-  moveToFolder,
-  moveToFreePorts,
+  assignDataFolders,
+  assignFreePorts,
   readSetFolder,
 } from './standalone_set.js';
-import {makeBuiltInSet} from './standalone_settings.js';
+import {createBuiltInSet} from './standalone_settings.js';
 
 const ANNOUNCE_DELAY_MS = 200;
 const DRAIN_LIMIT_MS = 10_000;
 const LOOPBACK: HostPort = {host: '127.0.0.1', port: 0};
 
-function makeParts(level: LogLevel): RoleParts {
+function createRoleDependencies(level: LogLevel): RoleDependencies {
   const clock = new SystemClock();
   const metrics = new MetricsRegistry();
   registerProcessMetrics(metrics);
@@ -47,7 +47,9 @@
 }
 
 function readSet(setFolder: string | undefined): FleetSet {
-  return setFolder === undefined ? makeBuiltInSet() : readSetFolder(setFolder);
+  return setFolder === undefined
+    ? createBuiltInSet()
+    : readSetFolder(setFolder);
 }
 
 function listAddresses(
@@ -58,15 +60,15 @@
   return settings.flatMap(({sections}) => sections[section]?.[key] ?? []);
 }
 
-async function makeRole(
+async function createStandaloneRole(
   set: FleetSet,
-  parts: RoleParts,
+  dependencies: RoleDependencies,
 ): Promise<StandaloneRole> {
-  const fleet = await makeStandaloneFleet(set, parts);
-  return new StandaloneRole(fleet, set.configuration, parts.clock);
+  const fleet = await createStandaloneFleet(set, dependencies);
+  return new StandaloneRole(fleet, set.configuration, dependencies.clock);
 }
 
-function printGuide(set: FleetSet, platform: string): void {
+function printAddresses(set: FleetSet, platform: string): void {
   const routers = listAddresses(set, 'callers', 'listen');
   const administration = listAddresses(set, 'administration', 'listen');
   const lines = [
@@ -99,9 +101,9 @@
   set: setFolder,
 }: StandaloneOptions): Promise<ExitCode> {
   try {
-    const set = moveToFolder(readSet(setFolder), dataFolder);
-    const parts = makeParts(logLevel);
-    const role = await makeRole(set, parts);
+    const set = assignDataFolders(readSet(setFolder), dataFolder);
+    const dependencies = createRoleDependencies(logLevel);
+    const role = await createStandaloneRole(set, dependencies);
     const platform = listAddresses(set, 'platform', 'address')[0] ?? '';
     const settings = {
       address: parseHostPort(platform) ?? LOOPBACK,
@@ -110,10 +112,14 @@
       drainLimitMs: DRAIN_LIMIT_MS,
     };
     const reload = (): void => {
-      parts.log.warn('standalone takes no settings over while it runs');
+      dependencies.log.warn('standalone takes no settings over while it runs');
     };
-    printGuide(set, platform);
-    return await new ProcessRunner(settings, {...parts, role, reload}).run();
+    printAddresses(set, platform);
+    return await new ProcessRunner(settings, {
+      ...dependencies,
+      role,
+      reload,
+    }).run();
   } catch (err) {
     process.stderr.write(`standalone could not start: ${String(err)}\n`);
     return EXIT_CODE.START;
@@ -128,16 +134,16 @@
  */
 export async function runSelfCheck(setFolder?: string): Promise<ExitCode> {
   const dataFolder = mkdtempSync(join(tmpdir(), 'lovagepond-self-check-'));
-  const moved = await moveToFreePorts(readSet(setFolder));
-  const set = moveToFolder(moved, dataFolder);
-  const parts = makeParts('error');
-  const role = await makeRole(set, parts);
+  const setOnFreePorts = await assignFreePorts(readSet(setFolder));
+  const set = assignDataFolders(setOnFreePorts, dataFolder);
+  const dependencies = createRoleDependencies('error');
+  const role = await createStandaloneRole(set, dependencies);
   const routers = listAddresses(set, 'callers', 'listen');
   const {configuration} = set;
   try {
     await role.start();
     const target = {routers, configuration};
-    const lines = await checkFleet(role, parts.clock, target);
+    const lines = await checkFleet(role, dependencies.clock, target);
     process.stdout.write(`${lines.join('\n')}\n`);
     return EXIT_CODE.OK;
   } catch (err) {
--- a/packages/lovagepond-cli/src/composition_root.ts
+++ b/packages/lovagepond-cli/src/composition_root.ts
@@ -77,14 +77,14 @@
    * @returns the exit code
    */
   async run(): Promise<ExitCode> {
-    const parts = {
+    const dependencies = {
       clock: this.#clock,
       log: this.#log,
       random: this.#random,
       metrics: this.#metrics,
     };
     const {file, values} = this.#settings;
-    const role = await this.#definition.createRole(values, parts);
+    const role = await this.#definition.createRole(values, dependencies);
     const {role: kind, name} = values.process;
     registerProcessMetrics(this.#metrics);
     registerRoleMetrics(this.#metrics, [{kind, name, role}]);
@@ -95,7 +95,7 @@
       this.#log,
     );
     const runner = new ProcessRunner(toProcessSettings(values.platform), {
-      ...parts,
+      ...dependencies,
       role,
       reload: running => {
         reloader.reload(running);
@@ -109,7 +109,7 @@
   return new Random(seed ?? (clock.wallTime() ^ process.pid) >>> 0);
 }
 
-function registerParts(
+function registerDependencies(
   child: DependencyContainer,
   {process: identity, platform}: CommonValues,
 ): void {
@@ -133,7 +133,7 @@
   settings: LoadedSettings,
 ): RoleProcess {
   const child = container.createChildContainer();
-  registerParts(child, settings.values);
+  registerDependencies(child, settings.values);
   child.register(TOKEN.DEFINITION, {useValue: definition});
   child.register(TOKEN.SETTINGS, {useValue: settings});
   return child.resolve(RoleProcess);
--- a/packages/lovagepond-cli/src/free_ports.ts
+++ b/packages/lovagepond-cli/src/free_ports.ts
@@ -15,7 +15,7 @@
 /** Ports that processes with neighbouring ids keep apart. */
 const PORTS_PER_PROCESS = 64;
 
-let looked = 0;
+let checkedCount = 0;
 
 async function isFree(port: number): Promise<boolean> {
   const server = createServer();
@@ -37,9 +37,9 @@
 export async function findFreePorts(count: number): Promise<number[]> {
   const ports: number[] = [];
   while (ports.length < count) {
-    const offset = process.pid * PORTS_PER_PROCESS + looked;
+    const offset = process.pid * PORTS_PER_PROCESS + checkedCount;
     const port = FIRST_PORT + (offset % PORT_SPAN);
-    looked += 1;
+    checkedCount += 1;
     if (await isFree(port)) ports.push(port);
   }
   return ports;
--- a/packages/lovagepond-cli/src/role_control.ts
+++ b/packages/lovagepond-cli/src/role_control.ts
@@ -11,7 +11,7 @@
 import {AdministrationServer} from '@lovagepond/operator/server';
 import {DEFAULT_OPERATOR_SETTINGS} from '@lovagepond/operator/settings';
 import {ControlMember} from './control_member.js';
-import {type RoleDefinition, type RoleParts} from './role_definition.js';
+import {type RoleDefinition, type RoleDependencies} from './role_definition.js';
 import {keepDefined} from './settings_utils.js';
 import {
   CONTROL_SCHEMA,
@@ -21,7 +21,7 @@
 } from './settings_control.js';
 
 /** A member of control, and the control role inside of it. */
-export interface MadeControlMember {
+export interface CreatedControlMember {
   readonly member: ControlMember;
   readonly control: ControlRole;
 }
@@ -53,9 +53,9 @@
  */
 export function createControlMember(
   values: ControlValues,
-  {clock, log, random}: RoleParts,
-  more: Pick<ControlParts, 'readHeldContexts'> = {},
-): MadeControlMember {
+  {clock, log, random}: RoleDependencies,
+  extraDependencies: Pick<ControlParts, 'readHeldContexts'> = {},
+): CreatedControlMember {
   const settings = {...CONTROL_DEFAULTS, ...toControlSettings(values)};
   const control = new ControlRole(settings, {
     clock,
@@ -63,7 +63,7 @@
     random,
     timings: toTimings(values),
     processStartedAt: PROCESS_STARTED_AT,
-    ...more,
+    ...extraDependencies,
   });
   const administration = new AdministrationServer(
     control.administration,
@@ -80,7 +80,7 @@
 export const CONTROL_ROLE: RoleDefinition<typeof CONTROL_SCHEMA> = {
   name: 'control',
   schema: CONTROL_SCHEMA,
-  createRole(values, parts) {
-    return Promise.resolve(createControlMember(values, parts).member);
+  createRole(values, dependencies) {
+    return Promise.resolve(createControlMember(values, dependencies).member);
   },
 };
--- a/packages/lovagepond-cli/src/role_definition.ts
+++ b/packages/lovagepond-cli/src/role_definition.ts
@@ -15,7 +15,7 @@
 import {type RoleName} from './cli_constants.js';
 
 /** What each role is given besides its settings. */
-export interface RoleParts {
+export interface RoleDependencies {
   readonly clock: Clock;
   readonly log: Logger;
   readonly random: Random;
@@ -27,5 +27,8 @@
   readonly name: RoleName;
   readonly schema: Schema;
   /** Makes the role, not started yet. */
-  createRole(values: FileValues<Schema>, parts: RoleParts): Promise<Role>;
+  createRole(
+    values: FileValues<Schema>,
+    dependencies: RoleDependencies,
+  ): Promise<Role>;
 }
--- a/packages/lovagepond-cli/src/role_gateway.ts
+++ b/packages/lovagepond-cli/src/role_gateway.ts
@@ -14,7 +14,7 @@
  * @param names the header names that callers and backend servers use
  * @returns the gateway role
  */
-export function makeGatewayDefinition(
+export function createGatewayDefinition(
   names: GatewayHeaderNames,
 ): RoleDefinition<typeof GATEWAY_SCHEMA> {
   return {
@@ -25,11 +25,11 @@
         ...DEFAULT_GATEWAY_SETTINGS,
         ...toGatewaySettings(values),
       };
-      const parts = {clock, log, random, names};
-      return Promise.resolve(new GatewayRole(settings, parts));
+      const dependencies = {clock, log, random, names};
+      return Promise.resolve(new GatewayRole(settings, dependencies));
     },
   };
 }
 
 /** The gateway role with the product's own header names. */
-export const GATEWAY_ROLE = makeGatewayDefinition(DEFAULT_HEADER_NAMES);
+export const GATEWAY_ROLE = createGatewayDefinition(DEFAULT_HEADER_NAMES);
--- a/packages/lovagepond-cli/src/role_group.ts
+++ b/packages/lovagepond-cli/src/role_group.ts
@@ -38,10 +38,10 @@
 
   /** Routers drain before the sidecars that their requests run at. */
   async drain(limitMs: number): Promise<void> {
-    const endsAt = this.#clock.now() + limitMs;
+    const deadline = this.#clock.now() + limitMs;
     for (const layer of this.#layers.toReversed()) {
-      const left = Math.max(0, endsAt - this.#clock.now());
-      await Promise.all(layer.map(({role}) => role.drain(left)));
+      const remainingMs = Math.max(0, deadline - this.#clock.now());
+      await Promise.all(layer.map(({role}) => role.drain(remainingMs)));
     }
   }
 
--- a/packages/lovagepond-cli/src/role_metrics.ts
+++ b/packages/lovagepond-cli/src/role_metrics.ts
@@ -19,9 +19,12 @@
   /** Where a plain number, or true or false, stands. */
   readonly path?: Path;
   /** Where objects of numbers stand, and the label that their keys become. */
-  readonly byLabel?: {readonly paths: readonly Path[]; readonly label: string};
+  readonly labelledObjects?: {
+    readonly paths: readonly Path[];
+    readonly label: string;
+  };
   /** Several plain numbers under one label. */
-  readonly parts?: {
+  readonly labelledNumbers?: {
     readonly label: string;
     readonly paths: Readonly<Record<string, Path>>;
   };
@@ -32,7 +35,7 @@
     kind: 'counter',
     name: 'lovagepond_control_bytes_total',
     help: 'Control traffic of this process in bytes.',
-    parts: {label: 'direction', paths},
+    labelledNumbers: {label: 'direction', paths},
   };
 }
 
@@ -60,7 +63,7 @@
     kind: 'counter',
     name: 'lovagepond_refusals_total',
     help: 'Requests answered with an error, by kind.',
-    byLabel: {
+    labelledObjects: {
       paths: [['failedByKind'], ['front', 'refusedByKind']],
       label: 'kind',
     },
@@ -87,7 +90,7 @@
     kind: 'gauge',
     name: 'lovagepond_load_skew_ratio',
     help: "A pool's busiest ready server over the mean, as known here.",
-    byLabel: {paths: [['skew']], label: 'pool'},
+    labelledObjects: {paths: [['skew']], label: 'pool'},
   },
   {
     kind: 'gauge',
@@ -111,7 +114,7 @@
     kind: 'counter',
     name: 'lovagepond_frames_dropped_total',
     help: 'Frames thrown away, by reason.',
-    byLabel: {paths: [['droppedByReason']], label: 'reason'},
+    labelledObjects: {paths: [['droppedByReason']], label: 'reason'},
   },
   {
     kind: 'counter',
@@ -141,13 +144,13 @@
     kind: 'counter',
     name: 'lovagepond_refusals_total',
     help: 'Attempts refused, truly not run, by kind.',
-    byLabel: {paths: [['attempts', 'refusedByKind']], label: 'kind'},
+    labelledObjects: {paths: [['attempts', 'refusedByKind']], label: 'kind'},
   },
   {
     kind: 'counter',
     name: 'lovagepond_failures_total',
     help: 'Attempts that failed after dispatch, by kind.',
-    byLabel: {paths: [['attempts', 'failedByKind']], label: 'kind'},
+    labelledObjects: {paths: [['attempts', 'failedByKind']], label: 'kind'},
   },
   {
     kind: 'counter',
@@ -165,7 +168,7 @@
     kind: 'gauge',
     name: 'lovagepond_load_tokens',
     help: 'Estimated tokens at the backend server and in the queue.',
-    parts: {
+    labelledNumbers: {
       label: 'state',
       paths: {
         running: ['gate', 'runningTokens'],
@@ -207,7 +210,7 @@
     kind: 'gauge',
     name: 'lovagepond_consensus_index',
     help: 'Log positions of this member.',
-    parts: {
+    labelledNumbers: {
       label: 'position',
       paths: {
         commit: ['consensus', 'commitIndex'],
@@ -227,7 +230,7 @@
     kind: 'gauge',
     name: 'lovagepond_ledger_entries',
     help: 'Calls that may not be repeated, by the state of their entry.',
-    byLabel: {paths: [['ledger']], label: 'state'},
+    labelledObjects: {paths: [['ledger']], label: 'state'},
   },
   SUSPECTED_REQUESTS,
 ];
@@ -250,19 +253,19 @@
     kind: 'counter',
     name: 'lovagepond_gateway_requests_ended_total',
     help: 'Forwarded requests that were offered to a server, by their end.',
-    byLabel: {paths: [['endedByOutcome']], label: 'outcome'},
+    labelledObjects: {paths: [['endedByOutcome']], label: 'outcome'},
   },
   {
     kind: 'counter',
     name: 'lovagepond_refusals_total',
     help: 'Requests answered with an error, by kind.',
-    byLabel: {paths: [['refusedByKind']], label: 'kind'},
+    labelledObjects: {paths: [['refusedByKind']], label: 'kind'},
   },
   {
     kind: 'counter',
     name: 'lovagepond_gateway_attempts_failed_total',
     help: 'Attempts that brought no whole answer, by their end.',
-    byLabel: {paths: [['failedAttemptsByOutcome']], label: 'outcome'},
+    labelledObjects: {paths: [['failedAttemptsByOutcome']], label: 'outcome'},
   },
   {
     kind: 'counter',
@@ -311,25 +314,29 @@
 }
 
 function readSamples(metric: DumpMetric, {state}: StateDump): Sample[] {
-  const {path, byLabel, parts} = metric;
+  const {path, labelledObjects, labelledNumbers} = metric;
   if (path) return toSample(findValue(state, path), {});
-  if (byLabel) {
-    const counts = byLabel.paths.map(place => findValue(state, place) ?? {});
+  if (labelledObjects) {
+    const counts = labelledObjects.paths.map(
+      valuePath => findValue(state, valuePath) ?? {},
+    );
     return counts
       .flatMap(Object.entries)
-      .flatMap(([key, value]) => toSample(value, {[byLabel.label]: key}));
+      .flatMap(([key, value]) =>
+        toSample(value, {[labelledObjects.label]: key}),
+      );
   }
-  if (!parts) return [];
-  return Object.entries(parts.paths).flatMap(([key, place]) =>
-    toSample(findValue(state, place), {[parts.label]: key}),
+  if (!labelledNumbers) return [];
+  return Object.entries(labelledNumbers.paths).flatMap(([key, valuePath]) =>
+    toSample(findValue(state, valuePath), {[labelledNumbers.label]: key}),
   );
 }
 
 function labelNamesOf({
-  byLabel,
-  parts,
-}: Pick<DumpMetric, 'byLabel' | 'parts'>): string[] {
-  const label = byLabel?.label ?? parts?.label;
+  labelledObjects,
+  labelledNumbers,
+}: Pick<DumpMetric, 'labelledObjects' | 'labelledNumbers'>): string[] {
+  const label = labelledObjects?.label ?? labelledNumbers?.label;
   return label === undefined ? [] : [label];
 }
 
@@ -368,12 +375,12 @@
   for (const {kind} of roles) {
     for (const metric of METRICS_BY_ROLE[kind]) rows.set(metric.name, metric);
   }
-  for (const {kind, name, help, ...places} of rows.values()) {
+  for (const {kind, name, help, ...sources} of rows.values()) {
     metrics.observe({
       kind,
       name,
       help,
-      labelNames: ['role', 'process', ...labelNamesOf(places)],
+      labelNames: ['role', 'process', ...labelNamesOf(sources)],
       read: () => roles.flatMap(role => readRole(role, name)),
     });
   }
--- a/packages/lovagepond-cli/src/role_router.ts
+++ b/packages/lovagepond-cli/src/role_router.ts
@@ -14,10 +14,10 @@
 export const ROUTER_ROLE: RoleDefinition<typeof ROUTER_SCHEMA> = {
   name: 'router',
   schema: ROUTER_SCHEMA,
-  createRole(values, parts) {
+  createRole(values, dependencies) {
     const settings = {...DEFAULT_ROUTER_SETTINGS, ...toRouterSettings(values)};
     const front = {...DEFAULT_CALLER_SETTINGS, ...toCallerSettings(values)};
-    const {clock, log, random} = parts;
+    const {clock, log, random} = dependencies;
     return Promise.resolve(
       new RouterRole(settings, {
         clock,
--- a/packages/lovagepond-cli/src/role_sidecar.ts
+++ b/packages/lovagepond-cli/src/role_sidecar.ts
@@ -18,7 +18,7 @@
 import {type RoleDefinition} from './role_definition.js';
 import {SIDECAR_SCHEMA, toSidecarSettings} from './settings_sidecar.js';
 
-const BACKEND_MAKERS: Readonly<
+const BACKEND_FACTORIES: Readonly<
   Record<BackendKind, (origin: string, random: Random) => Backend>
 > = {
   engine: (origin, random) => {
@@ -38,12 +38,12 @@
   schema: SIDECAR_SCHEMA,
   createRole(values, {clock, log, random}) {
     const {kind, url} = values.backend;
-    const backend = BACKEND_MAKERS[kind](url, random);
+    const backend = BACKEND_FACTORIES[kind](url, random);
     const settings = {
       ...DEFAULT_SIDECAR_SETTINGS,
       ...toSidecarSettings(values),
     };
-    const parts = {clock, log, random, backend};
-    return Promise.resolve(new SidecarRole(settings, parts));
+    const dependencies = {clock, log, random, backend};
+    return Promise.resolve(new SidecarRole(settings, dependencies));
   },
 };
--- a/packages/lovagepond-cli/src/self_check.ts
+++ b/packages/lovagepond-cli/src/self_check.ts
@@ -11,8 +11,8 @@
   type StateDump,
 } from '@lovagepond/core';
 
-const READY_LIMIT_MS = 20_000;
-const READY_CHECK_MS = 50;
+const READY_TIMEOUT_MS = 20_000;
+const READY_POLL_MS = 50;
 const STATUS_OK = 200;
 const QUESTION = 'Which voucher fits a garden in spring? '.repeat(20);
 
@@ -31,7 +31,7 @@
 }
 
 /** What came back. */
-interface CheckedAnswer {
+interface ChatAnswer {
   readonly text: string;
   readonly cachedTokens: number;
 }
@@ -67,11 +67,11 @@
   return text;
 }
 
-async function ask(
+async function sendChat(
   router: string,
   workspace: string,
   messages: readonly ChatMessage[],
-): Promise<CheckedAnswer> {
+): Promise<ChatAnswer> {
   const headers = {
     'x-lovagepond-workspace': workspace,
     'x-lovagepond-chat': 'self-check',
@@ -96,8 +96,8 @@
   workspace: string,
 ): Promise<string> {
   const question: ChatMessage = {role: 'user', content: QUESTION};
-  const answer = await ask(first, workspace, [question]);
-  const {cachedTokens} = await ask(others.at(-1) ?? first, workspace, [
+  const answer = await sendChat(first, workspace, [question]);
+  const {cachedTokens} = await sendChat(others.at(-1) ?? first, workspace, [
     question,
     {role: 'assistant', content: answer.text},
     {role: 'user', content: 'And in autumn?'},
@@ -128,7 +128,7 @@
 }
 
 /** The part of a role's dump that tells what it knows of the others. */
-interface KnowledgeState {
+interface MembershipState {
   readonly pool?: string;
   /** Ready servers of a sidecar's pool, without its own. */
   readonly peers?: number;
@@ -142,9 +142,9 @@
  * @returns true when every backend server is ready, and every role that keeps
  *     the list of them has the same one
  */
-function knowsAll(role: Role): boolean {
+function isMembershipConsistent(role: Role): boolean {
   const dumps = Object.values(role.dump().state) as readonly StateDump[];
-  const states = dumps.map(dump => dump.state as KnowledgeState);
+  const states = dumps.map(dump => dump.state as MembershipState);
   const pools = states.flatMap(({pool}) => pool ?? []);
   const ready = states.every(
     ({pool, peers = 0}) =>
@@ -158,10 +158,10 @@
 }
 
 async function waitUntilReady(role: Role, clock: Clock): Promise<void> {
-  const deadline = clock.now() + READY_LIMIT_MS;
-  while (!role.isReady() || !knowsAll(role)) {
+  const deadline = clock.now() + READY_TIMEOUT_MS;
+  while (!role.isReady() || !isMembershipConsistent(role)) {
     if (clock.now() > deadline) throw new Error('the fleet is not ready');
-    await new Promise(resolve => setTimeout(resolve, READY_CHECK_MS));
+    await new Promise(resolve => setTimeout(resolve, READY_POLL_MS));
   }
 }
 
--- a/packages/lovagepond-cli/src/settings_control.ts
+++ b/packages/lovagepond-cli/src/settings_control.ts
@@ -23,7 +23,7 @@
 const MAX_PORT = 65_535;
 const MAX_COUNT = 100_000_000;
 /** A group of nine bears four; more members only slow it down. */
-const MAX_LOSSES = 4;
+const MAX_TOLERATED_LOSSES = 4;
 /** Within the data folder; state dumps stand beside it. */
 const CONSENSUS_FOLDER = 'consensus';
 
@@ -40,7 +40,7 @@
   /** Hosts that `members` doesn't name may take the places of lost ones. */
   openMembership: boolean().optional(),
   /** Hosts that the group must be able to lose at once. */
-  toleratedLosses: integer(0, MAX_LOSSES).optional(),
+  toleratedLosses: integer(0, MAX_TOLERATED_LOSSES).optional(),
   /** True on a host without a disk: it follows and never votes. */
   observer: boolean().optional(),
   /** Shortest silence of a leader after which members elect another. */
@@ -82,14 +82,14 @@
 export type ControlValues = FileValues<typeof CONTROL_SCHEMA>;
 
 /** What a member's file always sets; the rest has defaults. */
-type SetSettings = Omit<ControlSettings, keyof typeof CONTROL_DEFAULTS> &
+type FileSettings = Omit<ControlSettings, keyof typeof CONTROL_DEFAULTS> &
   Partial<ControlSettings>;
 
 /**
  * @param values the checked file
  * @returns settings of the control member, without those left to its defaults
  */
-export function toControlSettings(values: ControlValues): SetSettings {
+export function toControlSettings(values: ControlValues): FileSettings {
   const {process: identity, platform, member, limits} = values;
   return {
     nodeName: identity.name,
--- a/packages/lovagepond-cli/src/settings_gateway.ts
+++ b/packages/lovagepond-cli/src/settings_gateway.ts
@@ -49,14 +49,14 @@
 /** Values of a gateway's settings file. */
 export type GatewayValues = FileValues<typeof GATEWAY_SCHEMA>;
 
-type SetSettings = Partial<GatewaySettings> &
+type FileSettings = Partial<GatewaySettings> &
   Pick<GatewaySettings, 'name' | 'host' | 'port' | 'controlAddresses'>;
 
 /**
  * @param values the checked file
  * @returns settings of the gateway, without those left to its defaults
  */
-export function toGatewaySettings(values: GatewayValues): SetSettings {
+export function toGatewaySettings(values: GatewayValues): FileSettings {
   const {process: identity, control, gateway, retries} = values;
   return {
     name: identity.name,
--- a/packages/lovagepond-cli/src/settings_sidecar.ts
+++ b/packages/lovagepond-cli/src/settings_sidecar.ts
@@ -93,7 +93,7 @@
 export type SidecarValues = FileValues<typeof SIDECAR_SCHEMA>;
 
 /** What a sidecar's file always sets; the rest has defaults. */
-type SetSettings = Partial<SidecarSettings> &
+type FileSettings = Partial<SidecarSettings> &
   Pick<
     SidecarSettings,
     'backendServer' | 'pool' | 'controlAddresses' | 'backendUrl'
@@ -150,7 +150,7 @@
  * @param values the checked file
  * @returns settings of the sidecar, without those left to its defaults
  */
-export function toSidecarSettings(values: SidecarValues): SetSettings {
+export function toSidecarSettings(values: SidecarValues): FileSettings {
   const {process: identity, platform, control, sidecar, backend} = values;
   const {listen, announcedAddress} = sidecar;
   return {
--- a/packages/lovagepond-cli/src/standalone_fleet.ts
+++ b/packages/lovagepond-cli/src/standalone_fleet.ts
@@ -14,7 +14,7 @@
 import {type RoleName} from './cli_constants.js';
 import {createFake, type FakeKind} from './command_fake.js';
 import {ControlMember} from './control_member.js';
-import {type RoleParts} from './role_definition.js';
+import {type RoleDependencies} from './role_definition.js';
 import {type NamedRole, RoleGroup} from './role_group.js';
 import {loadRoleDefinition} from './role_loader.js';
 import {roleOf} from './role_of_settings.js';
@@ -30,7 +30,7 @@
 /** Each role after those that it needs. */
 const START_ORDER: readonly RoleName[] = ['control', 'sidecar', 'router'];
 
-function makeFakes(settings: readonly ParsedSettings[]): NamedRole[] {
+function createFakes(settings: readonly ParsedSettings[]): NamedRole[] {
   return settings.flatMap(({sections}): NamedRole[] => {
     const {kind, url} = sections['backend'] ?? {};
     if (kind === undefined || url === undefined) return [];
@@ -40,28 +40,28 @@
   });
 }
 
-async function makeRole(
+async function createMeteredRole(
   kind: RoleName,
   parsed: ParsedSettings,
-  parts: RoleParts,
+  dependencies: RoleDependencies,
 ): Promise<MeteredRole> {
   const definition = await loadRoleDefinition(kind);
   const schema: FileSchema = definition.schema;
   const check = checkSettings(parsed, schema);
   if (!check.ok) throw new SettingsError(check.faults);
-  const role = await definition.createRole(check.values, parts);
+  const role = await definition.createRole(check.values, dependencies);
   return {kind, name: parsed.sections['process']?.['name'] ?? '', role};
 }
 
-async function makeRoles(
+async function createMeteredRoles(
   settings: readonly ParsedSettings[],
-  parts: RoleParts,
+  dependencies: RoleDependencies,
 ): Promise<MeteredRole[]> {
   const roles: MeteredRole[] = [];
   for (const kind of START_ORDER) {
     for (const parsed of settings) {
       if (roleOf(parsed) !== kind) continue;
-      roles.push(await makeRole(kind, parsed, parts));
+      roles.push(await createMeteredRole(kind, parsed, dependencies));
     }
   }
   return roles;
@@ -69,24 +69,27 @@
 
 /**
  * @param set settings of the fleet
- * @param parts what the roles share
+ * @param dependencies what the roles share
  * @returns the roles
  * @throws SettingsError with the faults of every file
  */
-export async function makeStandaloneFleet(
+export async function createStandaloneFleet(
   {settings}: FleetSet,
-  parts: RoleParts,
+  dependencies: RoleDependencies,
 ): Promise<StandaloneFleet> {
   const {faults} = checkParsedSettings(settings, {sharedPlatform: true});
   if (faults.length > 0) throw new SettingsError(faults);
-  const roles = await makeRoles(settings, parts);
-  registerRoleMetrics(parts.metrics, roles);
+  const roles = await createMeteredRoles(settings, dependencies);
+  registerRoleMetrics(dependencies.metrics, roles);
   const members = roles.flatMap(({role}) =>
     role instanceof ControlMember ? [role] : [],
   );
   const layers = START_ORDER.map(kind =>
     roles.filter(role => role.kind === kind),
   );
-  const group = new RoleGroup([makeFakes(settings), ...layers], parts.clock);
+  const group = new RoleGroup(
+    [createFakes(settings), ...layers],
+    dependencies.clock,
+  );
   return {group, members};
 }
--- a/packages/lovagepond-cli/src/standalone_role.ts
+++ b/packages/lovagepond-cli/src/standalone_role.ts
@@ -6,11 +6,11 @@
 import {type StandaloneFleet} from './standalone_fleet.js';
 
 const OPERATION_ID = 'standalone-first-configuration';
-const LEADER_LIMIT_MS = 10_000;
+const LEADER_TIMEOUT_MS = 10_000;
 const RETRY_MS = 50;
 
 /** @returns true once a configuration is in force at the member */
-async function putConfiguration(
+async function installFirstConfiguration(
   administration: ControlAdministration,
   content: unknown,
 ): Promise<boolean> {
@@ -45,8 +45,8 @@
 
   async start(): Promise<void> {
     await this.#fleet.group.start();
-    const deadline = this.#clock.now() + LEADER_LIMIT_MS;
-    while (!(await this.#tryMembers())) {
+    const deadline = this.#clock.now() + LEADER_TIMEOUT_MS;
+    while (!(await this.#tryInstallConfiguration())) {
       if (this.#clock.now() > deadline) {
         throw new Error('control has no leader');
       }
@@ -70,9 +70,11 @@
     return this.#fleet.group.dump();
   }
 
-  async #tryMembers(): Promise<boolean> {
+  async #tryInstallConfiguration(): Promise<boolean> {
     for (const {administration} of this.#fleet.members) {
-      if (await putConfiguration(administration, this.#configuration)) {
+      if (
+        await installFirstConfiguration(administration, this.#configuration)
+      ) {
         return true;
       }
     }
--- a/packages/lovagepond-cli/src/standalone_set.ts
+++ b/packages/lovagepond-cli/src/standalone_set.ts
@@ -57,7 +57,7 @@
  * @param set a set on loopback addresses
  * @returns the same set with a free port in place of each of its ports
  */
-export async function moveToFreePorts(set: FleetSet): Promise<FleetSet> {
+export async function assignFreePorts(set: FleetSet): Promise<FleetSet> {
   const ports = new Set<string>();
   mapValues(set, value => {
     for (const port of value.match(LOOPBACK_PORT) ?? []) ports.add(port);
@@ -77,7 +77,7 @@
  * @param folder the only folder that the process writes to
  * @returns the set with a folder in it for each role
  */
-export function moveToFolder(set: FleetSet, folder: string): FleetSet {
+export function assignDataFolders(set: FleetSet, folder: string): FleetSet {
   return {
     ...set,
     settings: set.settings.map(one => {
--- a/packages/lovagepond-cli/src/standalone_settings.ts
+++ b/packages/lovagepond-cli/src/standalone_settings.ts
@@ -21,64 +21,64 @@
   FIRST_BACKEND: 7_431,
 } as const;
 
-function at(port: number): string {
+function loopbackAddress(port: number): string {
   return `127.0.0.1:${port}`;
 }
 
-function parsedAs(
+function createParsedSettings(
   role: RoleName,
   name: string,
   sections: ParsedSettings['sections'],
 ): ParsedSettings {
   const common = {
     process: {role, name, region: 'loopback', availabilityZone: 'here'},
-    platform: {address: at(PORT.PLATFORM), dataFolder: name},
+    platform: {address: loopbackAddress(PORT.PLATFORM), dataFolder: name},
   };
   return {file: name, sections: {...common, ...sections}, faults: []};
 }
 
-function makeControl(): ParsedSettings {
-  const address = at(PORT.CONTROL);
-  return parsedAs('control', 'control-1', {
+function createControlSettings(): ParsedSettings {
+  const address = loopbackAddress(PORT.CONTROL);
+  return createParsedSettings('control', 'control-1', {
     member: {listen: address, members: address},
-    administration: {listen: at(PORT.ADMINISTRATION)},
+    administration: {listen: loopbackAddress(PORT.ADMINISTRATION)},
   });
 }
 
-function makeSidecar(index: number): ParsedSettings {
+function createSidecarSettings(index: number): ParsedSettings {
   const isEngine = index < ENGINES;
   const name = isEngine ? `engine-${index + 1}` : `check-${index + 1}`;
-  return parsedAs('sidecar', name, {
-    control: {members: at(PORT.CONTROL)},
+  return createParsedSettings('sidecar', name, {
+    control: {members: loopbackAddress(PORT.CONTROL)},
     sidecar: {
-      listen: at(PORT.FIRST_SIDECAR + index),
+      listen: loopbackAddress(PORT.FIRST_SIDECAR + index),
       pool: isEngine ? 'chat-models' : 'checks',
     },
     backend: {
       kind: isEngine ? 'engine' : 'service',
-      url: `http://${at(PORT.FIRST_BACKEND + index)}`,
+      url: `http://${loopbackAddress(PORT.FIRST_BACKEND + index)}`,
     },
     labels: {tier: 'demo'},
   });
 }
 
-function makeRouter(index: number): ParsedSettings {
-  return parsedAs('router', `router-${index + 1}`, {
-    control: {members: at(PORT.CONTROL)},
-    callers: {listen: at(PORT.FIRST_ROUTER + index)},
+function createRouterSettings(index: number): ParsedSettings {
+  return createParsedSettings('router', `router-${index + 1}`, {
+    control: {members: loopbackAddress(PORT.CONTROL)},
+    callers: {listen: loopbackAddress(PORT.FIRST_ROUTER + index)},
   });
 }
 
 /** @returns two routers, three engines, one service and one control member */
-export function makeBuiltInSet(): FleetSet {
+export function createBuiltInSet(): FleetSet {
   const sidecars = Array.from({length: ENGINES + SERVICES}, (_, index) =>
-    makeSidecar(index),
+    createSidecarSettings(index),
   );
   const routers = Array.from({length: ROUTERS}, (_, index) =>
-    makeRouter(index),
+    createRouterSettings(index),
   );
   return {
-    settings: [makeControl(), ...sidecars, ...routers],
+    settings: [createControlSettings(), ...sidecars, ...routers],
     configuration: STANDALONE_CONFIGURATION,
   };
 }
--- a/packages/lovagepond-explain/src/explain_line.ts
+++ b/packages/lovagepond-explain/src/explain_line.ts
@@ -24,7 +24,7 @@
   const {message, time} = raw ?? {};
   if (typeof message !== 'string' || typeof time !== 'number') return undefined;
   if (typeof fields !== 'object') return undefined;
-  const name = `${textOf(fields['name'])}/${textOf(fields['role'])}`;
+  const name = `${formatValue(fields['name'])}/${formatValue(fields['role'])}`;
   return {timeMs: time, process: name, message, fields};
 }
 
@@ -32,7 +32,7 @@
  * @param value a field
  * @returns it as text; empty when it is absent or no plain value
  */
-export function textOf(value: unknown): string {
+export function formatValue(value: unknown): string {
   if (typeof value === 'string') return value;
   return typeof value === 'number' ? String(value) : '';
 }
--- a/packages/lovagepond-explain/src/explain_beliefs.ts
+++ b/packages/lovagepond-explain/src/explain_process_state.ts
@@ -1,10 +1,10 @@
 /**
  * What each process believed, followed line by line.
  */
-import {type LogLine, textOf} from './explain_line.js';
+import {formatValue, type LogLine} from './explain_line.js';
 
 /** One process's beliefs, each with the time of the line that told it. */
-export interface ProcessBelief {
+export interface ProcessState {
   readonly process: string;
   readonly startedAt?: number;
   readonly revision?: string;
@@ -25,51 +25,51 @@
   readonly drainingSince?: number;
 }
 
-type Update = (line: LogLine) => Partial<ProcessBelief>;
+type Update = (line: LogLine) => Partial<ProcessState>;
 
 function describeGroup(fields: LogLine['fields']): string {
-  const text = (name: string): string => textOf(fields[name]);
+  const text = (name: string): string => formatValue(fields[name]);
   const member = `${text('member')} is ${text('state')}`;
   const log = `log up to ${text('lastIndex')}, ${text('commitIndex')} committed`;
   return `${member} in term ${text('term')} of ${text('members')}; ${log}`;
 }
 
 /** Messages that change what a process believes. */
-const UPDATES: ReadonlyMap<string, Update> = new Map<string, Update>([
+const STATE_UPDATES: ReadonlyMap<string, Update> = new Map<string, Update>([
   ['started', ({timeMs}) => ({startedAt: timeMs})],
   [
     'configuration installed',
     ({timeMs, fields}) => ({
-      revision: textOf(fields['revision']),
-      documentVersion: textOf(fields['documentVersion']),
+      revision: formatValue(fields['revision']),
+      documentVersion: formatValue(fields['documentVersion']),
       revisionAt: timeMs,
     }),
   ],
   [
     'backend servers changed',
     ({timeMs, fields}) => ({
-      servers: textOf(fields['servers']),
+      servers: formatValue(fields['servers']),
       serversAt: timeMs,
     }),
   ],
   [
     'control leads',
     ({timeMs, fields}) => ({
-      term: textOf(fields['term']),
+      term: formatValue(fields['term']),
       leadsSince: timeMs,
     }),
   ],
   [
     'control subscription lost',
     ({timeMs, fields}) => ({
-      control: `lost ${textOf(fields['address'])}: ${textOf(fields['reason'])}`,
+      control: `lost ${formatValue(fields['address'])}: ${formatValue(fields['reason'])}`,
       controlAt: timeMs,
     }),
   ],
   [
     'control subscription holds',
     ({timeMs, fields}) => ({
-      control: `hears ${textOf(fields['address'])}`,
+      control: `hears ${formatValue(fields['address'])}`,
       controlAt: timeMs,
     }),
   ],
@@ -81,12 +81,12 @@
 ]);
 
 /** Follows all processes. */
-export class Beliefs {
-  readonly #byProcess = new Map<string, ProcessBelief>();
+export class ProcessStateTracker {
+  readonly #byProcess = new Map<string, ProcessState>();
 
   /** @param line the next line of its process */
-  take(line: LogLine): void {
-    const update = UPDATES.get(line.message)?.(line);
+  add(line: LogLine): void {
+    const update = STATE_UPDATES.get(line.message)?.(line);
     if (!update) return;
     // A new process knows nothing of what the one before it believed.
     const isNew = update.startedAt !== undefined;
@@ -99,12 +99,12 @@
    * @param process a process
    * @returns what it believes by now, if anything was heard of it
    */
-  of(process: string): ProcessBelief | undefined {
+  get(process: string): ProcessState | undefined {
     return this.#byProcess.get(process);
   }
 
   /** @returns all processes' beliefs by name */
-  list(): readonly ProcessBelief[] {
+  list(): readonly ProcessState[] {
     const all = [...this.#byProcess.values()];
     return all.sort((left, right) => (left.process < right.process ? -1 : 1));
   }
--- a/packages/lovagepond-explain/src/explain_summary.ts
+++ b/packages/lovagepond-explain/src/explain_summary.ts
@@ -1,8 +1,8 @@
 /**
  * What became of all requests: by rule, by cause, and when it was worst.
  */
-import {type LogLine, textOf} from './explain_line.js';
-import {DurationSample} from './explain_sample.js';
+import {DurationHistogram} from './explain_histogram.js';
+import {formatValue, type LogLine} from './explain_line.js';
 
 /** Length of a window, milliseconds: callers feel seconds, not minutes. */
 const WINDOW_MS = 2_000;
@@ -11,7 +11,7 @@
 const SHOWN_WINDOWS = 5;
 
 /** Requests whose last failed attempt is remembered until they end. */
-const MAX_OPEN = 100_000;
+const MAX_TRACKED_FAILURES = 100_000;
 
 /** Stands for the rule of a request that was refused before one applied. */
 const NO_RULE = '(none yet)';
@@ -22,7 +22,7 @@
 interface RuleCount {
   ended: number;
   answered: number;
-  readonly durations: DurationSample;
+  readonly durations: DurationHistogram;
 }
 
 interface WindowCount {
@@ -52,7 +52,7 @@
 export interface WindowSummary {
   readonly startMs: number;
   readonly ended: number;
-  readonly lost: number;
+  readonly notAnswered: number;
   readonly mainCause: string;
 }
 
@@ -66,36 +66,36 @@
   readonly windows: readonly WindowSummary[];
 }
 
-function addTo(counts: Map<string, number>, name: string): void {
+function increment(counts: Map<string, number>, name: string): void {
   counts.set(name, (counts.get(name) ?? 0) + 1);
 }
 
-function byCount(counts: ReadonlyMap<string, number>): [string, number][] {
+function sortByCount(counts: ReadonlyMap<string, number>): [string, number][] {
   return [...counts].sort((a, b) => b[1] - a[1]);
 }
 
 /** Adds lines up. */
-export class SummaryEvidence {
+export class SummaryBuilder {
   readonly #rules = new Map<string, RuleCount>();
   readonly #causes = new Map<string, number>();
   readonly #windows = new Map<number, WindowCount>();
   /** Why the last attempt failed, of requests that have not ended. */
-  readonly #open = new Map<string, string>();
+  readonly #lastFailures = new Map<string, string>();
 
   readonly #handlers: ReadonlyMap<string, (line: LogLine) => void> = new Map([
-    ['attempt failed', line => this.#noteFailure(line)],
-    ['request ended', line => this.#end(line)],
-    ['request refused', line => this.#refuse(line)],
+    ['attempt failed', line => this.#recordFailure(line)],
+    ['request ended', line => this.#recordEnd(line)],
+    ['request refused', line => this.#recordRefusal(line)],
   ]);
 
   /** @param line a line; those of one process come in the order of writing */
-  take(line: LogLine): void {
+  add(line: LogLine): void {
     this.#handlers.get(line.message)?.(line);
   }
 
   /** @returns what the lines taken so far add up to */
-  collect(): Summary {
-    const lost = [...this.#causes.values()].reduce((a, b) => a + b, 0);
+  build(): Summary {
+    const notAnswered = [...this.#causes.values()].reduce((a, b) => a + b, 0);
     const rules = [...this.#rules].map(([rule, count]) => ({
       rule,
       ended: count.ended,
@@ -106,79 +106,83 @@
     const ended = rules.reduce((sum, rule) => sum + rule.ended, 0);
     return {
       ended,
-      answered: ended - lost,
+      answered: ended - notAnswered,
       rules: rules.sort((a, b) => b.ended - a.ended),
-      causes: byCount(this.#causes).map(([cause, requests]) => ({
+      causes: sortByCount(this.#causes).map(([cause, requests]) => ({
         cause,
         requests,
-        share: requests / lost,
+        share: requests / notAnswered,
       })),
-      windows: this.#worstWindows(),
+      windows: this.#findWorstWindows(),
     };
   }
 
-  #noteFailure({fields}: LogLine): void {
-    const reason = `${textOf(fields['outcome'])}: ${textOf(fields['reason'])}`;
-    this.#open.set(textOf(fields['request']), reason);
-    if (this.#open.size <= MAX_OPEN) return;
-    const [oldest = ''] = this.#open.keys();
-    this.#open.delete(oldest);
+  #recordFailure({fields}: LogLine): void {
+    const reason = `${formatValue(fields['outcome'])}: ${formatValue(fields['reason'])}`;
+    this.#lastFailures.set(formatValue(fields['request']), reason);
+    if (this.#lastFailures.size <= MAX_TRACKED_FAILURES) return;
+    const [oldest = ''] = this.#lastFailures.keys();
+    this.#lastFailures.delete(oldest);
   }
 
-  #refuse({timeMs, fields}: LogLine): void {
-    this.#count(NO_RULE, timeMs, `refused: ${textOf(fields['reason'])}`);
+  #recordRefusal({timeMs, fields}: LogLine): void {
+    this.#countRequest(
+      NO_RULE,
+      timeMs,
+      `refused: ${formatValue(fields['reason'])}`,
+    );
   }
 
-  #end({timeMs, fields}: LogLine): void {
-    const rule = textOf(fields['rule']);
-    const request = textOf(fields['request']);
-    const outcome = textOf(fields['outcome']);
-    const failure = this.#open.get(request);
-    this.#open.delete(request);
+  #recordEnd({timeMs, fields}: LogLine): void {
+    const rule = formatValue(fields['rule']);
+    const request = formatValue(fields['request']);
+    const outcome = formatValue(fields['outcome']);
+    const failure = this.#lastFailures.get(request);
+    this.#lastFailures.delete(request);
     if (outcome === ANSWERED) {
-      this.#count(rule, timeMs, undefined);
-      this.#ruleOf(rule).durations.add(Number(fields['durationMs'] ?? 0));
+      this.#countRequest(rule, timeMs, undefined);
+      this.#getRuleCount(rule).durations.add(Number(fields['durationMs'] ?? 0));
       return;
     }
     const begun = fields['status'] === 0 ? ', no answer begun' : '';
-    this.#count(
+    this.#countRequest(
       rule,
       timeMs,
       `${outcome}${begun} (${failure ?? 'no failure'})`,
     );
   }
 
-  #count(rule: string, timeMs: number, cause: string | undefined): void {
+  #countRequest(rule: string, timeMs: number, cause: string | undefined): void {
     const start = Math.floor(timeMs / WINDOW_MS) * WINDOW_MS;
     const window = this.#windows.get(start) ?? {ended: 0, causes: new Map()};
     this.#windows.set(start, window);
-    const counts = this.#ruleOf(rule);
+    const counts = this.#getRuleCount(rule);
     window.ended += 1;
     counts.ended += 1;
     if (cause === undefined) {
       counts.answered += 1;
     } else {
-      addTo(this.#causes, cause);
-      addTo(window.causes, cause);
+      increment(this.#causes, cause);
+      increment(window.causes, cause);
     }
   }
 
-  #ruleOf(rule: string): RuleCount {
+  #getRuleCount(rule: string): RuleCount {
     const known = this.#rules.get(rule);
     if (known) return known;
-    const made = {ended: 0, answered: 0, durations: new DurationSample()};
+    const made = {ended: 0, answered: 0, durations: new DurationHistogram()};
     this.#rules.set(rule, made);
     return made;
   }
 
-  #worstWindows(): WindowSummary[] {
+  #findWorstWindows(): WindowSummary[] {
     const windows = [...this.#windows].map(([startMs, {ended, causes}]) => {
-      const [main] = byCount(causes);
-      const lost = [...causes.values()].reduce((a, b) => a + b, 0);
-      return {startMs, ended, lost, mainCause: main?.[0] ?? ''};
+      const [main] = sortByCount(causes);
+      const notAnswered = [...causes.values()].reduce((a, b) => a + b, 0);
+      return {startMs, ended, notAnswered, mainCause: main?.[0] ?? ''};
     });
-    const worst = windows.filter(({lost}) => lost > 0);
-    worst.sort((a, b) => b.lost - a.lost);
+    const worst = windows.filter(({notAnswered}) => notAnswered > 0);
+    worst.sort((a, b) => b.notAnswered - a.notAnswered);
     return worst.slice(0, SHOWN_WINDOWS);
   }
 }
--- a/packages/lovagepond-explain/src/explain_summary_text.ts
+++ b/packages/lovagepond-explain/src/explain_summary_text.ts
@@ -57,7 +57,7 @@
       windows.map(one => [
         new Date(one.startMs).toISOString(),
         `${one.ended}`,
-        `${one.lost}`,
+        `${one.notAnswered}`,
         one.mainCause,
       ]),
     ),
--- a/packages/lovagepond-explain/src/index.ts
+++ b/packages/lovagepond-explain/src/index.ts
@@ -1,7 +1,10 @@
-export {renderBeliefs, renderRequest} from './explain_account.js';
-export {Beliefs, type ProcessBelief} from './explain_beliefs.js';
-export {causeOf} from './explain_causes.js';
+export {describeCause} from './explain_causes.js';
 export {type LogLine, parseLine} from './explain_line.js';
-export {type RequestAccount, RequestEvidence} from './explain_request.js';
-export {type Summary, SummaryEvidence} from './explain_summary.js';
+export {
+  type ProcessState,
+  ProcessStateTracker,
+} from './explain_process_state.js';
+export {renderProcessStates, renderRequest} from './explain_report_text.js';
+export {type RequestReport, RequestReportBuilder} from './explain_request.js';
+export {type Summary, SummaryBuilder} from './explain_summary.js';
 export {renderSummary} from './explain_summary_text.js';
--- a/packages/lovagepond-operator/src/__tests__/unit/ctl.test.ts
+++ b/packages/lovagepond-operator/src/__tests__/unit/ctl.test.ts
@@ -235,11 +235,11 @@
   // One control host is down. The status still comes from the others, and the
   // lost one stands in it as such; with none left the command fails.
   it('shows the status of members that answer, and names those that do not', async () => {
-    const gone = 'http://127.0.0.1:1';
-    await ctl('status', `${gone},${origin}`);
+    const unreachable = 'http://127.0.0.1:1';
+    await ctl('status', `${unreachable},${origin}`);
     expect(io.exitCode).toBe(EXIT_CODE.OK);
     expect(io.out).toMatch(/127\.0\.0\.1:1 +- +no answer/);
-    await ctl('status', gone);
+    await ctl('status', unreachable);
     expect(io.exitCode).toBe(EXIT_CODE.UNREACHABLE);
   });
 
--- a/packages/lovagepond-operator/src/ctl_convergence_command.ts
+++ b/packages/lovagepond-operator/src/ctl_convergence_command.ts
@@ -21,7 +21,7 @@
   readonly behind: readonly string[];
 }
 
-const DEFAULT_LIMIT_SECONDS = 10;
+const DEFAULT_WAIT_SECONDS = 10;
 const MS_PER_SECOND = 1_000;
 const POLL_MS = 250;
 
@@ -33,7 +33,7 @@
  * @param wanted a revision to compare with; the newest when undefined
  * @returns the latest report of each node, sorted by name
  */
-function joinConvergence(
+function mergeConvergence(
   answers: readonly ConvergenceAnswer[],
   wanted?: number,
 ): Convergence {
@@ -56,7 +56,7 @@
   const wanted =
     revision === undefined ? undefined : parseCount(revision, '--revision');
   const answers = await call.client.readAll('/v1/convergence');
-  return joinConvergence([...answers.values()] as ConvergenceAnswer[], wanted);
+  return mergeConvergence([...answers.values()] as ConvergenceAnswer[], wanted);
 }
 
 function show(convergence: Convergence): CtlOutput {
@@ -76,7 +76,7 @@
 async function showConvergence(call: CtlCall): Promise<CtlOutput> {
   const {wait = false, limit} = call.options;
   const seconds =
-    limit === undefined ? DEFAULT_LIMIT_SECONDS : parseCount(limit, '--limit');
+    limit === undefined ? DEFAULT_WAIT_SECONDS : parseCount(limit, '--limit');
   const deadline = call.io.now() + seconds * MS_PER_SECOND;
   let convergence = await readConvergence(call);
   while (wait && convergence.behind.length > 0) {
@@ -96,7 +96,7 @@
     description: 'show which router and sidecar holds which revision',
     options: [
       ['--wait', 'until the revision is in force everywhere'],
-      ['--limit <seconds>', `longest wait (default: ${DEFAULT_LIMIT_SECONDS})`],
+      ['--limit <seconds>', `longest wait (default: ${DEFAULT_WAIT_SECONDS})`],
       ['--revision <n>', 'compare with this one (default: the newest)'],
     ],
     example: 'convergence --wait --limit 4',
--- a/packages/lovagepond-operator/src/ctl_object_commands.ts
+++ b/packages/lovagepond-operator/src/ctl_object_commands.ts
@@ -146,7 +146,7 @@
   };
 }
 
-function makeGroup(entry: ObjectGroup): CtlCommand[] {
+function createGroupCommands(entry: ObjectGroup): CtlCommand[] {
   const {group, example} = entry;
   return [
     {
@@ -191,9 +191,9 @@
   const added = parsePairs(edits.filter(edit => !edit.endsWith('-')));
   const cfg = await readConfiguration(call);
   const pool = requireObject(cfg, 'pools', name);
-  const gone = new Set(removed.map(edit => edit.slice(0, -1)));
+  const removedKeys = new Set(removed.map(edit => edit.slice(0, -1)));
   const kept = Object.entries(pool['labels'] ?? {}).filter(
-    ([key]) => !gone.has(key),
+    ([key]) => !removedKeys.has(key),
   );
   const labels = {...Object.fromEntries(kept), ...added};
   return putFields(call, cfg, 'pools', name, {labels});
@@ -220,7 +220,7 @@
 
 /** Commands over single objects of the configuration. */
 export const OBJECT_COMMANDS: readonly CtlCommand[] = [
-  ...GROUPS.flatMap(makeGroup),
+  ...GROUPS.flatMap(createGroupCommands),
   {
     name: 'labels',
     args: '<pool> [edits...]',
--- a/packages/lovagepond-operator/src/ctl_register.ts
+++ b/packages/lovagepond-operator/src/ctl_register.ts
@@ -51,7 +51,7 @@
 
 const DEFAULT_CONTROL = 'http://127.0.0.1:7403';
 const DEFAULT_TIMEOUT_SECONDS = '15';
-const ANSWER_TIMEOUT_MS = 3_000;
+const ATTEMPT_TIMEOUT_MS = 3_000;
 const MS_PER_SECOND = 1_000;
 const TOKEN_VARIABLE = 'LOVAGEPOND_TOKEN';
 
@@ -88,7 +88,7 @@
   const settings = {
     origins,
     token: await readToken(io, options),
-    answerTimeoutMs: ANSWER_TIMEOUT_MS,
+    answerTimeoutMs: ATTEMPT_TIMEOUT_MS,
     limitMs: parseCount(options.timeout, '--timeout') * MS_PER_SECOND,
   };
   return new AdministrationClient(settings, io);
--- a/packages/lovagepond-operator/src/operator_client.ts
+++ b/packages/lovagepond-operator/src/operator_client.ts
@@ -84,7 +84,7 @@
 const ROUND_DELAY_MS = 500;
 
 /** Kinds after which another member, or a later try, can answer better. */
-const TRY_AGAIN: ReadonlySet<ErrorKind> = new Set<ErrorKind>([
+const RETRYABLE_KINDS: ReadonlySet<ErrorKind> = new Set<ErrorKind>([
   'notLeader',
   'notReady',
   'outcomeUnknown',
@@ -138,12 +138,12 @@
   async readAll(path: string): Promise<ReadonlyMap<string, unknown>> {
     const answers = new Map<string, unknown>();
     const failures = new Map<string, string>();
-    const asked = this.origins.map(async origin => {
+    const calls = this.origins.map(async origin => {
       const attempt = await this.#send(origin, 'GET', path, {});
       if (attempt.kind === 'answered') answers.set(origin, attempt.value);
       else failures.set(origin, describeAttempt(attempt));
     });
-    await Promise.all(asked);
+    await Promise.all(calls);
     if (answers.size > 0) return answers;
     throw new UnreachableError('no control member answered', failures);
   }
@@ -182,7 +182,10 @@
       for (const origin of this.origins) {
         const attempt = await send(origin);
         if (attempt.kind === 'answered') return attempt.value;
-        if (attempt.kind === 'refused' && !TRY_AGAIN.has(attempt.error.kind)) {
+        if (
+          attempt.kind === 'refused' &&
+          !RETRYABLE_KINDS.has(attempt.error.kind)
+        ) {
           throw new RefusedError(attempt.error);
         }
         failures.set(origin, describeAttempt(attempt));
@@ -193,7 +196,7 @@
     const message =
       change === undefined
         ? 'no control member answered'
-        : `no control member gave a final answer; ${describeRepeat(change)}`;
+        : `no control member gave a final answer; ${describeRetryOptions(change)}`;
     throw new UnreachableError(message, failures);
   }
 
@@ -224,7 +227,7 @@
 }
 
 /** Tells the options with which the same command makes the same change. */
-function describeRepeat({operationId, baseRevision}: ChangeCall): string {
+function describeRetryOptions({operationId, baseRevision}: ChangeCall): string {
   const base = baseRevision === undefined ? '' : ` --base ${baseRevision}`;
   return (
     'whether the change was made is not known: ' +
--- a/packages/lovagepond-operator/src/operator_configuration_routes.ts
+++ b/packages/lovagepond-operator/src/operator_configuration_routes.ts
@@ -34,7 +34,7 @@
   return replyWith(cfg, {etag: `"${cfg.revision}"`});
 }
 
-async function makeChange(
+async function proposeChange(
   call: AdministrationCall,
   change: WantedChange,
 ): Promise<AdministrationReply> {
@@ -51,7 +51,7 @@
   replyWithConfiguration(administration.getConfiguration());
 
 const putConfiguration: CallHandler = call =>
-  makeChange(call, {kind: 'replace', content: call.body});
+  proposeChange(call, {kind: 'replace', content: call.body});
 
 const listSection: CallHandler = ({administration, params}) => {
   const section = parseSection(params['section'] ?? '');
@@ -76,14 +76,14 @@
   const {body, params} = call;
   const fields = typeof body === 'object' && body !== null ? body : {};
   const object = {...fields, name: params['name'] ?? ''};
-  return makeChange(call, {kind: 'put', section, object});
+  return proposeChange(call, {kind: 'put', section, object});
 };
 
 const deleteObject: CallHandler = call => {
   const section = parseSection(call.params['section'] ?? '');
   if (!section) return replyWithError('notFound');
   const name = call.params['name'] ?? '';
-  return makeChange(call, {kind: 'delete', section, name});
+  return proposeChange(call, {kind: 'delete', section, name});
 };
 
 const listHistory: CallHandler = ({administration}) =>
@@ -117,7 +117,7 @@
  * Reads wait for a majority's word. An operator may ask for what one member
  * holds, whatever its age: the answer then says that nobody confirmed it.
  */
-function confirmed(handle: CallHandler): CallHandler {
+function requireConfirmation(handle: CallHandler): CallHandler {
   return async call => {
     if (call.query['unconfirmed'] === 'true') {
       const reply = await handle(call);
@@ -134,18 +134,18 @@
   {
     method: 'get',
     path: '/v1/configuration',
-    handle: confirmed(getConfiguration),
+    handle: requireConfirmation(getConfiguration),
   },
   {method: 'put', path: '/v1/configuration', handle: putConfiguration},
   {
     method: 'get',
     path: '/v1/configuration/:section',
-    handle: confirmed(listSection),
+    handle: requireConfirmation(listSection),
   },
   {
     method: 'get',
     path: '/v1/configuration/:section/:name',
-    handle: confirmed(getObject),
+    handle: requireConfirmation(getObject),
   },
   {
     method: 'put',
@@ -157,11 +157,15 @@
     path: '/v1/configuration/:section/:name',
     handle: deleteObject,
   },
-  {method: 'get', path: '/v1/history', handle: confirmed(listHistory)},
+  {
+    method: 'get',
+    path: '/v1/history',
+    handle: requireConfirmation(listHistory),
+  },
   {
     method: 'get',
     path: '/v1/history/:revision',
-    handle: confirmed(getRevision),
+    handle: requireConfirmation(getRevision),
   },
   {
     method: 'post',
