--- a/packages/lovagepond-cli/src/__tests__/unit/command_explain.test.ts
+++ b/packages/lovagepond-cli/src/__tests__/unit/command_explain.test.ts
@@ -2,7 +2,7 @@
 import {describe, expect, it} from 'vitest';
 import {runExplain} from '../../command_explain.js';
 
-/** Lines of a real run. */
+/** Log lines of processes that ran. */
 const LOGS = fileURLToPath(
   new URL('../../../../../examples/logs/three_failures.jsonl', import.meta.url),
 );
@@ -21,9 +21,9 @@
 }
 
 describe('explain', () => {
-  // A caller's stream ends in the middle. The on-call engineer has its id and
-  // the logs: the server went down, and others lost streams there, too.
-  it('finds the server behind a cut stream', async () => {
+  // A caller's stream breaks off. The report on its request id must name the
+  // server that failed and the other requests that failed there.
+  it('reports the server that a broken stream came from', async () => {
     const {code, text} = await explain({request: '1911351f60f4c715'});
     expect(code).toBe(0);
     expect(text).toContain('server=i-c06d79049a');
@@ -31,21 +31,22 @@
     expect(text).toContain('cause: the server broke off (other side closed)');
   });
 
-  // A caller is refused while servers idle: the gateway had lost control.
-  it('finds what a gateway that refused was missing', async () => {
+  // A gateway without a control subscription refuses callers while servers are
+  // idle.
+  it('reports that a gateway refused a request without control', async () => {
     const {text} = await explain({request: '0816b71c6f79faa2'});
     expect(text).toContain('revision 1 (version 2) since');
     expect(text).toContain('control: lost 10.3.0.15:7360');
     expect(text).toContain('cause: control had not confirmed');
   });
 
-  it('finds the configuration behind a refused key', async () => {
+  it('reports the configuration revision behind a refused key', async () => {
     const {text} = await explain({request: 'f77085b8a5369c1e'});
     expect(text).toContain('status=401 revision=1');
     expect(text).toContain('cause: revision 1 has no such key');
   });
 
-  it('tells what processes believed at a time, and nothing later', async () => {
+  it('reports the state of processes at a time, without later lines', async () => {
     const early = await explain({at: '2026-08-25T17:45:24.100Z'});
     expect(early.text).toContain('frontend-muc-freimann-2/gateway');
     expect(early.text).not.toContain('revision');
@@ -53,15 +54,15 @@
     expect(later.text).toContain('11 backend servers since');
   });
 
-  it('tells what a member of control believed of its group', async () => {
+  it('reports the consensus state of a control member', async () => {
     const {text} = await explain({at: '2027-01-01T00:00:00Z'});
     expect(text).toMatch(/d1d958e7 is preCandidate in term 3 of c2e14eb0@/);
     expect(text).toContain('log up to 129, 93 committed');
   });
 
-  // What was lost, of which kind, when and why: the shares of the causes add up
-  // to all that wasn't answered, so that nothing is left unexplained.
-  it('adds all requests up by rule, cause and window', async () => {
+  // The shares of the causes must add up to all unanswered requests, so that
+  // none is left without a cause.
+  it('summarises all requests by rule, cause and window', async () => {
     const {code, text} = await explain({summary: true});
     expect(code).toBe(0);
     expect(text).toMatch(/^\d+ requests ended, \d+ answered by a server/);
@@ -74,7 +75,7 @@
     expect(Math.abs(sum - 100)).toBeLessThan(1);
   });
 
-  it('says so when no line names the request, or nothing is asked', async () => {
+  it('fails for an unknown request and for invalid arguments', async () => {
     expect((await explain({request: 'none'})).code).toBe(10);
     expect((await explain({})).code).toBe(2);
     expect((await explain({request: 'none', summary: true})).code).toBe(2);
--- a/packages/lovagepond-cli/src/command_explain.ts
+++ b/packages/lovagepond-cli/src/command_explain.ts
@@ -1,6 +1,6 @@
 /**
- * `lovagepond explain`: one request's account, what the fleet believed, or what
- * became of all requests.
+ * `lovagepond explain`: reports from log files on one request, on the state of
+ * each process at a given time, or on all requests.
  */
 import {createReadStream} from 'node:fs';
 import {createInterface} from 'node:readline';
@@ -17,10 +17,10 @@
 } from '@lovagepond/explain';
 import {EXIT_CODE, type ExitCode} from '@lovagepond/process';
 
-/** Lines after which progress is shown, where somebody looks on. */
+/** Lines between two progress messages on a terminal. */
 const PROGRESS_LINES = 200_000;
 
-/** What is asked: about one request, about a time, or about all requests. */
+/** What to report on; exactly one of the fields is set. */
 export interface ExplainQuery {
   readonly request?: string;
   /** ISO time, or milliseconds since 1970. */
@@ -66,9 +66,9 @@
 }
 
 /**
- * @param question what to explain
+ * @param query what to report on
  * @param files log files; standard input when there are none
- * @param out where the account goes
+ * @param out receives the report
  * @returns the exit code
  */
 export async function runExplain(
@@ -79,11 +79,15 @@
   const time = at === undefined ? undefined : parseTime(at);
   const selected = [request !== undefined, at !== undefined, summary];
   if (selected.filter(Boolean).length !== 1) {
-    process.stderr.write('say a request id, --at TIME or --summary: one\n');
+    process.stderr.write(
+      'exactly one of a request id, --at TIME and --summary is needed\n',
+    );
     return EXIT_CODE.USAGE;
   }
   if (at !== undefined && time === undefined) {
-    process.stderr.write(`no time: ${at}\n`);
+    process.stderr.write(
+      `--at ${at}: is neither an ISO time nor milliseconds since 1970\n`,
+    );
     return EXIT_CODE.USAGE;
   }
   try {
--- a/packages/lovagepond-explain/src/explain_histogram.ts
+++ b/packages/lovagepond-explain/src/explain_histogram.ts
@@ -1,11 +1,11 @@
 /**
- * Durations of any number of requests in a bounded space.
+ * Histogram of request durations with bounded memory.
  */
 
-/** Ratio of the bounds of a step: a quantile is right within a tenth. */
+/** Ratio of neighbouring bucket bounds: quantiles are exact to a tenth. */
 const BUCKET_RATIO = 1.1;
 
-/** Counts durations in steps that grow with them. */
+/** Counts durations in exponentially growing buckets. */
 export class DurationHistogram {
   readonly #buckets = new Map<number, number>();
   #count = 0;
@@ -19,8 +19,8 @@
   }
 
   /**
-   * @param fraction of the durations that are shorter, 0 to 1
-   * @returns a duration, milliseconds; 0 when there is none
+   * @param fraction share of the durations that are shorter, 0 to 1
+   * @returns the duration, milliseconds; 0 when there are no durations
    */
   quantile(fraction: number): number {
     const buckets = [...this.#buckets].sort(([a], [b]) => a - b);
--- a/packages/lovagepond-explain/src/explain_line.ts
+++ b/packages/lovagepond-explain/src/explain_line.ts
@@ -1,20 +1,20 @@
 /**
- * One line of a process's log.
+ * Parses one line of a process's log.
  */
 
-/** What a line says. */
+/** One parsed log line. */
 export interface LogLine {
-  /** Wall-clock milliseconds of the process that wrote it. */
+  /** Wall clock of the process that wrote the line, milliseconds. */
   readonly timeMs: number;
-  /** Name of the process's node, and its role: a host runs several. */
+  /** `name/role`: several processes of a host may share the name. */
   readonly process: string;
   readonly message: string;
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
 /**
- * @param text a line; a collector may have put its own words before the JSON
- * @returns what it says, or undefined when no process of ours wrote it
+ * @param text a line; a log collector may have put a prefix before the JSON
+ * @returns the parsed line, or undefined for lines of other programs
  */
 export function parseLine(text: string): LogLine | undefined {
   const start = text.indexOf('{"context"');
@@ -29,8 +29,8 @@
 }
 
 /**
- * @param value a field
- * @returns it as text; empty when it is absent or no plain value
+ * @param value value of a log field
+ * @returns the string or number as text; empty for any other value
  */
 export function formatValue(value: unknown): string {
   if (typeof value === 'string') return value;
--- a/packages/lovagepond-explain/src/explain_process_state.ts
+++ b/packages/lovagepond-explain/src/explain_process_state.ts
@@ -1,25 +1,28 @@
 /**
- * What each process believed, followed line by line.
+ * Derives the state of each process from its log lines.
  */
 import {formatValue, type LogLine} from './explain_line.js';
 
-/** One process's beliefs, each with the time of the line that told it. */
+/**
+ * State of one process, as its log shows it. Each `...At` and `...Since` field
+ * is the time of the log line.
+ */
 export interface ProcessState {
   readonly process: string;
   readonly startedAt?: number;
   readonly revision?: string;
-  /** The operators' own number of the configuration. */
+  /** Version number that the operators gave the configuration. */
   readonly documentVersion?: string;
   readonly revisionAt?: number;
   readonly servers?: string;
   readonly serversAt?: number;
-  /** The term in which it leads control. */
+  /** Consensus term in which the process leads control. */
   readonly term?: string;
   readonly leadsSince?: number;
-  /** The member of control it hears, or which one it lost and why. */
+  /** State of the control subscription: the member, or why it was lost. */
   readonly control?: string;
   readonly controlAt?: number;
-  /** What a member of control is in its group, and who else is in it. */
+  /** Control members only: consensus state, members and log indexes. */
   readonly group?: string;
   readonly groupAt?: number;
   readonly drainingSince?: number;
@@ -34,7 +37,7 @@
   return `${member} in term ${text('term')} of ${text('members')}; ${log}`;
 }
 
-/** Messages that change what a process believes. */
+/** State updates by log message. */
 const STATE_UPDATES: ReadonlyMap<string, Update> = new Map<string, Update>([
   ['started', ({timeMs}) => ({startedAt: timeMs})],
   [
@@ -69,7 +72,7 @@
   [
     'control subscription holds',
     ({timeMs, fields}) => ({
-      control: `hears ${formatValue(fields['address'])}`,
+      control: `subscribed to ${formatValue(fields['address'])}`,
       controlAt: timeMs,
     }),
   ],
@@ -80,15 +83,15 @@
   ['draining', ({timeMs}) => ({drainingSince: timeMs})],
 ]);
 
-/** Follows all processes. */
+/** Tracks the state of every process. */
 export class ProcessStateTracker {
   readonly #byProcess = new Map<string, ProcessState>();
 
-  /** @param line the next line of its process */
+  /** @param line the next log line of its process */
   add(line: LogLine): void {
     const update = STATE_UPDATES.get(line.message)?.(line);
     if (!update) return;
-    // A new process knows nothing of what the one before it believed.
+    // A restarted process doesn't keep the state of its predecessor.
     const isNew = update.startedAt !== undefined;
     const before = isNew ? undefined : this.#byProcess.get(line.process);
     const {process} = line;
@@ -96,14 +99,14 @@
   }
 
   /**
-   * @param process a process
-   * @returns what it believes by now, if anything was heard of it
+   * @param process a process, as in {@link LogLine.process}
+   * @returns its latest state, or undefined when no line updated it
    */
   get(process: string): ProcessState | undefined {
     return this.#byProcess.get(process);
   }
 
-  /** @returns all processes' beliefs by name */
+  /** @returns the states of all processes, sorted by name */
   list(): readonly ProcessState[] {
     const all = [...this.#byProcess.values()];
     return all.sort((left, right) => (left.process < right.process ? -1 : 1));
--- a/packages/lovagepond-explain/src/explain_report_text.ts
+++ b/packages/lovagepond-explain/src/explain_report_text.ts
@@ -1,12 +1,12 @@
 /**
- * Accounts as text.
+ * Renders process states and request reports as text.
  */
 import {describeCause} from './explain_causes.js';
 import {formatValue, type LogLine} from './explain_line.js';
 import {type ProcessState} from './explain_process_state.js';
 import {type RequestReport} from './explain_request.js';
 
-/** Fields that stand in each line, or elsewhere in the account. */
+/** Fields that are left out: the rest of the report shows them. */
 const OMITTED_FIELDS: ReadonlySet<string> = new Set([
   'role',
   'name',
@@ -49,16 +49,18 @@
     state.drainingSince !== undefined &&
       `draining since ${renderTime(state.drainingSince)}`,
   ];
-  return phrases.filter(part => part !== false).map(part => `  ${part}`);
+  return phrases
+    .filter(phrase => phrase !== false)
+    .map(phrase => `  ${phrase}`);
 }
 
 /**
- * @param states what processes believed
- * @returns the text, a block for each process
+ * @param states the states of the processes
+ * @returns the text, one block for each process
  */
 export function renderProcessStates(states: readonly ProcessState[]): string {
-  const blocks = states.map(belief =>
-    [belief.process, ...renderProcessState(belief)].join('\n'),
+  const blocks = states.map(state =>
+    [state.process, ...renderProcessState(state)].join('\n'),
   );
   return `${blocks.join('\n')}\n`;
 }
@@ -67,19 +69,23 @@
   if (nearbyFailures.length === 0) return [];
   const processes = new Set(nearbyFailures.map(({process}) => process));
   return [
-    `around it: ${nearbyFailures.length} other attempts failed at the same ` +
-      `server within a second, of ${processes.size} processes`,
+    `nearby: ${nearbyFailures.length} other attempts failed at the same ` +
+      `server within a second, logged by ${processes.size} processes`,
   ];
 }
 
 /**
- * @param report what is known of a request
- * @returns the text: its lines, what its process believed, the cause
+ * @param report the report of one request
+ * @returns the text: the request's log lines, the state of its process, nearby
+ *     failures and the cause
  */
 export function renderRequest(report: RequestReport): string {
   const {id, lines, processState} = report;
   const stateLines = processState
-    ? [`${processState.process} then:`, ...renderProcessState(processState)]
+    ? [
+        `state of ${processState.process} at that time:`,
+        ...renderProcessState(processState),
+      ]
     : [];
   return [
     `request ${id}`,
--- a/packages/lovagepond-explain/src/explain_request.ts
+++ b/packages/lovagepond-explain/src/explain_request.ts
@@ -1,5 +1,5 @@
 /**
- * Collects what the logs hold of one request and of what was around it.
+ * Collects the log lines of one request and failures near it.
  */
 import {formatValue, type LogLine} from './explain_line.js';
 import {
@@ -7,24 +7,27 @@
   ProcessStateTracker,
 } from './explain_process_state.js';
 
-/** Failures at the same server that belong to the same event, milliseconds. */
+/**
+ * Failures at the same server within this time count as the same event,
+ * milliseconds.
+ */
 const NEARBY_MS = 1_000;
 
-/** Failures of other requests kept; the oldest go first. */
+/** Failures of other requests that are kept; the oldest are evicted first. */
 const MAX_FAILURES = 20_000;
 
-/** What is known of one request. */
+/** What the logs show about one request. */
 export interface RequestReport {
   readonly id: string;
-  /** The request's own lines by time. */
+  /** The request's own lines, sorted by time. */
   readonly lines: readonly LogLine[];
-  /** What the deciding process believed at its last line. */
+  /** State of the request's process at the request's last line. */
   readonly processState: ProcessState | undefined;
-  /** Other requests' failures at the same servers at about the same time. */
+  /** Failures of other requests at the same servers at about the same time. */
   readonly nearbyFailures: readonly LogLine[];
 }
 
-/** Reads lines in the order of the logs; files may come one after another. */
+/** Builds a report from log lines; log files may follow one another. */
 export class RequestReportBuilder {
   readonly #id: string;
   readonly #processStates = new ProcessStateTracker();
@@ -48,7 +51,7 @@
     }
   }
 
-  /** @returns the account, or undefined when no line names the request */
+  /** @returns the report, or undefined when no line names the request */
   build(): RequestReport | undefined {
     if (this.#lines.length === 0) return undefined;
     const lines = [...this.#lines].sort(
--- a/packages/lovagepond-explain/src/explain_summary.ts
+++ b/packages/lovagepond-explain/src/explain_summary.ts
@@ -1,22 +1,25 @@
 /**
- * What became of all requests: by rule, by cause, and when it was worst.
+ * Summarises all requests by rule, by cause and by time window.
  */
 import {DurationHistogram} from './explain_histogram.js';
 import {formatValue, type LogLine} from './explain_line.js';
 
-/** Length of a window, milliseconds: callers feel seconds, not minutes. */
+/**
+ * Length of a time window, milliseconds. Callers notice an outage of seconds,
+ * which longer windows would average out.
+ */
 const WINDOW_MS = 2_000;
 
-/** Windows shown, the worst first. */
+/** Windows in the summary, the worst first. */
 const SHOWN_WINDOWS = 5;
 
-/** Requests whose last failed attempt is remembered until they end. */
+/** Unfinished requests whose last failed attempt is kept. */
 const MAX_TRACKED_FAILURES = 100_000;
 
-/** Stands for the rule of a request that was refused before one applied. */
+/** Rule shown for requests that were refused before a rule applied. */
 const NO_RULE = '(none yet)';
 
-/** Outcome of a request that got a server's whole answer. */
+/** Outcome of a request that got a server's complete answer. */
 const ANSWERED = 'answered';
 
 interface RuleCount {
@@ -30,25 +33,25 @@
   readonly causes: Map<string, number>;
 }
 
-/** Counts of one cause. */
+/** Requests that one cause left unanswered. */
 export interface CauseShare {
   readonly cause: string;
   readonly requests: number;
-  /** Of all requests that were not answered: the shares add up to 1. */
+  /** Share of all requests that were not answered; all shares add up to 1. */
   readonly share: number;
 }
 
-/** One rule's requests. */
+/** Counts and durations of the requests of one rule. */
 export interface RuleSummary {
   readonly rule: string;
   readonly ended: number;
   readonly answered: number;
-  /** Durations of answered ones, milliseconds. */
+  /** Quantiles of the durations of answered requests, milliseconds. */
   readonly p50: number;
   readonly p99: number;
 }
 
-/** One span of time. */
+/** Counts of one time window. */
 export interface WindowSummary {
   readonly startMs: number;
   readonly ended: number;
@@ -56,13 +59,13 @@
   readonly mainCause: string;
 }
 
-/** What the lines add up to. */
+/** Summary of all requests. */
 export interface Summary {
   readonly ended: number;
   readonly answered: number;
   readonly rules: readonly RuleSummary[];
   readonly causes: readonly CauseShare[];
-  /** Those in which most was lost. */
+  /** The windows with the most unanswered requests. */
   readonly windows: readonly WindowSummary[];
 }
 
@@ -74,12 +77,12 @@
   return [...counts].sort((a, b) => b[1] - a[1]);
 }
 
-/** Adds lines up. */
+/** Builds a summary from log lines. */
 export class SummaryBuilder {
   readonly #rules = new Map<string, RuleCount>();
   readonly #causes = new Map<string, number>();
   readonly #windows = new Map<number, WindowCount>();
-  /** Why the last attempt failed, of requests that have not ended. */
+  /** Reason of the last failed attempt, by unfinished request. */
   readonly #lastFailures = new Map<string, string>();
 
   readonly #handlers: ReadonlyMap<string, (line: LogLine) => void> = new Map([
@@ -88,12 +91,12 @@
     ['request refused', line => this.#recordRefusal(line)],
   ]);
 
-  /** @param line a line; those of one process come in the order of writing */
+  /** @param line a line; lines of one process must be in the order written */
   add(line: LogLine): void {
     this.#handlers.get(line.message)?.(line);
   }
 
-  /** @returns what the lines taken so far add up to */
+  /** @returns the summary of the lines added so far */
   build(): Summary {
     const notAnswered = [...this.#causes.values()].reduce((a, b) => a + b, 0);
     const rules = [...this.#rules].map(([rule, count]) => ({
@@ -144,7 +147,7 @@
       this.#getRuleCount(rule).durations.add(Number(fields['durationMs'] ?? 0));
       return;
     }
-    const begun = fields['status'] === 0 ? ', no answer begun' : '';
+    const begun = fields['status'] === 0 ? ', no answer started' : '';
     this.#countRequest(
       rule,
       timeMs,
--- a/packages/lovagepond-explain/src/explain_summary_text.ts
+++ b/packages/lovagepond-explain/src/explain_summary_text.ts
@@ -1,9 +1,9 @@
 /**
- * A summary as text.
+ * Renders a summary as text.
  */
 import {type Summary} from './explain_summary.js';
 
-/** Causes shown by themselves; the others share a row. */
+/** Causes with a row of their own; one row adds up the others. */
 const SHOWN_CAUSES = 12;
 
 function percent(share: number): string {
@@ -32,7 +32,7 @@
 }
 
 /**
- * @param summary what the lines add up to
+ * @param summary the summary
  * @returns Markdown tables: rules, causes, worst windows
  */
 export function renderSummary(summary: Summary): string {
