--- a/packages/lovagepond-cli/src/__tests__/e2e/leader_failure.test.ts
+++ b/packages/lovagepond-cli/src/__tests__/e2e/leader_failure.test.ts
@@ -27,12 +27,12 @@
     return (await fleet.dump(name)).state['revision'];
   }
 
-  // An operator's change is accepted, and the leader dies; the operator, who
-  // can't know whether it was, sends it again under the same operation id. It
-  // must be answered as the change already made, or it would be made twice or
-  // be refused for its old base. The others bring it into force everywhere, and
-  // the dead member comes back with its disk and holds it too.
-  it('make a change once over the death of their leader', async () => {
+  // The leader crashes after it accepted a change. The operator, who can't know
+  // the outcome, sends the change again with the same operation id. The retry
+  // must return the accepted revision: otherwise the change is made twice, or
+  // refused because of its old base revision. The other members distribute the
+  // revision, and the crashed member has it too after a restart with its disk.
+  it('make a change once although their leader fails', async () => {
     const accepted = await fleet.ctl(...CHANGE, ...SAME_OPERATION);
     expect(accepted).toMatchObject({revision: 2});
     const leader = await findLeader();
--- a/packages/lovagepond-cli/src/__tests__/e2e/lost_majority.test.ts
+++ b/packages/lovagepond-cli/src/__tests__/e2e/lost_majority.test.ts
@@ -7,10 +7,10 @@
 describe('a control member without a majority', () => {
   const fleet = useThreeMembers();
 
-  // Two of three members die, one of them with its disk; that one restarts
-  // empty. Neither it nor the one that is left can know what was accepted last.
-  // The empty member once answered that there is no such workspace, and the
-  // other one with what it happened to hold.
+  // Two of three members crash, and one of them restarts with an empty disk.
+  // Neither this member nor the survivor can confirm the newest revision.
+  // Without a majority check the empty member denies that the workspace exists,
+  // and the survivor returns a configuration that may be stale.
   it('answers no read of the configuration', async () => {
     expect(await fleet.ctl(...SHOW)).toMatchObject({name: 'demo'});
     const [first, emptied] = fleet.namesOf('control');
--- a/packages/lovagepond-cli/src/__tests__/e2e/main_job.test.ts
+++ b/packages/lovagepond-cli/src/__tests__/e2e/main_job.test.ts
@@ -3,16 +3,16 @@
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 import {Fleet, streamChat} from '../../../../../scripts/fleet_processes.mjs';
 
-/** By a label whose values appear only once something went wrong. */
+/** Metrics whose label values appear only after a failure. */
 const MAY_BE_EMPTY: ReadonlySet<string> = new Set([
   'lovagepond_failures_total',
   'lovagepond_frames_dropped_total',
   'lovagepond_refusals_total',
 ]);
 
-// Separate processes over loopback, each from its own file of
-// examples/loopback: two routers, three sidecars with a stand-in for a model
-// engine each, one control member.
+// Separate processes over loopback, each with its own settings file of
+// examples/loopback: two routers, three sidecars with a fake model engine each,
+// and one control member.
 describe('the main job', () => {
   const fleet = new Fleet();
   const question = {role: 'user', content: 'Which voucher fits? '.repeat(40)};
@@ -25,7 +25,7 @@
     await fleet.end();
   });
 
-  it('brings a chat back to its context through another router', async () => {
+  it('routes a returning chat to its context at another router', async () => {
     const chat = {workspace: 'demo', chat: 'chat-1'};
     const first = await streamChat(fleet.callersUrl('router-1'), {
       ...chat,
@@ -44,7 +44,7 @@
     expect(second.cachedTokens).toBeGreaterThan(0);
   });
 
-  it('counts reuse, skew, control traffic and refusals by kind', async () => {
+  it('exports reuse, skew, control traffic and refusals by kind', async () => {
     const url = fleet.callersUrl('router-2');
     const stranger = await streamChat(url, {
       workspace: 'stranger',
@@ -71,8 +71,8 @@
     expect(valueOf('refusals_total', 'kind="badRequest"')).toBe(1);
   });
 
-  // Metrics are read from the dumps of packages that change on their own: a
-  // renamed field would leave its metric without a value and nobody would see.
+  // Metrics are read by name from the state dumps of other packages. A renamed
+  // field of a dump would silently leave its metric without a value.
   it.each(['router-2', 'sidecar-1', 'control-1'])(
     'finds a value for each metric of %s',
     async name => {
@@ -87,9 +87,9 @@
     },
   );
 
-  // An operator signals a running router: SIGUSR2 for a dump, SIGHUP after an
-  // edit. Neither may end the process; the dump holds no text of any chat.
-  it('dumps and reloads by signal, and dumps by ctl', async () => {
+  // SIGUSR2 writes a state dump and SIGHUP reloads the settings file. Neither
+  // may end the process, and the dump must not contain text of any chat.
+  it('dumps and reloads on signals, and dumps through ctl', async () => {
     const router = fleet.get('router-2');
     const {dataFolder = '', address = ''} = router.settings!['platform']!;
     expect(await fleet.ctl('dump', address)).toMatchObject({
@@ -113,11 +113,11 @@
     expect(router.output).toMatch(/"key":"maxBody".*needs a restart/);
   });
 
-  // The only control host loses its power. Callers notice nothing: routers
-  // serve on with the configuration they hold. It comes back with its disk;
-  // the accepted configuration must be there, or routers would later be given
-  // an older one than they hold.
-  it('keeps the configuration over the death of a control host', async () => {
+  // The only control host loses power, and routers keep serving callers with
+  // the configuration in use. After a restart with its disk, control must still
+  // have the accepted configuration: otherwise it would send routers an older
+  // one.
+  it('keeps the configuration when the control host fails', async () => {
     await fleet.get('control-1').end('SIGKILL');
     const answer = await streamChat(fleet.callersUrl('router-2'), {
       workspace: 'demo',
@@ -130,11 +130,11 @@
     expect(configuration).toMatchObject({revision: 1});
   });
 
-  // A caller streams an answer longer than the router's announce delay and
-  // grace time while that router is told to stop. Readiness goes first, so
-  // that the balancer sends nobody new; then the address closes. The answer
-  // must still arrive whole, and the process must end by itself with code 0.
-  it('stops a router without cutting the answer in flight', async () => {
+  // A router gets SIGTERM while it streams an answer that takes longer than its
+  // announce delay and grace time. It first withdraws readiness, so that the
+  // load balancer sends no new callers, then stops listening. The answer must
+  // arrive complete, and the process must exit with code 0.
+  it('stops a router without breaking the answer in flight', async () => {
     const router = fleet.get('router-1');
     const answer = streamChat(fleet.callersUrl('router-1'), {
       workspace: 'demo',
--- a/packages/lovagepond-cli/src/__tests__/e2e/open_chat.ts
+++ b/packages/lovagepond-cli/src/__tests__/e2e/open_chat.ts
@@ -1,27 +1,27 @@
-/** Helpers of the failure proofs: an answer in flight, and who serves it. */
+/** Test helpers: open a streamed answer and find the sidecar that serves it. */
 import {setTimeout as wait} from 'node:timers/promises';
 import {type Fleet} from '../../../../../scripts/fleet_processes.mjs';
 
 const POLL_MS = 25;
 
-/** An answer of which the caller has read the first text. */
+/** A streamed answer of which the caller has received the first text. */
 export interface OpenChat {
   readonly status: number;
-  /** Everything that the caller was sent, once the answer has ended. */
+  /** The whole response body; resolves when the response has ended. */
   readonly body: Promise<string>;
-  /** The answer has ended. */
+  /** Whether the response has ended. */
   readonly isEnded: () => boolean;
 }
 
-/** What an answer is asked with besides its chat and length. */
+/** Optional parts of a chat request. */
 export interface ChatOptions {
-  /** The router's own without it. */
+  /** Deadline of the request; the default of the router when left out. */
   readonly deadlineMs?: number;
-  /** The chat's messages before this one. */
+  /** Earlier messages of the chat. */
   readonly earlierMessages?: readonly {role: string; content: string}[];
 }
 
-/** Asks until it holds; the test's own limit ends it. */
+/** Polls until the condition holds; limited only by the test timeout. */
 export async function waitUntil(
   condition: () => Promise<boolean>,
 ): Promise<void> {
@@ -44,8 +44,8 @@
  * @param url base URL of a router
  * @param chat identifier of the chat, in the workspace `demo`
  * @param maxTokens length of the answer
- * @param options what else is asked
- * @returns resolves once text of the answer has arrived
+ * @param options optional parts of the request
+ * @returns the answer, once its first text has arrived
  */
 export async function openChat(
   url: string,
@@ -87,7 +87,7 @@
   return {status: res.status, body, isEnded: () => ended};
 }
 
-/** @returns name of the one sidecar through which an answer is running */
+/** @returns name of the only sidecar that runs an answer */
 export async function findServingSidecar(fleet: Fleet): Promise<string> {
   for (const name of fleet.namesOf('sidecar')) {
     if (!fleet.get(name).running) continue;
@@ -97,7 +97,7 @@
   throw new Error('no sidecar runs an answer');
 }
 
-/** @returns requests that the engine behind a sidecar has had */
+/** @returns number of requests that the engine of a sidecar has received */
 export async function countRequests(
   fleet: Fleet,
   sidecar: string,
--- a/packages/lovagepond-cli/src/__tests__/e2e/program.test.ts
+++ b/packages/lovagepond-cli/src/__tests__/e2e/program.test.ts
@@ -10,7 +10,7 @@
   readonly output: string;
 }
 
-/** Deployment, and its first kind of call that may not be repeated. */
+/** Deployments, each with its first kind of non-repeatable call. */
 const SETS = [
   ['bayern-sued', 'redemption-check'],
   ['hofudborg', 'spill-notice'],
@@ -35,11 +35,11 @@
     rmSync(folder, {recursive: true});
   });
 
-  // Every role of a set in one process, on free ports: control with all of its
-  // members, the routers, the sidecars, stand-ins behind them. A chat comes
-  // back through another router; a call that may not be repeated is sent twice
-  // through two routers and must run once.
-  it.each(SETS)('starts the set %s and serves', async (name, once) => {
+  // One process runs every role of a set on free ports: all control members,
+  // the routers, and the sidecars with fake backend servers. A chat returns
+  // through another router; a non-repeatable call is sent through two routers
+  // and must run once.
+  it.each(SETS)('passes the self-check of %s', async (name, once) => {
     const set = join('examples', name);
     const {code, output} = await run(
       'standalone',
@@ -54,9 +54,9 @@
     expect(code).toBe(0);
   });
 
-  // An operator writes two faults into a router's file. Nothing may start, not
-  // even the platform's address; both faults come in one report.
-  it('starts nothing with faulty settings and names each fault', async () => {
+  // A router's settings file has two faults. The process must not listen on any
+  // address, not even the platform address, and must report both faults.
+  it('starts nothing with invalid settings and names each fault', async () => {
     const file = join(folder, 'router.ini');
     const text = readFileSync('examples/loopback/router-1.ini', 'utf8')
       .replace(/availabilityZone.*\n/, '')
@@ -72,7 +72,7 @@
     });
   });
 
-  it('tells a command line that it can not read by its exit code', async () => {
+  it('exits with a usage code for an unknown command', async () => {
     expect((await run('routr')).code).toBe(2);
     expect(await run('version')).toEqual({code: 0, output: '0.1.0\n'});
   });
--- a/packages/lovagepond-cli/src/__tests__/e2e/sidecar_failure.test.ts
+++ b/packages/lovagepond-cli/src/__tests__/e2e/sidecar_failure.test.ts
@@ -7,11 +7,11 @@
   waitUntil,
 } from './open_chat.js';
 
-/** About three seconds at the stand-in's one token a step. */
+/** About three seconds, as the fake engine writes one token a step. */
 const LONG_TOKENS = 160;
 /**
- * About ten seconds: longer than the commands and chats take that run beside
- * it, on a busy host too.
+ * About ten seconds: longer than the commands and chats that run in the
+ * meantime, even on a busy host.
  */
 const DRAINING_TOKENS = 500;
 const SHORT_TOKENS = 8;
@@ -24,18 +24,18 @@
   readonly server: {readonly name: string; readonly state: string};
 }
 
-/** @returns the failure that an answer ended with */
+/** @returns the error of the error event that ended an answer */
 function errorOf(body: string): unknown {
   const data = /event: error\ndata: (.*)\n/.exec(body)?.[1] ?? '{}';
   return (JSON.parse(data) as {error?: unknown}).error;
 }
 
-/** @returns which requests an answer's pieces belong to */
+/** @returns the request ids in the chunks of an answer */
 function idsOf(body: string): ReadonlySet<string> {
   return new Set([...body.matchAll(/"id":"([^"]+)"/g)].map(([, id]) => id!));
 }
 
-describe('a sidecar that ends', () => {
+describe('a sidecar that stops or fails', () => {
   const fleet = new Fleet();
 
   beforeAll(async () => {
@@ -55,11 +55,11 @@
     return (await fleet.dump(name)).state['membershipVersion'];
   }
 
-  // A caller reads a long answer while its sidecar is told to stop. The sidecar
-  // first says that it is leaving, and the routers hear of it; chats that start
-  // then are answered, none of them there, while the long answer still runs.
-  // It must end whole, and only then may the process end, with code 0.
-  it('brings its answer to the end and gets nothing new', async () => {
+  // A sidecar gets SIGTERM while it streams a long answer. It announces that it
+  // is draining, and the routers receive the change. Chats that start now must
+  // be served by other sidecars while the long answer runs. The answer must be
+  // complete before the process exits, with code 0.
+  it('drains: finishes its answer and gets no new requests', async () => {
     const answer = await openChat(
       fleet.callersUrl('router-1'),
       'leaving',
@@ -92,13 +92,13 @@
     expect(await exited).toBe(0);
   });
 
-  // A sidecar freezes in the middle of an answer, and the chat's next request,
-  // sent over the same router's connection, waits there unread. The waiting one is
-  // answered by another server before its deadline; the half answer ends with
-  // its deadline and may have run. Then the sidecar wakes and serves what it
-  // had: too late, so none of it may reach a caller, of these or later requests
-  // on the same connections.
-  it('reaches nobody with late frames after a freeze', async () => {
+  // A sidecar freezes during an answer, and the next request of the chat waits
+  // unread on the same connection. Another server must answer the waiting
+  // request before its deadline; the partial answer ends at its deadline as
+  // mayHaveRun. When the sidecar resumes, its late frames must not reach any
+  // caller, neither of these requests nor of later ones on the same
+  // connections.
+  it('delivers no late frames after a freeze', async () => {
     const [url1, url2] = [1, 2].map(n => fleet.callersUrl(`router-${n}`));
     const half = await openChat(url1!, 'frozen', LONG_TOKENS, {
       deadlineMs: FROZEN_DEADLINE_MS,
@@ -139,11 +139,11 @@
     }
   });
 
-  // A sidecar dies under a caller who has read half of an answer. The other
-  // half can come from nobody: the stream ends with an error event that says
-  // that the request may have run, never with [DONE], by which the caller would
-  // take half an answer for the whole. Asked again, another server answers.
-  it('leaves an honest error to its caller when it is killed', async () => {
+  // A sidecar is killed after the caller has read half of an answer. No other
+  // server can continue the answer, so the stream must end with an error event
+  // of disposition mayHaveRun. With [DONE] the caller would take half an answer
+  // for a complete one. A retry is answered by another server.
+  it('ends the answer with an error event when it is killed', async () => {
     const url = fleet.callersUrl('router-2');
     const answer = await openChat(url, 'killed', LONG_TOKENS);
     const serving = await findServingSidecar(fleet);
--- a/packages/lovagepond-cli/src/__tests__/e2e/three_members.ts
+++ b/packages/lovagepond-cli/src/__tests__/e2e/three_members.ts
@@ -1,5 +1,5 @@
 /**
- * The set of examples/loopback with three control members.
+ * Runs the set of examples/loopback with three control members.
  */
 import {
   cpSync,
@@ -17,7 +17,7 @@
 const ONE_MEMBER = 'members = 127.0.0.1:7401';
 const MEMBERS = [7401, 7601, 7701];
 
-/** @param folder where the set is written */
+/** @param folder folder that the set is written to */
 function writeThreeMembers(folder: string): void {
   cpSync('examples/loopback', folder, {recursive: true});
   const all = MEMBERS.map(port => `127.0.0.1:${port}`).join(', ');
@@ -40,7 +40,7 @@
   });
 }
 
-/** @returns processes that run for the tests of the calling block */
+/** @returns processes that run during the tests of the calling block */
 export function useThreeMembers(): Fleet {
   const folder = mkdtempSync(join(tmpdir(), 'lovagepond-three-'));
   const fleet = new Fleet();
--- a/packages/lovagepond-cli/src/__tests__/unit/command_line.test.ts
+++ b/packages/lovagepond-cli/src/__tests__/unit/command_line.test.ts
@@ -3,7 +3,7 @@
 import {createProgram} from '../../command_line.js';
 
 describe('command line', () => {
-  it('tells examples and exit codes in its help', () => {
+  it('shows examples and exit codes in its help', () => {
     let help = '';
     const program = createProgram();
     program.configureOutput({
--- a/packages/lovagepond-cli/src/__tests__/unit/loaded_code.test.ts
+++ b/packages/lovagepond-cli/src/__tests__/unit/loaded_code.test.ts
@@ -4,7 +4,7 @@
 const SOURCE = 'packages/lovagepond-cli/src';
 const COMMON_ENTRIES = [`${SOURCE}/main.ts`, `${SOURCE}/command_role.ts`];
 
-/** Files evaluated once these are: all that is not imported when asked for. */
+/** Files that are evaluated with the entries: all but dynamic imports. */
 function listLoaded(
   {inputs}: Metafile,
   entries: readonly string[],
@@ -21,8 +21,8 @@
   return loaded;
 }
 
-// Every process pays for what it evaluates: with one careless import of a
-// value, each router once held control, consensus and undici in memory.
+// Every process holds all evaluated modules in memory. One static import of a
+// value is enough to load control, consensus and undici into every router.
 describe('a role', () => {
   let metafile: Metafile;
 
--- a/packages/lovagepond-cli/src/__tests__/unit/role_metrics.test.ts
+++ b/packages/lovagepond-cli/src/__tests__/unit/role_metrics.test.ts
@@ -19,7 +19,7 @@
   dump: (): StateDump => ({version: 1, role: 'gateway', state: STATE}),
 } as Role;
 
-it('shows what a gateway counts', async () => {
+it('exports the counters of a gateway', async () => {
   const metrics = new MetricsRegistry();
   const roles = [{kind: 'gateway', name: 'g', role: gateway}] as const;
   registerRoleMetrics(metrics, roles);
--- a/packages/lovagepond-cli/src/__tests__/unit/settings_examples.test.ts
+++ b/packages/lovagepond-cli/src/__tests__/unit/settings_examples.test.ts
@@ -51,7 +51,7 @@
 }
 
 describe('examples', () => {
-  it.each(SETS)('of $name have no fault and fit each other', set => {
+  it.each(SETS)('of $name are valid alone and together', set => {
     const files = listFiles(set.name);
     expect(checkSettingsFiles(files).faults.map(formatFault)).toEqual([]);
     const all = files.map(file => readSettings(file));
@@ -68,7 +68,7 @@
     expect(names).toEqual(expect.arrayContaining(Object.keys(set.sidecars)));
   });
 
-  it.each(ROLE_NAMES)('of a %s show every key that its file may hold', role => {
+  it.each(ROLE_NAMES)('of a %s show every key of its schema', role => {
     const file = join(EXAMPLES, 'roles', `${role}.ini`);
     expect(checkSettingsFiles([file]).faults.map(formatFault)).toEqual([]);
     const shown = readFileSync(file, 'utf8').replace(/^;(\w+ = )/gm, '$1');
@@ -84,7 +84,7 @@
     }
   });
 
-  it('are refused when two processes take one address or folder', () => {
+  it('are refused when two processes use one address or folder', () => {
     const [file = ''] = listFiles('loopback');
     const copy = {...readSettings(file), file: 'copy.ini'};
     const {faults} = checkParsedSettings([readSettings(file), copy]);
@@ -96,7 +96,7 @@
     ]);
   });
 
-  it('of two deployments weigh skew most and reuse most', () => {
+  it('of two deployments favour low skew and context reuse', () => {
     const [skewFirst, reuseFirst] = ['bayern-sued', 'hofudborg'].map(set => {
       const path = join(EXAMPLES, set, 'configuration.json');
       const check = checkConfiguration(JSON.parse(readFileSync(path, 'utf8')));
--- a/packages/lovagepond-cli/src/check_settings_files.ts
+++ b/packages/lovagepond-cli/src/check_settings_files.ts
@@ -1,5 +1,5 @@
 /**
- * Checks settings files of all roles, alone and against each other.
+ * Validates settings files of all roles, each alone and against the others.
  */
 import {
   checkSettings,
@@ -15,26 +15,27 @@
 import {roleOf} from './role_of_settings.js';
 import {ROLE_SCHEMAS} from './role_schemas.js';
 
-/** What a check of several files gives. */
+/** Result of the validation of several files. */
 export interface FilesCheck {
   readonly faults: readonly SettingsFault[];
 }
 
 function describeMissingRole(file: string): SettingsFault {
-  const message = `is missing or unknown; one of ${ROLE_NAMES.join(', ')}`;
+  const message = `is missing or unknown; must be one of ${ROLE_NAMES.join(', ')}`;
   return {file, section: 'process', key: 'role', message};
 }
 
-/** How several settings are checked against each other. */
+/** Options of the validation of several settings files. */
 export interface FilesCheckOptions {
-  /** One process runs all of them and has one platform address. */
+  /** One process runs all the files and has one platform address. */
   readonly sharedPlatform?: boolean;
 }
 
 /**
- * @param all settings of processes of one host, parsed
- * @param options how they are checked against each other
- * @returns every fault, and addresses and folders that two processes take
+ * @param all parsed settings of the processes of one host
+ * @param options whether the files share one process
+ * @returns every fault of every file, and faults for addresses and folders that
+ *     two processes use
  */
 export function checkParsedSettings(
   all: readonly ParsedSettings[],
@@ -68,8 +69,8 @@
 
 /**
  * @param files paths of settings files of processes of one host
- * @returns every fault of every file, and addresses and folders that two
- *     processes take
+ * @returns every fault of every file, and faults for addresses and folders that
+ *     two processes use
  */
 export function checkSettingsFiles(files: readonly string[]): FilesCheck {
   return checkParsedSettings(files.map(file => readSettings(file)));
--- a/packages/lovagepond-cli/src/cli_constants.ts
+++ b/packages/lovagepond-cli/src/cli_constants.ts
@@ -1,5 +1,5 @@
 /**
- * Names and numbers of the program itself.
+ * Name, version and roles of the program.
  */
 
 /** The program's name on the command line. */
@@ -8,7 +8,7 @@
 /** The program's version. */
 export const VERSION = '0.1.0';
 
-/** The roles that run as processes of their own. */
+/** The roles that a process can run. */
 export const ROLE_NAMES = ['router', 'sidecar', 'control', 'gateway'] as const;
 
 /** One of {@link ROLE_NAMES}. */
--- a/packages/lovagepond-cli/src/command_check_settings.ts
+++ b/packages/lovagepond-cli/src/command_check_settings.ts
@@ -1,12 +1,13 @@
 /**
- * `lovagepond check-settings`: checks settings files and starts nothing.
+ * `lovagepond check-settings`: validates settings files without starting a
+ * role.
  */
 import {EXIT_CODE, type ExitCode, formatFault} from '@lovagepond/process';
 import {checkSettingsFiles} from './check_settings_files.js';
 
 /**
  * @param files paths of settings files
- * @param json print JSON in place of lines
+ * @param json prints JSON instead of lines
  * @returns the exit code
  */
 export function runCheckSettings(
--- a/packages/lovagepond-cli/src/command_completion.ts
+++ b/packages/lovagepond-cli/src/command_completion.ts
@@ -1,16 +1,16 @@
 /**
- * Completion of the common words, for bash and zsh.
+ * Shell completion of commands and options, for bash and zsh.
  */
 import {type Command} from 'commander';
 import {PROGRAM_NAME} from './cli_constants.js';
 
-/** Words that may follow each command path, such as `ctl pools`. */
+/** Subcommands and options by command path, such as `ctl pools`. */
 export type CompletionWords = ReadonlyMap<string, readonly string[]>;
 
 /**
- * @param command the program
- * @param path the words before it
- * @returns the words that may follow, for each path of commands
+ * @param command the program or one of its commands
+ * @param path names of the command and its parents, joined by spaces
+ * @returns the subcommands and options of each command path
  */
 export function collectWords(command: Command, path = ''): CompletionWords {
   const names = command.commands.map(child => child.name());
@@ -26,7 +26,7 @@
 }
 
 /**
- * @param words what may follow each command path
+ * @param words subcommands and options by command path
  * @returns a script to be sourced by bash, or by zsh with bashcompinit
  */
 export function renderCompletion(words: CompletionWords): string {
--- a/packages/lovagepond-cli/src/command_fake.ts
+++ b/packages/lovagepond-cli/src/command_fake.ts
@@ -1,6 +1,6 @@
 /**
- * `lovagepond fake-engine` and `fake-service`: stand-ins for backend servers,
- * for a first look and for tests.
+ * `lovagepond fake-engine` and `fake-service`: fake backend servers for trials
+ * and tests.
  */
 import {
   DEFAULT_FAKE_ENGINE_SETTINGS,
@@ -19,10 +19,10 @@
   SystemClock,
 } from '@lovagepond/process';
 
-/** What can be stood in for. */
+/** Kinds of backend servers that have a fake. */
 export type FakeKind = 'engine' | 'service';
 
-/** A stand-in that listens. */
+/** A fake backend server and the address that it listens on. */
 type FakeServer = Role & {readonly address: string};
 
 const FAKE_FACTORIES: Readonly<
@@ -40,18 +40,20 @@
 };
 
 /**
- * @param kind what to stand in for
- * @param address where to listen
- * @returns the stand-in, not started yet
+ * @param kind kind of the backend server
+ * @param address address to listen on
+ * @returns the fake, not started yet
  */
 export function createFake(kind: FakeKind, address: HostPort): FakeServer {
   return FAKE_FACTORIES[kind](address);
 }
 
 /**
- * @param kind what to stand in for
+ * Runs a fake backend server until a signal ends the process.
+ *
+ * @param kind kind of the backend server
  * @param listen `host:port`; port 0 takes a free one
- * @returns the exit code, once a signal has ended it
+ * @returns the exit code
  */
 export async function runFake(
   kind: FakeKind,
--- a/packages/lovagepond-cli/src/command_line.ts
+++ b/packages/lovagepond-cli/src/command_line.ts
@@ -1,8 +1,8 @@
 /**
- * The command line: what each command is called, takes and prints.
+ * The command-line interface: names, arguments and help of all commands.
  *
- * A command's code is loaded when the command runs, so that a process holds
- * no more than its role needs.
+ * The code of a command is imported when the command runs, so that a process
+ * loads only what its role needs.
  */
 import {EXIT_CODE, EXIT_CODE_MEANINGS} from '@lovagepond/process/exit_codes';
 import {endSoon} from '@lovagepond/process/process_end';
@@ -20,7 +20,7 @@
 const ROLE_SUMMARIES: Readonly<Record<RoleName, string>> = {
   router: 'run a router on an entry host',
   sidecar: 'run the sidecar of one backend server',
-  control: 'run a member of control on a host with a disk',
+  control: 'run a control member on a host with a disk',
   gateway: 'run a gateway to backend servers without sidecars',
 };
 
@@ -59,7 +59,7 @@
 function addCheckSettings(program: Command): void {
   program
     .command('check-settings')
-    .description('check settings files, alone and against each other')
+    .description('validate settings files, each alone and against the others')
     .argument('<files...>', 'settings files of the processes of one host')
     .option('--json', 'print JSON')
     .addHelpText(
@@ -75,10 +75,10 @@
 function addExplain(program: Command): void {
   program
     .command('explain')
-    .description('tell from logs what became of a request and why')
-    .argument('[words...]', 'the request id, then log files; none: stdin')
-    .option('--at <time>', 'tell what each process believed then instead')
-    .option('--summary', 'tell what became of all requests instead')
+    .description('report from logs what happened to a request and why')
+    .argument('[words...]', 'the request id, then log files; default: stdin')
+    .option('--at <time>', 'report the state of each process at a time instead')
+    .option('--summary', 'report on all requests instead')
     .addHelpText(
       'after',
       renderExamples(
@@ -100,15 +100,15 @@
 function addStandalone(program: Command): void {
   program
     .command('standalone')
-    .description('run every role and stand-ins for the backend servers')
-    .option('--data-folder <folder>', 'the only folder it writes to', 'data')
+    .description('run every role and fake backend servers in one process')
+    .option('--data-folder <folder>', 'the only folder written to', 'data')
     .addOption(
-      new Option('--log-level <level>', 'least level that is logged')
+      new Option('--log-level <level>', 'lowest level that is logged')
         .choices(['debug', 'info', 'warn', 'error'])
         .default('warn'),
     )
-    .option('--set <folder>', 'settings files and a configuration.json')
-    .option('--self-check', 'send one chat over free ports and end')
+    .option('--set <folder>', 'folder of settings files and configuration.json')
+    .option('--self-check', 'start on free ports, send a test chat and exit')
     .addHelpText(
       'after',
       renderExamples(
@@ -129,7 +129,7 @@
   for (const kind of ['engine', 'service'] as const) {
     program
       .command(`fake-${kind}`)
-      .description(`run a stand-in for one ${kind}, for a first look or a test`)
+      .description(`run a fake ${kind}, for trials and tests`)
       .option('--listen <address>', 'host:port to listen on', '127.0.0.1:0')
       .addHelpText(
         'after',
@@ -162,13 +162,13 @@
     });
 }
 
-/** Adds the `ctl` commands; their code is large and loaded when wanted. */
+/** Adds the `ctl` commands. Their code is large and loaded only when needed. */
 export type CtlRegistrar = (ctl: Command) => void;
 
 const CTL_COMMANDS: ReadonlySet<string> = new Set(['ctl', 'completion']);
 
 /**
- * @param registerCtl adds the commands of `ctl`; without it `ctl` has none
+ * @param registerCtl adds the commands of `ctl`, which has none without it
  * @returns the whole command line
  */
 export function createProgram(registerCtl?: CtlRegistrar): Command {
@@ -201,7 +201,9 @@
 }
 
 /**
- * @param argv the command line, as in `process.argv`
+ * Runs the command that the arguments name and sets the exit code.
+ *
+ * @param argv the arguments, as in `process.argv`
  */
 export async function runCommandLine(argv: readonly string[]): Promise<void> {
   const needsCtl = argv.some(word => CTL_COMMANDS.has(word));
--- a/packages/lovagepond-cli/src/command_role.ts
+++ b/packages/lovagepond-cli/src/command_role.ts
@@ -1,5 +1,6 @@
 /**
- * `lovagepond router|sidecar|control`: runs one role from its settings file.
+ * `lovagepond router|sidecar|control|gateway`: runs one role from its settings
+ * file.
  */
 import {
   checkSettings,
@@ -22,9 +23,11 @@
 }
 
 /**
- * @param role the role named on the command line
- * @param file path of its settings file
- * @returns the exit code, once a signal has ended the process
+ * Runs a role until a signal ends the process.
+ *
+ * @param role the role that the command line names
+ * @param file path of the settings file
+ * @returns the exit code
  */
 export async function runRole(role: RoleName, file: string): Promise<ExitCode> {
   const parsed = readSettings(file);
@@ -37,9 +40,11 @@
 }
 
 /**
- * @param definition a role of the product, or one made from it
- * @param parsed its settings file
- * @returns the exit code, once a signal has ended the process
+ * Runs a role until a signal ends the process.
+ *
+ * @param definition a role of this program, or one derived from it
+ * @param parsed its parsed settings file
+ * @returns the exit code
  */
 export async function runDefinition(
   definition: RoleDefinition,
--- a/packages/lovagepond-cli/src/command_standalone.ts
+++ b/packages/lovagepond-cli/src/command_standalone.ts
@@ -1,6 +1,6 @@
 /**
- * `lovagepond standalone`: every role and stand-ins for the backend servers in
- * one process.
+ * `lovagepond standalone`: runs every role and fake backend servers in one
+ * process.
  */
 import {mkdtempSync, rmSync} from 'node:fs';
 import {tmpdir} from 'node:os';
@@ -79,20 +79,20 @@
   process.stdout.write(`${lines.join('\n')}\n`);
 }
 
-/** What `standalone` is told on the command line. */
+/** Command-line options of `standalone`. */
 export interface StandaloneOptions {
-  /** The only folder that it writes to. */
+  /** The only folder that the process writes to. */
   readonly dataFolder: string;
-  /** Least level that is logged. */
+  /** Lowest level that is logged. */
   readonly logLevel: LogLevel;
-  /** A folder of settings files; the built-in set without it. */
+  /** Folder of settings files; the built-in set when left out. */
   readonly set?: string;
 }
 
 /**
  * Runs until a signal ends the process.
  *
- * @param options what to run
+ * @param options the command-line options
  * @returns the exit code
  */
 export async function runStandalone({
@@ -112,7 +112,7 @@
       drainLimitMs: DRAIN_LIMIT_MS,
     };
     const reload = (): void => {
-      dependencies.log.warn('standalone takes no settings over while it runs');
+      dependencies.log.warn('standalone does not reload settings');
     };
     printAddresses(set, platform);
     return await new ProcessRunner(settings, {
@@ -127,9 +127,9 @@
 }
 
 /**
- * Starts the fleet on free ports, sends it a chat, and ends.
+ * Starts the fleet on free ports, sends test requests through it and stops it.
  *
- * @param setFolder a folder of settings files; the built-in set without it
+ * @param setFolder folder of settings files; the built-in set when left out
  * @returns the exit code
  */
 export async function runSelfCheck(setFolder?: string): Promise<ExitCode> {
--- a/packages/lovagepond-cli/src/composition_root.ts
+++ b/packages/lovagepond-cli/src/composition_root.ts
@@ -1,5 +1,6 @@
 /**
- * Joins one role with what it needs. The only place that knows the container.
+ * Composition root: creates a role and injects its dependencies. No other
+ * module uses the dependency injection container.
  */
 import 'reflect-metadata';
 import {type Clock, Random} from '@lovagepond/core';
@@ -27,10 +28,10 @@
   toProcessSettings,
 } from './settings_sections.js';
 
-/** Values of the sections that every settings file has. */
+/** Values of the settings sections that all roles share. */
 export type CommonValues = FileValues<typeof COMMON_SECTIONS>;
 
-/** A checked settings file of one role. */
+/** A validated settings file of one role. */
 export interface LoadedSettings {
   readonly file: string;
   readonly values: CommonValues;
@@ -45,7 +46,7 @@
   SETTINGS: Symbol('settings'),
 } as const;
 
-/** One role and the process around it. */
+/** Runs one role as the process. */
 @injectable()
 export class RoleProcess {
   readonly #definition: RoleDefinition;
@@ -125,8 +126,8 @@
 
 /**
  * @param definition the role
- * @param settings its checked settings file
- * @returns the process, ready to run
+ * @param settings its validated settings file
+ * @returns the process, not started yet
  */
 export function composeRoleProcess(
   definition: RoleDefinition,
--- a/packages/lovagepond-cli/src/control_member.ts
+++ b/packages/lovagepond-cli/src/control_member.ts
@@ -1,5 +1,5 @@
 /**
- * A member of control together with its administration server.
+ * A control member together with its administration server.
  */
 import {type Role, type StateDump} from '@lovagepond/core';
 import {
@@ -8,21 +8,21 @@
 } from '@lovagepond/control';
 import {type AdministrationServer} from '@lovagepond/operator';
 
-/** Starts and ends both as one role. */
+/** Runs a control member and its administration server as one role. */
 export class ControlMember implements Role {
   readonly #control: ControlRole;
   readonly #server: AdministrationServer;
 
   /**
-   * @param control the member
-   * @param server its administration server
+   * @param control the control member
+   * @param server the administration server of the member
    */
   constructor(control: ControlRole, server: AdministrationServer) {
     this.#control = control;
     this.#server = server;
   }
 
-  /** The member's administration, for a program in the same process. */
+  /** Administration interface of the member, for callers in this process. */
   get administration(): ControlAdministration {
     return this.#control.administration;
   }
--- a/packages/lovagepond-cli/src/free_ports.ts
+++ b/packages/lovagepond-cli/src/free_ports.ts
@@ -1,18 +1,17 @@
 /**
- * Free loopback ports for a run that must not meet another one.
+ * Finds free loopback ports, so that concurrent runs don't collide.
  */
 import {once} from 'node:events';
 import {createServer} from 'node:net';
 
 /**
- * Below the range from which the system takes ports for outgoing connections
- * and for servers that leave the choice to it. A port of that range that was
- * free when it was looked at may be a connection's a moment later, and the
- * start then fails with EADDRINUSE.
+ * The ports lie below the ephemeral range of the operating system. An ephemeral
+ * port that was free when checked may be assigned to a connection before the
+ * server binds it, which then fails with EADDRINUSE.
  */
 const FIRST_PORT = 20_000;
 const PORT_SPAN = 12_000;
-/** Ports that processes with neighbouring ids keep apart. */
+/** Distance between the first ports of processes with consecutive ids. */
 const PORTS_PER_PROCESS = 64;
 
 let checkedCount = 0;
@@ -31,8 +30,8 @@
 }
 
 /**
- * @param count how many
- * @returns ports that were free just now
+ * @param count number of ports
+ * @returns ports that were free when checked
  */
 export async function findFreePorts(count: number): Promise<number[]> {
   const ports: number[] = [];
--- a/packages/lovagepond-cli/src/main.ts
+++ b/packages/lovagepond-cli/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * The one binary: reads the command line and runs a role or a tool.
+ * Entry point of the program.
  */
 import {EXIT_CODE} from '@lovagepond/process/exit_codes';
 import {runCommandLine} from './command_line.js';
--- a/packages/lovagepond-cli/src/role_control.ts
+++ b/packages/lovagepond-cli/src/role_control.ts
@@ -1,5 +1,5 @@
 /**
- * How a member of control is made from its settings file.
+ * Creates a control member from its settings.
  */
 import {type ConsensusTimings} from '@lovagepond/consensus';
 import {
@@ -20,14 +20,14 @@
   toOperatorSettings,
 } from './settings_control.js';
 
-/** A member of control, and the control role inside of it. */
+/** A control member with its administration server, and its control role. */
 export interface CreatedControlMember {
   readonly member: ControlMember;
   readonly control: ControlRole;
 }
 
 /**
- * @param values the checked file
+ * @param values the validated settings
  * @returns consensus timings
  */
 function toTimings({member}: ControlValues): ConsensusTimings {
@@ -41,15 +41,16 @@
 }
 
 /**
- * The clock of a process counts from its start, and a member's former life was
- * in a process that had ended by then.
+ * The monotonic clock of a process starts at 0 when the process starts. An
+ * earlier process of the same member had ended by then.
  */
 const PROCESS_STARTED_AT = 0;
 
 /**
- * @param values the checked settings file
- * @param parts what each role is given
- * @returns the member with its administration server, not started yet
+ * @param values the validated settings
+ * @param dependencies clock, log and random numbers of the process
+ * @param extraDependencies optional dependencies of the control role
+ * @returns the member and its control role, not started yet
  */
 export function createControlMember(
   values: ControlValues,
@@ -76,7 +77,7 @@
   return {member: new ControlMember(control, administration), control};
 }
 
-/** The control role, with its administration server. */
+/** The control role together with its administration server. */
 export const CONTROL_ROLE: RoleDefinition<typeof CONTROL_SCHEMA> = {
   name: 'control',
   schema: CONTROL_SCHEMA,
--- a/packages/lovagepond-cli/src/role_definition.ts
+++ b/packages/lovagepond-cli/src/role_definition.ts
@@ -1,5 +1,5 @@
 /**
- * How the program knows a role: its settings file and how it is made.
+ * Definition of a role: its settings schema and its factory.
  */
 import {
   type Clock,
@@ -14,7 +14,7 @@
 } from '@lovagepond/process';
 import {type RoleName} from './cli_constants.js';
 
-/** What each role is given besides its settings. */
+/** Dependencies that are injected into every role. */
 export interface RoleDependencies {
   readonly clock: Clock;
   readonly log: Logger;
@@ -22,11 +22,11 @@
   readonly metrics: MetricsRegistry;
 }
 
-/** A role as the program knows it. */
+/** Name, settings schema and factory of a role. */
 export interface RoleDefinition<Schema extends FileSchema = FileSchema> {
   readonly name: RoleName;
   readonly schema: Schema;
-  /** Makes the role, not started yet. */
+  /** Creates the role without starting it. */
   createRole(
     values: FileValues<Schema>,
     dependencies: RoleDependencies,
--- a/packages/lovagepond-cli/src/role_gateway.ts
+++ b/packages/lovagepond-cli/src/role_gateway.ts
@@ -1,5 +1,5 @@
 /**
- * How a gateway is made from its settings file.
+ * Creates a gateway from its settings.
  */
 import {
   DEFAULT_GATEWAY_SETTINGS,
@@ -12,7 +12,7 @@
 
 /**
  * @param names the header names that callers and backend servers use
- * @returns the gateway role
+ * @returns the definition of the gateway role
  */
 export function createGatewayDefinition(
   names: GatewayHeaderNames,
@@ -31,5 +31,5 @@
   };
 }
 
-/** The gateway role with the product's own header names. */
+/** The gateway role with the default header names. */
 export const GATEWAY_ROLE = createGatewayDefinition(DEFAULT_HEADER_NAMES);
--- a/packages/lovagepond-cli/src/role_group.ts
+++ b/packages/lovagepond-cli/src/role_group.ts
@@ -1,25 +1,25 @@
 /**
- * Several roles run as one.
+ * Runs several roles as one.
  */
 import {type Clock, type Role, type StateDump} from '@lovagepond/core';
 
-/** A role with the name it has among the others. */
+/** A role with its name in the state dump. */
 export interface NamedRole {
   readonly name: string;
   readonly role: Role;
 }
 
-/** Roles that don't need each other to start or to end. */
+/** Roles that can start, drain and stop at the same time. */
 export type RoleLayer = readonly NamedRole[];
 
-/** Starts layers of roles in order and ends them in the opposite order. */
+/** Starts layers of roles in order; drains and stops them in reverse order. */
 export class RoleGroup implements Role {
   readonly #layers: readonly RoleLayer[];
   readonly #clock: Clock;
 
   /**
-   * @param layers the roles, each layer after those that it needs
-   * @param clock limits the drain as a whole
+   * @param layers the roles, each layer after the layers that it depends on
+   * @param clock measures the time limit of the whole drain
    */
   constructor(layers: readonly RoleLayer[], clock: Clock) {
     this.#layers = layers;
@@ -36,7 +36,7 @@
     return this.#layers.flat().every(({role}) => role.isReady());
   }
 
-  /** Routers drain before the sidecars that their requests run at. */
+  /** Routers drain before the sidecars that run their requests. */
   async drain(limitMs: number): Promise<void> {
     const deadline = this.#clock.now() + limitMs;
     for (const layer of this.#layers.toReversed()) {
--- a/packages/lovagepond-cli/src/role_loader.ts
+++ b/packages/lovagepond-cli/src/role_loader.ts
@@ -1,5 +1,5 @@
 /**
- * Loads a role's code when it is asked for, and no other role's.
+ * Imports the code of a role on demand, and of no other role.
  */
 import {type RoleName} from './cli_constants.js';
 import {type RoleDefinition} from './role_definition.js';
@@ -12,8 +12,8 @@
 };
 
 /**
- * @param role a role's name
- * @returns how it is set and made
+ * @param role name of the role
+ * @returns the definition of the role
  */
 export function loadRoleDefinition(role: RoleName): Promise<RoleDefinition> {
   return LOADERS[role]();
--- a/packages/lovagepond-cli/src/role_metrics.ts
+++ b/packages/lovagepond-cli/src/role_metrics.ts
@@ -1,29 +1,29 @@
 /**
  * Metrics of each role, read from its state dump at each scrape.
  *
- * The dump is the one place where a role counts, so that metrics and dump
- * never disagree.
+ * The state dump is the only source of a role's counters, so that metrics and
+ * dump always agree.
  */
 import {type Role, type StateDump} from '@lovagepond/core';
 import {type MetricsRegistry, type Sample} from '@lovagepond/process';
 import {type RoleName} from './cli_constants.js';
 
-/** A value in a dump, by the keys that lead to it. */
+/** Path of a value in a state dump: the keys that lead to it. */
 type Path = readonly string[];
 
-/** One metric and where a dump holds it. */
+/** One metric and its place in the state dump; exactly one place is set. */
 interface DumpMetric {
   readonly kind: 'counter' | 'gauge';
   readonly name: string;
   readonly help: string;
-  /** Where a plain number, or true or false, stands. */
+  /** Path of one number or boolean. */
   readonly path?: Path;
-  /** Where objects of numbers stand, and the label that their keys become. */
+  /** Paths of objects of numbers; their keys become values of the label. */
   readonly labelledObjects?: {
     readonly paths: readonly Path[];
     readonly label: string;
   };
-  /** Several plain numbers under one label. */
+  /** Paths of single numbers, by value of the label. */
   readonly labelledNumbers?: {
     readonly label: string;
     readonly paths: Readonly<Record<string, Path>>;
@@ -42,14 +42,14 @@
 const REVISION: DumpMetric = {
   kind: 'gauge',
   name: 'lovagepond_configuration_revision',
-  help: 'Configuration revision that this process holds.',
+  help: 'Configuration revision in use by this process.',
   path: ['revision'],
 };
 
 const SUSPECTED_REQUESTS: DumpMetric = {
   kind: 'gauge',
   name: 'lovagepond_suspected_requests',
-  help: 'Requests that servers crashed under, quarantined or not.',
+  help: 'Requests during which backend servers crashed, quarantined or not.',
   path: ['suspectedRequests'],
 };
 
@@ -71,7 +71,7 @@
   {
     kind: 'counter',
     name: 'lovagepond_requests_answered_total',
-    help: 'Requests answered whole.',
+    help: 'Requests with a complete answer.',
     path: ['answered'],
   },
   {
@@ -89,7 +89,7 @@
   {
     kind: 'gauge',
     name: 'lovagepond_load_skew_ratio',
-    help: "A pool's busiest ready server over the mean, as known here.",
+    help: 'Load of the busiest ready server over the mean load of its pool.',
     labelledObjects: {paths: [['skew']], label: 'pool'},
   },
   {
@@ -101,25 +101,25 @@
   {
     kind: 'gauge',
     name: 'lovagepond_backend_servers',
-    help: 'Backend servers in the membership that this router holds.',
+    help: 'Backend servers in the membership list of this router.',
     path: ['backendServers'],
   },
   {
     kind: 'gauge',
     name: 'lovagepond_suspected_servers',
-    help: 'Backend servers that this router has evidence against.',
+    help: 'Backend servers that this router suspects of having failed.',
     path: ['suspects'],
   },
   {
     kind: 'counter',
     name: 'lovagepond_frames_dropped_total',
-    help: 'Frames thrown away, by reason.',
+    help: 'Frames dropped, by reason.',
     labelledObjects: {paths: [['droppedByReason']], label: 'reason'},
   },
   {
     kind: 'counter',
     name: 'lovagepond_hops_total',
-    help: 'Pointers, hand-overs and revision exchanges followed.',
+    help: 'Redirections followed: pointers, hand-overs and revision exchanges.',
     path: ['hops'],
   },
   {
@@ -143,7 +143,7 @@
   {
     kind: 'counter',
     name: 'lovagepond_refusals_total',
-    help: 'Attempts refused, truly not run, by kind.',
+    help: 'Attempts refused without running, by kind.',
     labelledObjects: {paths: [['attempts', 'refusedByKind']], label: 'kind'},
   },
   {
@@ -155,7 +155,7 @@
   {
     kind: 'counter',
     name: 'lovagepond_requests_answered_total',
-    help: 'Attempts answered whole.',
+    help: 'Attempts with a complete answer.',
     path: ['attempts', 'answered'],
   },
   {
@@ -167,7 +167,7 @@
   {
     kind: 'gauge',
     name: 'lovagepond_load_tokens',
-    help: 'Estimated tokens at the backend server and in the queue.',
+    help: 'Estimated tokens running at the backend server and queued.',
     labelledNumbers: {
       label: 'state',
       paths: {
@@ -181,7 +181,7 @@
   {
     kind: 'counter',
     name: 'lovagepond_requests_taken_total',
-    help: 'Requests taken from longer queues.',
+    help: 'Requests taken over from longer queues of other sidecars.',
     path: ['taken'],
   },
 ];
@@ -191,7 +191,7 @@
   {
     kind: 'gauge',
     name: 'lovagepond_backend_servers',
-    help: 'Backend servers announced.',
+    help: 'Backend servers that have announced themselves.',
     path: ['backendServers'],
   },
   {
@@ -203,13 +203,13 @@
   {
     kind: 'gauge',
     name: 'lovagepond_control_fresh',
-    help: '1 while this member is in touch with a majority.',
+    help: '1 while this member has contact with a majority.',
     path: ['fresh'],
   },
   {
     kind: 'gauge',
     name: 'lovagepond_consensus_index',
-    help: 'Log positions of this member.',
+    help: 'Consensus log indexes of this member.',
     labelledNumbers: {
       label: 'position',
       paths: {
@@ -223,13 +223,13 @@
   {
     kind: 'gauge',
     name: 'lovagepond_consensus_term',
-    help: 'Term of this member.',
+    help: 'Consensus term of this member.',
     path: ['consensus', 'term'],
   },
   {
     kind: 'gauge',
     name: 'lovagepond_ledger_entries',
-    help: 'Calls that may not be repeated, by the state of their entry.',
+    help: 'Ledger entries of non-repeatable calls, by state.',
     labelledObjects: {paths: [['ledger']], label: 'state'},
   },
   SUSPECTED_REQUESTS,
@@ -240,7 +240,7 @@
   {
     kind: 'gauge',
     name: 'lovagepond_gateway_requests_in_flight',
-    help: 'Forwarded requests that have no final answer yet.',
+    help: 'Forwarded requests without a final answer yet.',
     path: ['inFlight'],
   },
   {
@@ -252,7 +252,7 @@
   {
     kind: 'counter',
     name: 'lovagepond_gateway_requests_ended_total',
-    help: 'Forwarded requests that were offered to a server, by their end.',
+    help: 'Forwarded requests that were sent to a server, by outcome.',
     labelledObjects: {paths: [['endedByOutcome']], label: 'outcome'},
   },
   {
@@ -264,7 +264,7 @@
   {
     kind: 'counter',
     name: 'lovagepond_gateway_attempts_failed_total',
-    help: 'Attempts that brought no whole answer, by their end.',
+    help: 'Attempts without a complete answer, by outcome.',
     labelledObjects: {paths: [['failedAttemptsByOutcome']], label: 'outcome'},
   },
   {
@@ -276,7 +276,7 @@
   {
     kind: 'counter',
     name: 'lovagepond_gateway_servers_crashed_total',
-    help: 'Backend servers that ended while they ran requests of this gateway.',
+    help: 'Backend servers that crashed while they ran requests of this gateway.',
     path: ['crashedServers'],
   },
   SUSPECTED_REQUESTS,
@@ -340,7 +340,7 @@
   return label === undefined ? [] : [label];
 }
 
-/** One role of this process. */
+/** A role of this process whose metrics are exported. */
 export interface MeteredRole {
   readonly kind: RoleName;
   /** The process name from its settings. */
@@ -362,7 +362,7 @@
 
 /**
  * Registers the metrics of every role of this process. A metric that several
- * kinds of roles have stands once, told apart by its labels.
+ * kinds of roles share is registered once; its labels name the role.
  *
  * @param metrics the process's registry
  * @param roles the roles
--- a/packages/lovagepond-cli/src/role_of_settings.ts
+++ b/packages/lovagepond-cli/src/role_of_settings.ts
@@ -1,12 +1,13 @@
 /**
- * Which role a settings file is for.
+ * Finds the role that a settings file is for.
  */
 import {type ParsedSettings} from '@lovagepond/process';
 import {ROLE_NAMES, type RoleName} from './cli_constants.js';
 
 /**
- * @param parsed a settings file
- * @returns the role it is for, or undefined when it names none
+ * @param parsed a parsed settings file
+ * @returns the role that the file names, or undefined when it names no known
+ *     one
  */
 export function roleOf(parsed: ParsedSettings): RoleName | undefined {
   const role = parsed.sections['process']?.['role'];
--- a/packages/lovagepond-cli/src/role_router.ts
+++ b/packages/lovagepond-cli/src/role_router.ts
@@ -1,5 +1,5 @@
 /**
- * How a router is made from its settings file.
+ * Creates a router from its settings.
  */
 import {CallerServer, DEFAULT_CALLER_SETTINGS} from '@lovagepond/caller';
 import {DEFAULT_ROUTER_SETTINGS, RouterRole} from '@lovagepond/router';
--- a/packages/lovagepond-cli/src/role_schemas.ts
+++ b/packages/lovagepond-cli/src/role_schemas.ts
@@ -1,5 +1,5 @@
 /**
- * The schema of each role's settings file, without any role's code.
+ * Settings schemas of all roles. Importing them loads no role's code.
  */
 import {type FileSchema} from '@lovagepond/process';
 import {type RoleName} from './cli_constants.js';
@@ -8,7 +8,7 @@
 import {ROUTER_SCHEMA} from './settings_router.js';
 import {SIDECAR_SCHEMA} from './settings_sidecar.js';
 
-/** Role name to the schema of its settings file. */
+/** Settings schema by role name. */
 export const ROLE_SCHEMAS: Readonly<Record<RoleName, FileSchema>> = {
   control: CONTROL_SCHEMA,
   gateway: GATEWAY_SCHEMA,
--- a/packages/lovagepond-cli/src/role_sidecar.ts
+++ b/packages/lovagepond-cli/src/role_sidecar.ts
@@ -1,5 +1,5 @@
 /**
- * How a sidecar is made from its settings file.
+ * Creates a sidecar from its settings.
  */
 import {
   DEFAULT_HTTP_CLIENT_SETTINGS,
--- a/packages/lovagepond-cli/src/self_check.ts
+++ b/packages/lovagepond-cli/src/self_check.ts
@@ -1,6 +1,6 @@
 /**
- * Sends a chat through a running fleet, and a call that may not be repeated,
- * and looks at the answers.
+ * Sends a chat and a non-repeatable call through a running fleet and verifies
+ * the answers.
  */
 import {randomUUID} from 'node:crypto';
 import {
@@ -16,9 +16,9 @@
 const STATUS_OK = 200;
 const QUESTION = 'Which voucher fits a garden in spring? '.repeat(20);
 
-/** Where and as whom the check asks. */
+/** Routers and configuration of the fleet to check. */
 export interface CheckTarget {
-  /** `host:port` of each router towards callers. */
+  /** `host:port` at which each router accepts callers. */
   readonly routers: readonly string[];
   /** The configuration in force. */
   readonly configuration: unknown;
@@ -30,13 +30,13 @@
   readonly content: string;
 }
 
-/** What came back. */
+/** Text of an answer, and the prompt tokens that the cache held. */
 interface ChatAnswer {
   readonly text: string;
   readonly cachedTokens: number;
 }
 
-/** The part of a chat completion event that the check reads. */
+/** The fields of a chat completion event that the check reads. */
 interface ChatEvent {
   readonly choices?: readonly {readonly delta?: {readonly content?: string}}[];
   readonly usage?: {
@@ -79,7 +79,7 @@
   const request = {model: 'any', stream: true, messages};
   const body = await post(router, '/v1/chat/completions', headers, request);
   if (!body.trimEnd().endsWith('data: [DONE]')) {
-    throw new Error('the answer is not whole');
+    throw new Error('the answer is incomplete: [DONE] is missing');
   }
   const events = readEvents(body);
   const usage = events.findLast(event => event.usage)?.usage;
@@ -102,7 +102,7 @@
     {role: 'assistant', content: answer.text},
     {role: 'user', content: 'And in autumn?'},
   ]);
-  if (cachedTokens === 0) throw new Error('the chat came back cold');
+  if (cachedTokens === 0) throw new Error('the returning chat used no cache');
   return `chat: came back through another router, ${cachedTokens} prompt tokens from the cache`;
 }
 
@@ -127,20 +127,20 @@
   return `${kind}: sent twice under one key, ran once`;
 }
 
-/** The part of a role's dump that tells what it knows of the others. */
+/** The fields of a role's state dump that concern its membership list. */
 interface MembershipState {
   readonly pool?: string;
-  /** Ready servers of a sidecar's pool, without its own. */
+  /** Other ready servers in the pool of a sidecar. */
   readonly peers?: number;
   readonly membershipVersion?: number;
 }
 
 /**
- * A router may be ready while it still learns of backend servers; a chat
- * begun then finds its context cold once the others are known.
+ * A router may be ready before it has received the whole membership list. A
+ * chat that starts then may move to another server later and lose its context.
  *
- * @returns true when every backend server is ready, and every role that keeps
- *     the list of them has the same one
+ * @returns true when every backend server is ready and all roles with a
+ *     membership list have the same version of the list
  */
 function isMembershipConsistent(role: Role): boolean {
   const dumps = Object.values(role.dump().state) as readonly StateDump[];
@@ -160,17 +160,19 @@
 async function waitUntilReady(role: Role, clock: Clock): Promise<void> {
   const deadline = clock.now() + READY_TIMEOUT_MS;
   while (!role.isReady() || !isMembershipConsistent(role)) {
-    if (clock.now() > deadline) throw new Error('the fleet is not ready');
+    if (clock.now() > deadline) throw new Error('fleet did not become ready');
     await new Promise(resolve => setTimeout(resolve, READY_POLL_MS));
   }
 }
 
 /**
- * @param role the fleet, started
- * @param clock limits the wait for readiness
- * @param target where and as whom to ask
- * @returns lines for people
- * @throws when an answer is not as it must be
+ * Waits until the fleet is ready and sends test requests through it.
+ *
+ * @param role the started fleet
+ * @param clock measures the time limit of the wait for readiness
+ * @param target routers and configuration of the fleet
+ * @returns lines for people that describe the passed checks
+ * @throws Error when the fleet doesn't become ready or an answer is wrong
  */
 export async function checkFleet(
   role: Role,
--- a/packages/lovagepond-cli/src/settings_control.ts
+++ b/packages/lovagepond-cli/src/settings_control.ts
@@ -1,5 +1,5 @@
 /**
- * Settings file of a member of control.
+ * Settings file of a control member.
  */
 import {join} from 'node:path';
 import {type CONTROL_DEFAULTS, type ControlSettings} from '@lovagepond/control';
@@ -22,36 +22,39 @@
 
 const MAX_PORT = 65_535;
 const MAX_COUNT = 100_000_000;
-/** A group of nine bears four; more members only slow it down. */
+/** Nine members tolerate four losses; more members only slow consensus down. */
 const MAX_TOLERATED_LOSSES = 4;
-/** Within the data folder; state dumps stand beside it. */
+/** Subfolder of the data folder, which also holds state dumps. */
 const CONSENSUS_FOLDER = 'consensus';
 
 const memberSection = z.strictObject({
   listen: withTraits(hostPort(), {listens: true}),
-  /** Told to other members in place of the address listened on. */
+  /** Address announced to other members instead of `listen`. */
   address: hostPort().optional(),
-  /** All members, this one too, at the group's first start. */
+  /** All members, including this one, at the first start of the group. */
   members: list(hostPort()),
-  /** Takes the place of the ports in `members`. */
+  /** Replaces the ports in `members`. */
   memberPort: integer(1, MAX_PORT).optional(),
-  /** False where the hosts' data folders can't all be new. */
+  /**
+   * False if data folders may have been emptied since the first start: the
+   * member then only joins a group and never forms one.
+   */
   mayForm: boolean().optional(),
-  /** Hosts that `members` doesn't name may take the places of lost ones. */
+  /** Whether hosts that `members` doesn't name may replace lost members. */
   openMembership: boolean().optional(),
-  /** Hosts that the group must be able to lose at once. */
+  /** Number of hosts that the group must be able to lose at once. */
   toleratedLosses: integer(0, MAX_TOLERATED_LOSSES).optional(),
-  /** True on a host without a disk: it follows and never votes. */
+  /** True on a host without a disk: the member follows and never votes. */
   observer: boolean().optional(),
-  /** Shortest silence of a leader after which members elect another. */
+  /** Shortest time without a leader's message before an election. */
   electionTimeout: duration().optional(),
-  /** Time between two messages of the leader; a sixth of the timeout fits. */
+  /** Interval of the leader's heartbeats; about 1/6 of `electionTimeout`. */
   heartbeat: duration().optional(),
 });
 
 const administrationSection = z.strictObject({
   listen: withTraits(hostPort(), {listens: true}),
-  /** Environment variable that holds the operators' token. */
+  /** Name of the environment variable with the operators' token. */
   tokenVariable: nameText().prefault('LOVAGEPOND_TOKEN'),
   maxBody: size().optional(),
   requestTimeout: duration().optional(),
@@ -70,7 +73,7 @@
   concurrentLoads: integer(1, MAX_COUNT).optional(),
 });
 
-/** Sections of a control member's settings file. */
+/** Sections of the settings file of a control member. */
 export const CONTROL_SCHEMA = {
   ...COMMON_SECTIONS,
   member: memberSection,
@@ -78,16 +81,16 @@
   limits: limitsSection,
 } as const;
 
-/** Values of a control member's settings file. */
+/** Values of the settings file of a control member. */
 export type ControlValues = FileValues<typeof CONTROL_SCHEMA>;
 
-/** What a member's file always sets; the rest has defaults. */
+/** Settings from the file; those that have a default may be missing. */
 type FileSettings = Omit<ControlSettings, keyof typeof CONTROL_DEFAULTS> &
   Partial<ControlSettings>;
 
 /**
- * @param values the checked file
- * @returns settings of the control member, without those left to its defaults
+ * @param values the validated file
+ * @returns settings of the control member, without those left to the defaults
  */
 export function toControlSettings(values: ControlValues): FileSettings {
   const {process: identity, platform, member, limits} = values;
@@ -121,9 +124,9 @@
 }
 
 /**
- * @param values the checked file
- * @param environment where the operators' token is
- * @returns settings of the administration server, without those left to its
+ * @param values the validated file
+ * @param environment environment variables, one of them the operators' token
+ * @returns settings of the administration server, without those left to the
  *     defaults
  */
 export function toOperatorSettings(
--- a/packages/lovagepond-cli/src/settings_gateway.ts
+++ b/packages/lovagepond-cli/src/settings_gateway.ts
@@ -20,25 +20,25 @@
 const gatewaySection = z.strictObject({
   listen: withTraits(hostPort(), {listens: true}),
   connectTimeout: duration().optional(),
-  /** Prompt tokens that an engine reads in a millisecond. */
+  /** Prompt tokens that an engine processes per millisecond. */
   prefillRate: decimal(0.001, MAX_COUNT).optional(),
   maxHeld: size().optional(),
   drainLinger: duration().optional(),
-  /** A removed API key admits nothing later than this. */
+  /** Time after which a removed API key is refused everywhere. */
   revocationBound: duration().optional(),
 });
 
 const retriesSection = z.strictObject({
-  /** Second tries as a fraction of requests. */
+  /** Retries as a fraction of requests. */
   fraction: decimal(0, 1).optional(),
   window: duration().optional(),
-  /** Second tries in a window that all gateways together may make besides. */
+  /** Additional retries per window, shared by all gateways. */
   slack: decimal(0, MAX_COUNT).optional(),
-  /** Gateways that are taken to share the slack before more are heard of. */
+  /** Number of gateways assumed to share the slack until more are known. */
   shares: integer(1, MAX_COUNT).optional(),
 });
 
-/** Sections of a gateway's settings file. */
+/** Sections of the settings file of a gateway. */
 export const GATEWAY_SCHEMA = {
   ...COMMON_SECTIONS,
   control: controlMembersSection,
@@ -46,15 +46,16 @@
   retries: retriesSection,
 } as const;
 
-/** Values of a gateway's settings file. */
+/** Values of the settings file of a gateway. */
 export type GatewayValues = FileValues<typeof GATEWAY_SCHEMA>;
 
+/** Settings from the file; those that have a default may be missing. */
 type FileSettings = Partial<GatewaySettings> &
   Pick<GatewaySettings, 'name' | 'host' | 'port' | 'controlAddresses'>;
 
 /**
- * @param values the checked file
- * @returns settings of the gateway, without those left to its defaults
+ * @param values the validated file
+ * @returns settings of the gateway, without those left to the defaults
  */
 export function toGatewaySettings(values: GatewayValues): FileSettings {
   const {process: identity, control, gateway, retries} = values;
--- a/packages/lovagepond-cli/src/settings_reloader.ts
+++ b/packages/lovagepond-cli/src/settings_reloader.ts
@@ -1,5 +1,5 @@
 /**
- * Takes over changed settings while a process runs.
+ * Hot reload of settings while a process runs.
  */
 import {
   checkSettings,
@@ -17,7 +17,7 @@
   toProcessSettings,
 } from './settings_sections.js';
 
-/** Reads one settings file again on request. */
+/** Reloads the settings file of a running process. */
 export class SettingsReloader {
   readonly #file: string;
   readonly #schema: FileSchema;
@@ -26,9 +26,9 @@
 
   /**
    * @param file path of the settings file
-   * @param schema its schema
-   * @param values the values in force
-   * @param log told of each changed key
+   * @param schema the schema of the file
+   * @param values the values in use
+   * @param log logs each changed key, and takes the new log level
    */
   constructor(
     file: string,
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Takes over the keys that allow it; says of each other changed key that
-   * it waits for a restart. A file with a fault changes nothing.
+   * Applies changed keys that are reloadable and logs which other changed keys
+   * need a restart. A file with a fault changes nothing.
    *
    * @param runner the running process
    */
--- a/packages/lovagepond-cli/src/settings_router.ts
+++ b/packages/lovagepond-cli/src/settings_router.ts
@@ -66,7 +66,7 @@
   after: duration().optional(),
 });
 
-/** Sections of a router's settings file. */
+/** Sections of the settings file of a router. */
 export const ROUTER_SCHEMA = {
   ...COMMON_SECTIONS,
   control: controlMembersSection,
@@ -76,12 +76,12 @@
   island: islandSection,
 } as const;
 
-/** Values of a router's settings file. */
+/** Values of the settings file of a router. */
 export type RouterValues = FileValues<typeof ROUTER_SCHEMA>;
 
 /**
- * @param values the checked file
- * @returns settings of the HTTP front, without those left to its defaults
+ * @param values the validated file
+ * @returns settings of the caller server, without those left to the defaults
  */
 export function toCallerSettings({
   callers,
@@ -104,8 +104,8 @@
 }
 
 /**
- * @param values the checked file
- * @returns settings of the router, without those left to its defaults
+ * @param values the validated file
+ * @returns settings of the router, without those left to the defaults
  */
 export function toRouterSettings(
   values: RouterValues,
--- a/packages/lovagepond-cli/src/settings_sections.ts
+++ b/packages/lovagepond-cli/src/settings_sections.ts
@@ -18,17 +18,17 @@
 const MAX_PORT = 65_535;
 const MAX_SEED = 2 ** 31 - 1;
 
-/** `[process]`: who and where this process is. */
+/** `[process]`: identity and location of the process. */
 const processSection = z.strictObject({
   role: oneOf(...ROLE_NAMES),
   name: nameText(),
   region: nameText(),
   availabilityZone: nameText(),
-  /** Seed of the random numbers; by default one from the clock. */
+  /** Seed of the random numbers; derived from the clock by default. */
   seed: integer(0, MAX_SEED).optional(),
 });
 
-/** `[platform]`: what the process shows to the platform. */
+/** `[platform]`: platform endpoint, logging, draining and data folder. */
 const platformSection = z.strictObject({
   address: withTraits(hostPort(), {listens: true}),
   logLevel: withTraits(
@@ -40,21 +40,21 @@
   dataFolder: withTraits(filledText(), {owned: true}),
 });
 
-/** `[control]` of routers and sidecars: where control's members are. */
+/** `[control]` of routers, sidecars and gateways: addresses of control. */
 export const controlMembersSection = z.strictObject({
   members: list(hostPort()),
-  /** Takes the place of the ports in `members`. */
+  /** Replaces the ports in `members`. */
   memberPort: integer(1, MAX_PORT).optional(),
-  /** Without an update or heartbeat for so long, another member is tried. */
+  /** Time without an update or heartbeat before another member is tried. */
   silentAfter: duration().optional(),
-  /** Wait between two tries of control. */
+  /** Delay between two connection attempts to control. */
   retry: duration().optional(),
 });
 
-/** `[labels]`: free keys. */
+/** `[labels]`: arbitrary keys. */
 export const labelsSection = z.record(z.string(), z.string());
 
-/** The sections of every role. */
+/** The sections that all roles share. */
 export const COMMON_SECTIONS = {
   process: processSection,
   platform: platformSection,
--- a/packages/lovagepond-cli/src/settings_sidecar.ts
+++ b/packages/lovagepond-cli/src/settings_sidecar.ts
@@ -28,7 +28,7 @@
 
 const sidecarSection = z.strictObject({
   listen: withTraits(hostPort(), {listens: true}),
-  /** Told to routers in place of the address listened on. */
+  /** Address announced to routers instead of `listen`. */
   announcedAddress: hostPort().optional(),
   pool: nameText(),
   announceInterval: duration().optional(),
@@ -76,7 +76,7 @@
   policy: oneOf('serve', 'refuse').optional(),
 });
 
-/** Sections of a sidecar's settings file. */
+/** Sections of the settings file of a sidecar. */
 export const SIDECAR_SCHEMA = {
   ...COMMON_SECTIONS,
   control: controlMembersSection.omit({retry: true}),
@@ -89,10 +89,10 @@
   island: islandSection,
 } as const;
 
-/** Values of a sidecar's settings file. */
+/** Values of the settings file of a sidecar. */
 export type SidecarValues = FileValues<typeof SIDECAR_SCHEMA>;
 
-/** What a sidecar's file always sets; the rest has defaults. */
+/** Settings from the file; those that have a default may be missing. */
 type FileSettings = Partial<SidecarSettings> &
   Pick<
     SidecarSettings,
@@ -147,8 +147,8 @@
 }
 
 /**
- * @param values the checked file
- * @returns settings of the sidecar, without those left to its defaults
+ * @param values the validated file
+ * @returns settings of the sidecar, without those left to the defaults
  */
 export function toSidecarSettings(values: SidecarValues): FileSettings {
   const {process: identity, platform, control, sidecar, backend} = values;
--- a/packages/lovagepond-cli/src/settings_utils.ts
+++ b/packages/lovagepond-cli/src/settings_utils.ts
@@ -1,16 +1,16 @@
 /**
- * Helpers that turn a file's values into a role's settings.
+ * Helpers that convert values of a settings file to settings of a role.
  */
 import {formatHostPort, type HostPort} from '@lovagepond/process';
 
-/** The same object type with each `undefined` taken out of its values. */
+/** The object type with optional properties and without `undefined` values. */
 type Defined<Values> = {
   [Key in keyof Values]?: Exclude<Values[Key], undefined>;
 };
 
 /**
- * Leaves out what the file doesn't set, so that a package's own default, the
- * only place where it is written down, stays in force.
+ * Removes keys that the file doesn't set, so that the defaults of the role's
+ * package apply. Defaults are defined only there.
  *
  * @param values settings, `undefined` where the file sets none
  * @returns the settings that the file sets
@@ -26,7 +26,7 @@
 
 /**
  * @param addresses addresses
- * @param port a port to reach all of them under, when it isn't their own
+ * @param port port that replaces the port of each address; undefined keeps them
  * @returns the addresses to use
  */
 export function withPort(
@@ -39,7 +39,7 @@
 
 /**
  * @param addresses addresses
- * @returns each as `host:port`
+ * @returns each address as `host:port`
  */
 export function formatAddresses(addresses: readonly HostPort[]): string[] {
   return addresses.map(formatHostPort);
--- a/packages/lovagepond-cli/src/standalone_configuration.ts
+++ b/packages/lovagepond-cli/src/standalone_configuration.ts
@@ -1,9 +1,9 @@
 /**
- * The configuration that `standalone` puts in force at its first start.
+ * The configuration that `standalone` installs at its first start.
  */
 import {type ConfigurationContent, configurationSchema} from '@lovagepond/core';
 
-/** One pool of engines for chats, one of services for calls run once. */
+/** A pool of engines for chats and one of services for non-repeatable calls. */
 export const STANDALONE_CONFIGURATION: ConfigurationContent =
   configurationSchema.parse({
     pools: [
--- a/packages/lovagepond-cli/src/standalone_fleet.ts
+++ b/packages/lovagepond-cli/src/standalone_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Every role of a set, with stand-ins for the backend servers, as one role.
+ * Creates every role of a set, with fake backend servers, as one role.
  */
 import {type Role} from '@lovagepond/core';
 import {
@@ -21,13 +21,13 @@
 import {type MeteredRole, registerRoleMetrics} from './role_metrics.js';
 import {type FleetSet} from './standalone_set.js';
 
-/** The roles of one process, not started yet. */
+/** The roles of one process and its control members, not started yet. */
 export interface StandaloneFleet {
   readonly group: Role;
   readonly members: readonly ControlMember[];
 }
 
-/** Each role after those that it needs. */
+/** Each kind of role after the kinds that it depends on. */
 const START_ORDER: readonly RoleName[] = ['control', 'sidecar', 'router'];
 
 function createFakes(settings: readonly ParsedSettings[]): NamedRole[] {
@@ -69,7 +69,7 @@
 
 /**
  * @param set settings of the fleet
- * @param dependencies what the roles share
+ * @param dependencies the dependencies that all roles share
  * @returns the roles
  * @throws SettingsError with the faults of every file
  */
--- a/packages/lovagepond-cli/src/standalone_role.ts
+++ b/packages/lovagepond-cli/src/standalone_role.ts
@@ -1,5 +1,6 @@
 /**
- * The whole fleet of `standalone` as one role, with a first configuration.
+ * Runs the whole fleet of `standalone` as one role and installs its first
+ * configuration.
  */
 import {type Clock, type Role, type StateDump} from '@lovagepond/core';
 import {type ControlAdministration} from '@lovagepond/control';
@@ -9,7 +10,7 @@
 const LEADER_TIMEOUT_MS = 10_000;
 const RETRY_MS = 50;
 
-/** @returns true once a configuration is in force at the member */
+/** @returns true once the member has a configuration in force */
 async function installFirstConfiguration(
   administration: ControlAdministration,
   content: unknown,
@@ -23,10 +24,10 @@
   });
   if (answer.kind !== 'invalid') return answer.kind === 'accepted';
   const faults = answer.faults.map(fault => `${fault.place}: ${fault.message}`);
-  throw new Error(`the configuration has faults: ${faults.join('; ')}`);
+  throw new Error(`the first configuration is invalid: ${faults.join('; ')}`);
 }
 
-/** Starts every role, then puts a configuration in force. */
+/** Starts every role, then installs the first configuration. */
 export class StandaloneRole implements Role {
   readonly #fleet: StandaloneFleet;
   readonly #configuration: unknown;
@@ -34,8 +35,8 @@
 
   /**
    * @param fleet the roles
-   * @param configuration what is put in force at the first start
-   * @param clock limits the wait for a leader
+   * @param configuration the configuration to install at the first start
+   * @param clock measures the time limit of the wait for a leader
    */
   constructor(fleet: StandaloneFleet, configuration: unknown, clock: Clock) {
     this.#fleet = fleet;
@@ -48,7 +49,9 @@
     const deadline = this.#clock.now() + LEADER_TIMEOUT_MS;
     while (!(await this.#tryInstallConfiguration())) {
       if (this.#clock.now() > deadline) {
-        throw new Error('control has no leader');
+        throw new Error(
+          'control accepted no configuration in time: it may have no leader',
+        );
       }
       await new Promise(resolve => setTimeout(resolve, RETRY_MS));
     }
--- a/packages/lovagepond-cli/src/standalone_set.ts
+++ b/packages/lovagepond-cli/src/standalone_set.ts
@@ -1,15 +1,15 @@
 /**
- * Settings of a whole fleet, as one process runs it.
+ * Settings of a whole fleet that runs in one process.
  */
 import {readdirSync, readFileSync} from 'node:fs';
 import {join} from 'node:path';
 import {type ParsedSettings, readSettings} from '@lovagepond/process';
 import {findFreePorts} from './free_ports.js';
 
-/** Settings of every process, with the configuration they start with. */
+/** Settings of every process, and the first configuration. */
 export interface FleetSet {
   readonly settings: readonly ParsedSettings[];
-  /** Checked by control when it is put in force. */
+  /** Not validated here; control validates it when it is installed. */
   readonly configuration: unknown;
 }
 
@@ -19,7 +19,7 @@
 const CONFIGURATION_FILE = 'configuration.json';
 
 /**
- * @param folder a folder of settings files with a `configuration.json`
+ * @param folder folder of settings files and a `configuration.json`
  * @returns the set
  */
 export function readSetFolder(folder: string): FleetSet {
@@ -54,8 +54,8 @@
 }
 
 /**
- * @param set a set on loopback addresses
- * @returns the same set with a free port in place of each of its ports
+ * @param set a set with loopback addresses
+ * @returns the set with each loopback port replaced by a free port
  */
 export async function assignFreePorts(set: FleetSet): Promise<FleetSet> {
   const ports = new Set<string>();
@@ -75,7 +75,7 @@
 /**
  * @param set a set
  * @param folder the only folder that the process writes to
- * @returns the set with a folder in it for each role
+ * @returns the set with a subfolder as the data folder of each role
  */
 export function assignDataFolders(set: FleetSet, folder: string): FleetSet {
   return {
--- a/packages/lovagepond-cli/src/standalone_settings.ts
+++ b/packages/lovagepond-cli/src/standalone_settings.ts
@@ -1,6 +1,6 @@
 /**
- * The set of settings that `standalone` runs when it is given none: sections
- * of keys as settings files would hold them, which pass the same checks.
+ * The built-in set that `standalone` runs without `--set`. Its sections have
+ * the form of a parsed settings file and pass the same validation.
  */
 import {type ParsedSettings} from '@lovagepond/process';
 import {type RoleName} from './cli_constants.js';
@@ -11,7 +11,7 @@
 const ENGINES = 3;
 const SERVICES = 1;
 
-/** Administration has the port that `ctl` tries by default. */
+/** Administration listens on the port that `ctl` uses by default. */
 const PORT = {
   PLATFORM: 7_400,
   CONTROL: 7_401,
