--- a/packages/lovagepond-operator/src/__tests__/unit/ctl.test.ts
+++ b/packages/lovagepond-operator/src/__tests__/unit/ctl.test.ts
@@ -16,7 +16,7 @@
 const SILENT: Logger = {debug() {}, info() {}, warn() {}, error() {}};
 const TOKEN = 'test-token';
 
-/** Virtual time and captured output; an effect may run at each wait. */
+/** Virtual time and captured output; `onWait` runs at each wait. */
 class FakeIo implements CtlIo {
   out = '';
   err = '';
@@ -88,10 +88,10 @@
     await program.parseAsync([...words, '--control', control], {from: 'user'});
   }
 
-  // The first member commits the change and dies before its answer leaves.
-  // The command sends the same change to the next member, which knows the
-  // operation id: the operator sees success, and one revision was made.
-  it('sends a change again after a lost answer, under the same id', async () => {
+  // The first member commits the change and crashes before it sends the answer.
+  // The command retries at the next member with the same operation id: it must
+  // succeed, and only one revision may be made.
+  it('retries a change after a lost answer with the same operation id', async () => {
     const ids: unknown[] = [];
     const losing = createServer((req, res) => {
       const {method, url, headers} = req;
@@ -127,10 +127,10 @@
     expect(member.suspects).toEqual([]);
   });
 
-  // No member knows a leader for a while, then one is elected: the command
-  // waits and succeeds. When none is ever elected it ends with its own exit
-  // code and names the operation id to go on with.
-  it('waits for a leader, and says how to go on when there is none', async () => {
+  // Control has no leader for a while. Once one is elected, the command
+  // succeeds. Without a leader until the time limit it fails with the exit code
+  // UNREACHABLE and prints the operation id for a retry.
+  it('waits for a leader and prints how to retry when there is none', async () => {
     member.refusal = {kind: 'notLeader', leader: ''};
     io.onWait = () => {
       if (io.now() >= 1_000) member.refusal = undefined;
@@ -151,10 +151,10 @@
   });
 
   // The change is made, its answer is lost, and no member answers any more. The
-  // command gives up and prints how to repeat it. Repeated like that, later, it
-  // is the very same change, although the object exists by now with defaults
-  // that nobody typed: the operator gets the first answer.
-  it('makes the same change when it is repeated as it tells', async () => {
+  // command fails and prints the options for a retry. A later retry with them
+  // must send the identical change, although the object exists by then with
+  // added defaults, and must return the first answer.
+  it('makes the same change when retried with the printed options', async () => {
     member.losesNextAnswer = true;
     await ctl('workspaces set bakery weight=2');
     expect(io.exitCode).toBe(EXIT_CODE.UNREACHABLE);
@@ -167,9 +167,10 @@
     expect(member.revisions).toHaveLength(3);
   });
 
-  // Two operators started from revision 0; this one comes second. The command
-  // fails, names the other's change, and leaves the configuration alone.
-  it('ends with a conflict that names the other change', async () => {
+  // Two operators change revision 0, this one second. The command must fail,
+  // show the change of the other operator and leave the configuration
+  // unchanged.
+  it('fails with a conflict that shows the other change', async () => {
     await ctl('pools set drafting kind=engine');
     await ctl('pools set chat kind=engine --base 0');
     expect(io.exitCode).toBe(EXIT_CODE.REFUSED);
@@ -178,7 +179,7 @@
     expect(JSON.parse(io.out)).toHaveLength(1);
   });
 
-  it('names every fault of a file, and changes nothing', async () => {
+  it('prints every fault of a file and changes nothing', async () => {
     const pools = [
       {name: 'a', kind: 'engine'},
       {name: 'a', kind: 'engine'},
@@ -195,9 +196,9 @@
     expect(member.revisions).toHaveLength(1);
   });
 
-  // A router behind a lossy path is the last to hold the new revision. With
-  // --wait the command ends once it does; when it never does, the command
-  // fails at its limit and the table names the router.
+  // One router gets the new revision late. With --wait the command succeeds
+  // once the router has the revision. Otherwise the command fails at its time
+  // limit, and the table shows the router.
   it('waits until the revision is in force everywhere', async () => {
     await ctl('workspaces set bakery weight=2');
     const node = {role: 'router', ageMs: 0};
@@ -215,7 +216,7 @@
     expect(io.exitCode).toBe(EXIT_CODE.OK);
   });
 
-  it('replaces a member in one change, and not by itself', async () => {
+  it('replaces a member in one change, but not by itself', async () => {
     const view = {address: 'h:1', leader: false, voter: true};
     member.members = [{...view, memberId: 'c2'}];
     await ctl('members replace c2 c4 10.0.0.4:7402');
@@ -232,9 +233,9 @@
     expect(member.memberChanges).toHaveLength(1);
   });
 
-  // One control host is down. The status still comes from the others, and the
-  // lost one stands in it as such; with none left the command fails.
-  it('shows the status of members that answer, and names those that do not', async () => {
+  // One control host is down. The table must show the other members and mark
+  // this one as not answering. When no member answers, the command must fail.
+  it('shows the status of all members, reachable or not', async () => {
     const unreachable = 'http://127.0.0.1:1';
     await ctl('status', `${unreachable},${origin}`);
     expect(io.exitCode).toBe(EXIT_CODE.OK);
--- a/packages/lovagepond-operator/src/__tests__/unit/fake_administration.ts
+++ b/packages/lovagepond-operator/src/__tests__/unit/fake_administration.ts
@@ -1,5 +1,5 @@
 /**
- * One control member in memory: a revision list and remembered answers.
+ * Fake control member that keeps its revisions and answers in memory.
  */
 import {
   checkConfiguration,
@@ -41,7 +41,7 @@
   return {...base.content, [change.section]: rest};
 }
 
-/** Differences of pools are enough for these tests. */
+/** Finds added pools only, which is enough for these tests. */
 function compare(
   a: Configuration,
   b: Configuration,
@@ -60,11 +60,11 @@
   suspects: SuspectView[] = [];
   members: ControlMemberView[] = [];
   nodes: ConvergenceView[] = [];
-  /** Whether a majority confirms what this member holds. */
+  /** Whether a majority confirms the configuration of this member. */
   isNewest = true;
-  /** Set: every change is refused like this. */
+  /** When set, every change is refused with this answer. */
   refusal: NotDone | undefined;
-  /** Set: the next change is made, and its answer is lost. */
+  /** When true, the next change is made and its answer is lost. */
   losesNextAnswer = false;
   readonly #answers = new Map<
     string,
--- a/packages/lovagepond-operator/src/__tests__/unit/operator_server.test.ts
+++ b/packages/lovagepond-operator/src/__tests__/unit/operator_server.test.ts
@@ -53,9 +53,9 @@
     return {'operation-id': id, 'if-match': `"${base}"`};
   }
 
-  // A member that lost its disk holds an empty configuration. Read from it,
-  // every object would seem to have been deleted.
-  it('answers no read that a majority does not confirm', async () => {
+  // A member that lost its disk has an empty configuration. A read from this
+  // member would show every object as deleted.
+  it('refuses reads that no majority confirms', async () => {
     administration.isNewest = false;
     for (const path of ['/v1/configuration', '/v1/configuration/pools/chat']) {
       const {status, body} = await call('GET', path);
@@ -70,10 +70,10 @@
     expect(body['revision']).toBe(0);
   });
 
-  // The operator's connection ends after the change was accepted, before the
-  // answer arrives. The same change is sent again with the same operation id:
-  // the operator sees the first answer and no second revision.
-  it('answers a resent change as it answered the first', async () => {
+  // The connection breaks after a change was accepted and before its answer
+  // arrives. A retry with the same operation id must return the first answer
+  // without a second revision.
+  it('answers a retried change with the first answer', async () => {
     const content = {pools: [{name: 'chat', kind: 'engine'}]};
     const send = (): Promise<Answer> =>
       call('PUT', '/v1/configuration', content, change('op-1', 0));
@@ -83,10 +83,10 @@
     expect(administration.revisions).toHaveLength(2);
   });
 
-  // Two operators edit different pools, both looking at revision 0. One wins;
-  // the other sees a conflict that names what the winner changed, and nothing
-  // of the loser's edit is in force.
-  it('lets one of two racing changes win and names the difference', async () => {
+  // Two operators change different pools, both based on revision 0. One change
+  // is accepted. The other is refused with a conflict that shows the accepted
+  // change, and no part of the refused one may be in force.
+  it('accepts one of two concurrent changes and reports a conflict', async () => {
     const put = (name: string): Promise<Answer> => {
       const path = `/v1/configuration/pools/${name}`;
       return call('PUT', path, {kind: 'engine'}, change(name, 0));
@@ -105,9 +105,9 @@
     expect(administration.revisions.at(-1)!.content.pools).toHaveLength(1);
   });
 
-  // A configuration has three faults in three places. The operator sees all
-  // three at once, and none of the valid parts is in force.
-  it('refuses an invalid configuration whole, with every place', async () => {
+  // A configuration has three faults in three places. The answer must report
+  // all three, and none of the valid parts may be in force.
+  it('refuses an invalid configuration and reports every fault', async () => {
     const content = {
       pools: [
         {name: 'chat', kind: 'engine'},
@@ -133,9 +133,8 @@
     expect(administration.revisions).toHaveLength(1);
   });
 
-  // Someone without the operators' token, or with a wrong one, tries each
-  // kind of change: refused as unauthorized, and nothing changed. Reading on
-  // loopback stays open.
+  // Every kind of change, sent without the operators' token or with a wrong
+  // one, must be refused as unauthorized. Reads over loopback need no token.
   it('refuses changes without the token', async () => {
     const attempts = [
       call('PUT', '/v1/configuration', {}, {authorization: 'Bearer wrong'}),
@@ -155,8 +154,8 @@
     expect(administration.wanted.size).toBe(0);
   });
 
-  // A body beyond the limit arrives, once announced by its length and once in
-  // chunks without a length: refused with 413 either way, nothing changed.
+  // A body over the limit must be refused with status 413, whether its length
+  // is declared or it is sent in chunks.
   it('refuses a body over the limit', async () => {
     const big = JSON.stringify({pools: 'x'.repeat(8_192)});
     const chunks = [
@@ -203,7 +202,7 @@
     expect(history.body).toHaveLength(4);
   });
 
-  it('names the leader, asks for resends, and refuses malformed calls', async () => {
+  it('names the leader, asks for retries and refuses malformed calls', async () => {
     const drain = (id = 'op-1'): Promise<Answer> =>
       call('POST', '/v1/backend-servers/s1/drain', {}, {'operation-id': id});
     administration.refusal = {kind: 'notLeader', leader: 'control-2'};
--- a/packages/lovagepond-operator/src/ctl_change_utils.ts
+++ b/packages/lovagepond-operator/src/ctl_change_utils.ts
@@ -1,5 +1,6 @@
 /**
- * Changes of the configuration as `ctl` sends and shows them.
+ * Reads the configuration, sends changes to it and formats the result for
+ * `ctl`.
  */
 import {type ChangeAnswer} from '@lovagepond/control';
 import {type Configuration} from '@lovagepond/core';
@@ -9,25 +10,26 @@
 
 type Accepted = Extract<ChangeAnswer, {kind: 'accepted'}>;
 
-/** Options that every change of the configuration takes. */
+/** Options of every command that changes the configuration. */
 export const CHANGE_OPTIONS = [
-  ['--dry-run', 'check and compare only'],
-  ['--base <revision>', 'the revision you looked at (default: the current)'],
-  ['--operation-id <id>', 'repeat an earlier call after a lost answer'],
+  ['--dry-run', 'validate and show the differences only'],
+  ['--base <revision>', 'revision the change is based on (default: current)'],
+  ['--operation-id <id>', 'retry an earlier call whose answer was lost'],
 ] as const;
 
-/** Options that every other change takes. */
+/** Options of every command that makes another change. */
 export const OPERATION_OPTIONS = [
-  ['--operation-id <id>', 'repeat an earlier call after a lost answer'],
+  ['--operation-id <id>', 'retry an earlier call whose answer was lost'],
 ] as const;
 
 /**
- * Reads what a command starts from. With `--base` it is that revision, not the
- * one in force: a command that is repeated after a lost answer must make the
- * very same change, or control takes it for another one under the same id.
+ * Reads the configuration that a change is based on: the revision of `--base`,
+ * or the one in force. A retry must send the identical change, so it needs the
+ * base revision of the first try: control refuses a different change with the
+ * same operation id.
  *
- * @param call a run of a command
- * @returns the base revision's configuration
+ * @param call the run of the command
+ * @returns the configuration of the base revision
  */
 export async function readConfiguration(call: CtlCall): Promise<Configuration> {
   const {base} = call.options;
@@ -43,8 +45,8 @@
  *
  * @param call the run of the command
  * @param change method, path and body
- * @param baseRevision the revision that the change was made from
- * @returns what to show
+ * @param baseRevision the revision that the change is based on
+ * @returns the output of the command
  */
 export async function sendChange(
   call: CtlCall,
@@ -68,8 +70,8 @@
 }
 
 /**
- * @param call a run of a command
- * @returns the id that the operator gave, or a new one
+ * @param call the run of the command
+ * @returns the operation id from the options, or a new one
  */
 export function operationIdOf(call: CtlCall): string {
   return call.options.operationId ?? call.io.createOperationId();
--- a/packages/lovagepond-operator/src/ctl_configuration_commands.ts
+++ b/packages/lovagepond-operator/src/ctl_configuration_commands.ts
@@ -1,5 +1,5 @@
 /**
- * `ctl` commands over the whole configuration and its history.
+ * `ctl` commands for the whole configuration and its history.
  */
 import {type HistoryEntry} from '@lovagepond/control';
 import {
@@ -17,11 +17,11 @@
 
 async function readContent(call: CtlCall): Promise<unknown> {
   const {file} = call.options;
-  if (file === undefined) throw new UsageError('--file is needed');
+  if (file === undefined) throw new UsageError('the option --file is missing');
   const text = await call.io.readFile(file);
   try {
     const parsed = JSON.parse(text) as {content?: unknown};
-    // What `ctl configuration --json` printed can be applied as it stands.
+    // Accepts the output of `ctl configuration --json` unchanged.
     return parsed.content ?? parsed;
   } catch (err) {
     throw new UsageError(`${file}: ${err instanceof Error ? err.message : ''}`);
@@ -75,10 +75,10 @@
 
 const FILE_OPTION = [
   '-f, --file <path>',
-  'a JSON file; - reads standard input',
+  'JSON file; - reads standard input',
 ] as const;
 
-/** Commands over the whole configuration. */
+/** Commands for the whole configuration. */
 export const CONFIGURATION_COMMANDS: readonly CtlCommand[] = [
   {
     name: 'configuration',
@@ -96,7 +96,10 @@
   {
     name: 'diff',
     description: 'show what apply would change',
-    options: [FILE_OPTION, ['--base <revision>', 'the revision you looked at']],
+    options: [
+      FILE_OPTION,
+      ['--base <revision>', 'revision the file is based on (default: current)'],
+    ],
     example: 'diff -f configuration.json',
     run: diffFile,
   },
--- a/packages/lovagepond-operator/src/ctl_convergence_command.ts
+++ b/packages/lovagepond-operator/src/ctl_convergence_command.ts
@@ -1,23 +1,23 @@
 /**
- * `ctl convergence`: which router and sidecar holds which revision.
+ * `ctl convergence`: shows the revision in force at each router and sidecar.
  */
 import {type ConvergenceView} from '@lovagepond/control';
 import {EXIT_CODE} from '@lovagepond/process';
 import {formatTable, parseCount} from './ctl_format_utils.js';
 import {type CtlCall, type CtlCommand, type CtlOutput} from './ctl_types.js';
 
-/** One member's answer. */
+/** Answer of one control member. */
 interface ConvergenceAnswer {
   readonly revision: number;
   readonly nodes: readonly ConvergenceView[];
 }
 
-/** All members' answers together. */
+/** Merged answers of all control members. */
 export interface Convergence {
-  /** The revision wanted everywhere. */
+  /** The revision that every node should have in force. */
   readonly revision: number;
   readonly nodes: readonly ConvergenceView[];
-  /** Nodes that hold an older one. */
+  /** Names of the nodes with an older revision. */
   readonly behind: readonly string[];
 }
 
@@ -26,11 +26,11 @@
 const POLL_MS = 250;
 
 /**
- * Joins the members' answers: a node reports to the member that it subscribes
- * to, so no single member has heard of all of them.
+ * Merges the answers of the members. Each node reports only to the member that
+ * it is subscribed to, so no single member has the reports of all nodes.
  *
- * @param answers one for each member that answered
- * @param wanted a revision to compare with; the newest when undefined
+ * @param answers one answer for each member that responded
+ * @param wanted the revision to compare with; the newest when undefined
  * @returns the latest report of each node, sorted by name
  */
 function mergeConvergence(
@@ -89,15 +89,18 @@
   return show(convergence);
 }
 
-/** The command, as a table of one. */
+/** The `convergence` command. */
 export const CONVERGENCE_COMMANDS: readonly CtlCommand[] = [
   {
     name: 'convergence',
-    description: 'show which router and sidecar holds which revision',
+    description: 'show the revision in force at each router and sidecar',
     options: [
-      ['--wait', 'until the revision is in force everywhere'],
-      ['--limit <seconds>', `longest wait (default: ${DEFAULT_WAIT_SECONDS})`],
-      ['--revision <n>', 'compare with this one (default: the newest)'],
+      ['--wait', 'wait until the revision is in force everywhere'],
+      [
+        '--limit <seconds>',
+        `time limit of --wait (default: ${DEFAULT_WAIT_SECONDS})`,
+      ],
+      ['--revision <n>', 'revision to compare with (default: the newest)'],
     ],
     example: 'convergence --wait --limit 4',
     run: showConvergence,
--- a/packages/lovagepond-operator/src/ctl_fleet_commands.ts
+++ b/packages/lovagepond-operator/src/ctl_fleet_commands.ts
@@ -1,5 +1,5 @@
 /**
- * `ctl` commands over backend servers, orders and the state dump.
+ * `ctl` commands for backend servers, orders and state dumps.
  */
 import {
   ORDER_ACTION,
@@ -12,7 +12,7 @@
 import {type CtlCall, type CtlCommand, type CtlOutput} from './ctl_types.js';
 import {UnreachableError} from './operator_client.js';
 
-/** Where the platform's server of each process shows its state. */
+/** Path of the state dump at the platform address of each process. */
 const DUMP_PATH = '/dump';
 const DUMP_TIMEOUT_MS = 3_000;
 
@@ -112,7 +112,7 @@
   return {json: orders, lines: formatTable(headings, rows)};
 }
 
-/** Any process shows its state on its platform address. */
+/** Reads the state dump of one process from its platform address. */
 async function readDump(address: string): Promise<readonly [string, unknown]> {
   try {
     const signal = AbortSignal.timeout(DUMP_TIMEOUT_MS);
@@ -120,7 +120,7 @@
     return [address, await res.json()];
   } catch (err) {
     const attempts = new Map([[address, String(err)]]);
-    throw new UnreachableError('the process gave no dump', attempts);
+    throw new UnreachableError('no state dump could be read', attempts);
   }
 }
 
@@ -143,7 +143,7 @@
   {
     group: 'servers',
     name: 'list',
-    description: 'list the backend servers that announced themselves',
+    description: 'list the announced backend servers',
     example: 'servers list',
     run: listServers,
   },
@@ -151,7 +151,7 @@
     group: 'servers',
     name: 'drain',
     args: '<server>',
-    description: 'give it no new work; what it has finishes',
+    description: 'send it no new requests; accepted ones finish',
     options: OPERATION_OPTIONS,
     example: 'servers drain engine-3',
     run: setWantedState('drain'),
@@ -160,7 +160,7 @@
     group: 'servers',
     name: 'resume',
     args: '<server>',
-    description: 'let it take work again',
+    description: 'send it requests again',
     options: OPERATION_OPTIONS,
     example: 'servers resume engine-3',
     run: setWantedState('resume'),
@@ -172,7 +172,7 @@
     group: 'order',
     name: 'load-model',
     args: '<server> <model>',
-    description: 'load a model, one of its versions or an adapter',
+    description: 'load a model, a version of it or an adapter',
     options: MODEL_OPTIONS,
     example: 'order load-model engine-3 offers --version 7',
     run: orderModel(ORDER_ACTION.LOAD_MODEL),
@@ -181,7 +181,7 @@
     group: 'order',
     name: 'unload-model',
     args: '<server> <model>',
-    description: 'unload it',
+    description: 'unload a model, a version of it or an adapter',
     options: MODEL_OPTIONS,
     example: 'order unload-model engine-3 offers',
     run: orderModel(ORDER_ACTION.UNLOAD_MODEL),
@@ -190,7 +190,7 @@
     group: 'order',
     name: 'change-role',
     args: '<server> <role>',
-    description: 'change what the backend server is for',
+    description: 'change the role of a backend server',
     options: OPERATION_OPTIONS,
     example: 'order change-role engine-3 prefill',
     run: orderRole,
@@ -204,7 +204,7 @@
   },
 ];
 
-/** Commands over backend servers, orders and dumps. */
+/** Commands for backend servers, orders and state dumps. */
 export const FLEET_COMMANDS: readonly CtlCommand[] = [
   ...SERVER_COMMANDS,
   ...ORDER_COMMANDS,
@@ -212,7 +212,7 @@
     name: 'dump',
     args: '[address...]',
     description:
-      "show the state of the processes at these platform addresses, or each control member's",
+      'show the state dumps of the processes at these platform addresses, or of all control members',
     example: 'dump 10.0.0.21:7411 > router.json',
     run: showDump,
   },
--- a/packages/lovagepond-operator/src/ctl_format_utils.ts
+++ b/packages/lovagepond-operator/src/ctl_format_utils.ts
@@ -1,5 +1,5 @@
 /**
- * Tables and values as `ctl` prints them.
+ * Formats tables and values for `ctl` and parses its arguments.
  */
 import {type ConfigurationDifference} from '@lovagepond/control';
 import {UsageError} from './ctl_types.js';
@@ -7,9 +7,9 @@
 const COLUMN_GAP = '  ';
 
 /**
- * @param headings one for each column
+ * @param headings the heading of each column
  * @param rows cells in the order of the headings
- * @returns aligned lines; the headings alone when there are no rows
+ * @returns aligned lines; only the headings when there are no rows
  */
 export function formatTable(
   headings: readonly string[],
@@ -29,7 +29,7 @@
 
 /**
  * @param value any JSON value
- * @returns one cell: plain text, `key=value` pairs, or a list with commas
+ * @returns the cell: plain text, `key=value` pairs, or a comma-separated list
  */
 function formatCell(value: unknown): string {
   if (value === undefined || value === null || value === '') return '-';
@@ -44,8 +44,8 @@
 const DIFFERENCE_SIGNS = {added: '+', removed: '-', changed: '~'} as const;
 
 /**
- * @param difference one object that differs
- * @returns its lines: the sign and place, then each field that changed
+ * @param difference the difference of one object
+ * @returns lines for people: sign and place, then each changed field
  */
 export function formatDifference(
   difference: ConfigurationDifference,
@@ -72,10 +72,10 @@
 }
 
 /**
- * @param text what an operator typed
- * @param what names it in the error
- * @returns the whole number
- * @throws UsageError when it is none
+ * @param text an argument of the command line
+ * @param what name of the argument for the error message
+ * @returns the number
+ * @throws UsageError when the text is not a whole number of up to 15 digits
  */
 export function parseCount(text: string, what: string): number {
   if (!/^\d{1,15}$/.test(text)) {
@@ -85,22 +85,22 @@
 }
 
 /**
- * @param pairs `key=value` texts
- * @returns the pairs as an object of texts
- * @throws UsageError when one has no `=`
+ * @param pairs `key=value` arguments
+ * @returns the values by key
+ * @throws UsageError when an argument has no key or no `=`
  */
 export function parsePairs(pairs: readonly string[]): Record<string, string> {
   const entries = pairs.map(pair => {
     const index = pair.indexOf('=');
-    if (index < 1) throw new UsageError(`not key=value: "${pair}"`);
+    if (index < 1) throw new UsageError(`not in the form key=value: "${pair}"`);
     return [pair.slice(0, index), pair.slice(index + 1)] as const;
   });
   return Object.fromEntries(entries);
 }
 
 /**
- * @param text the value of a field as typed: JSON, or plain text
- * @returns the parsed JSON, or the text itself
+ * @param text the value of a field: JSON or plain text
+ * @returns the parsed JSON, or the text when it is not JSON
  */
 export function parseFieldValue(text: string): unknown {
   try {
--- a/packages/lovagepond-operator/src/ctl_io.ts
+++ b/packages/lovagepond-operator/src/ctl_io.ts
@@ -1,5 +1,5 @@
 /**
- * The process's own input, output and time for `ctl`.
+ * Input, output and time of the process for `ctl`.
  */
 import {randomUUID} from 'node:crypto';
 import {readFile} from 'node:fs/promises';
@@ -9,7 +9,7 @@
 
 const STANDARD_INPUT = '-';
 
-/** @returns the shell that the `ctl` commands run in */
+/** @returns input, output and time of this process for the `ctl` commands */
 export function createCtlIo(): CtlIo {
   return {
     now: () => performance.now(),
--- a/packages/lovagepond-operator/src/ctl_member_commands.ts
+++ b/packages/lovagepond-operator/src/ctl_member_commands.ts
@@ -1,5 +1,5 @@
 /**
- * `ctl` commands over control's members.
+ * `ctl` commands for the control members.
  */
 import {type ControlMemberView, type MemberChange} from '@lovagepond/control';
 import {operationIdOf} from './ctl_change_utils.js';
@@ -55,11 +55,16 @@
   return changeMembers(call, {kind: 'remove', memberId: call.args[0] ?? ''});
 }
 
-/** Control adds the new member, waits until it has caught up, and removes. */
+/**
+ * Control adds the new member, promotes it once it has caught up and removes
+ * the old one.
+ */
 function replace(call: CtlCall): Promise<CtlOutput> {
   const [formerMemberId = '', memberId = '', address = ''] = call.args;
   if (formerMemberId === memberId) {
-    throw new UsageError('a new member needs a new name');
+    throw new UsageError(
+      'the new member must have another name than the old one',
+    );
   }
   const change = {kind: 'replace', formerMemberId, memberId, address} as const;
   return changeMembers(call, change);
@@ -67,12 +72,12 @@
 
 const ADDRESS_ARGS = '<member> <host:port>';
 
-/** Commands over control's members. */
+/** Commands for the control members. */
 export const MEMBER_COMMANDS: readonly CtlCommand[] = [
   {
     group: 'members',
     name: 'list',
-    description: "list control's members",
+    description: 'list the control members',
     example: 'members list',
     run: showMembers,
   },
@@ -80,7 +85,7 @@
     group: 'members',
     name: 'add',
     args: ADDRESS_ARGS,
-    description: 'add a learner: it gets the log and has no vote',
+    description: 'add a learner: it replicates the log without a vote',
     example: 'members add control-4 10.0.0.4:7402',
     run: addLearner,
   },
@@ -88,7 +93,7 @@
     group: 'members',
     name: 'promote',
     args: '<member>',
-    description: 'give a learner that has caught up a vote',
+    description: 'make a learner that has caught up a voter',
     example: 'members promote control-4',
     run: promote,
   },
@@ -96,7 +101,7 @@
     group: 'members',
     name: 'remove',
     args: '<member>',
-    description: 'take a member out',
+    description: 'remove a member',
     example: 'members remove control-2',
     run: remove,
   },
--- a/packages/lovagepond-operator/src/ctl_object_commands.ts
+++ b/packages/lovagepond-operator/src/ctl_object_commands.ts
@@ -1,7 +1,7 @@
 /**
- * `ctl` commands over single objects of the configuration: pools, selectors,
- * workspaces and request kinds, and the labels of pools and limits of
- * workspaces among their fields.
+ * `ctl` commands for single objects of the configuration: pools, selectors,
+ * workspaces and request kinds, the labels of pools and the limits of
+ * workspaces.
  */
 import {type ConfigurationSection} from '@lovagepond/core';
 import {type Configuration} from '@lovagepond/core';
@@ -27,7 +27,7 @@
   readonly name: string;
 };
 
-/** The command group of a section, and the fields that its list shows. */
+/** Command group of a section, and the fields that `list` shows. */
 interface ObjectGroup {
   readonly group: string;
   readonly section: ConfigurationSection;
@@ -93,7 +93,7 @@
   return `/v1/configuration/${section}/${encodeURIComponent(name)}`;
 }
 
-/** Puts one object with some of its fields changed. */
+/** Sends one object with changed fields; other fields keep their values. */
 async function putFields(
   call: CtlCall,
   cfg: Configuration,
@@ -160,7 +160,7 @@
       group,
       name: 'show',
       args: '<name>',
-      description: 'show every field of one',
+      description: 'show all fields of one object',
       example: `${group} show NAME`,
       run: showObject(entry),
     },
@@ -168,7 +168,7 @@
       group,
       name: 'set',
       args: '<name> [field=value...]',
-      description: 'make one, or change fields of one; values may be JSON',
+      description: 'create an object or change its fields; values may be JSON',
       options: CHANGE_OPTIONS,
       example,
       run: setObject(entry),
@@ -177,7 +177,7 @@
       group,
       name: 'delete',
       args: '<name>',
-      description: 'remove one',
+      description: 'delete one object',
       options: CHANGE_OPTIONS,
       example: `${group} delete NAME`,
       run: deleteObject(entry),
@@ -218,7 +218,7 @@
   return putFields(call, cfg, 'workspaces', name, fields);
 }
 
-/** Commands over single objects of the configuration. */
+/** Commands for single objects of the configuration. */
 export const OBJECT_COMMANDS: readonly CtlCommand[] = [
   ...GROUPS.flatMap(createGroupCommands),
   {
@@ -234,9 +234,9 @@
     args: '<workspace>',
     description: "change a workspace's limits",
     options: [
-      ['--weight <number>', 'share in the fair queue'],
-      ['--priority <0-9>', 'priority of its requests'],
-      ['--max-queued-tokens <n>', 'bound of outstanding tokens; 0 is none'],
+      ['--weight <number>', 'weight in fair queueing'],
+      ['--priority <0-9>', 'priority of the requests'],
+      ['--max-queued-tokens <n>', 'limit of outstanding tokens; 0: no limit'],
       ...CHANGE_OPTIONS,
     ],
     example: 'limits bakery --max-queued-tokens 200000',
--- a/packages/lovagepond-operator/src/ctl_quarantine_commands.ts
+++ b/packages/lovagepond-operator/src/ctl_quarantine_commands.ts
@@ -1,5 +1,5 @@
 /**
- * `ctl` commands over requests that backend servers crashed under.
+ * `ctl` commands for requests during which backend servers crashed.
  */
 import {type SuspectView} from '@lovagepond/control';
 import {OPERATION_OPTIONS, operationIdOf} from './ctl_change_utils.js';
@@ -29,12 +29,12 @@
   return {json: {request, operationId}, lines};
 }
 
-/** Commands over quarantined requests. */
+/** Commands for quarantined requests. */
 export const QUARANTINE_COMMANDS: readonly CtlCommand[] = [
   {
     group: 'quarantine',
     name: 'list',
-    description: 'list the requests that backend servers crashed under',
+    description: 'list the requests during which backend servers crashed',
     example: 'quarantine list',
     run: listQuarantine,
   },
@@ -42,7 +42,7 @@
     group: 'quarantine',
     name: 'lift',
     args: '<request>',
-    description: 'let it run again, and forget its crashes',
+    description: 'lift the quarantine and reset the crash count',
     options: OPERATION_OPTIONS,
     example: 'quarantine lift 1f6c0a5b9d2e47738a90c4be51f2d306',
     run: liftQuarantine,
--- a/packages/lovagepond-operator/src/ctl_register.ts
+++ b/packages/lovagepond-operator/src/ctl_register.ts
@@ -1,5 +1,5 @@
 /**
- * Mounts the `ctl` commands on a command line.
+ * Registers the `ctl` commands with the command-line parser.
  */
 import {
   EXIT_CODE,
@@ -31,7 +31,7 @@
 } from './operator_client.js';
 import {type ConfigurationDifference} from '@lovagepond/control';
 
-/** Options of every command. */
+/** Options that all commands share. */
 interface GlobalOptions extends CtlOptions {
   readonly control: string;
   readonly tokenFile?: string;
@@ -56,14 +56,14 @@
 const TOKEN_VARIABLE = 'LOVAGEPOND_TOKEN';
 
 const GLOBAL_OPTIONS: readonly Option[] = [
-  new Option('--control <urls>', 'administration servers, joined by commas')
+  new Option('--control <urls>', 'administration servers, comma-separated')
     .env('LOVAGEPOND_CONTROL')
     .default(DEFAULT_CONTROL),
   new Option(
     '--token-file <path>',
     `file with the operators' token (or set ${TOKEN_VARIABLE})`,
   ).env('LOVAGEPOND_TOKEN_FILE'),
-  new Option('--timeout <seconds>', 'longest time over all tries').default(
+  new Option('--timeout <seconds>', 'time limit over all tries').default(
     DEFAULT_TIMEOUT_SECONDS,
   ),
   new Option('--json', 'print JSON'),
@@ -84,7 +84,7 @@
     .map(text => text.trim().replace(/\/$/, ''))
     .filter(text => text !== '')
     .map(text => (text.includes('://') ? text : `http://${text}`));
-  if (origins.length === 0) throw new UsageError('--control is empty');
+  if (origins.length === 0) throw new UsageError('--control names no server');
   const settings = {
     origins,
     token: await readToken(io, options),
@@ -162,12 +162,12 @@
 
 const GROUP_DESCRIPTIONS: Readonly<Record<string, string>> = {
   pools: 'pools of backend servers',
-  selectors: 'which workspaces, request kinds and chats may go where',
+  selectors: 'rules that route workspaces, request kinds and chats to pools',
   workspaces: 'workspaces and their limits',
-  'request-kinds': 'kinds of requests, and which must never run twice',
+  'request-kinds': 'kinds of requests, and which are non-repeatable',
   servers: 'backend servers: list, drain, resume',
   order: 'orders to backend servers: models and roles',
-  members: "control's members",
+  members: 'control members: list, add, promote, remove, replace',
 };
 
 function describeExitCodes(): string {
@@ -180,8 +180,8 @@
 /**
  * Adds every `ctl` command.
  *
- * @param ctl the command that they become subcommands of
- * @param io the shell around them; the process's own by default
+ * @param ctl the parent command
+ * @param io input, output and time; those of the process by default
  */
 export function registerCtl(ctl: Command, io: CtlIo = createCtlIo()): void {
   const groups = new Map<string, Command>();
--- a/packages/lovagepond-operator/src/ctl_status_command.ts
+++ b/packages/lovagepond-operator/src/ctl_status_command.ts
@@ -1,11 +1,11 @@
 /**
- * `ctl status`: one line for each control member, from its dump.
+ * `ctl status`: one line for each control member, from its state dump.
  */
 import {type StateDump} from '@lovagepond/core';
 import {formatTable} from './ctl_format_utils.js';
 import {type CtlCall, type CtlCommand, type CtlOutput} from './ctl_types.js';
 
-/** The part of a control member's dump that is shown. */
+/** The fields of a control member's state dump that are shown. */
 interface MemberState {
   readonly nodeName?: string;
   readonly consensus?: {
@@ -50,11 +50,11 @@
   return {json: members, lines: formatTable(headings, rows)};
 }
 
-/** The command, as a table of one. */
+/** The `status` command. */
 export const STATUS_COMMANDS: readonly CtlCommand[] = [
   {
     name: 'status',
-    description: 'show each control member: who leads, and what it holds',
+    description: 'show role, term, revision and failure of each control member',
     example: 'status',
     run: showStatus,
   },
--- a/packages/lovagepond-operator/src/ctl_types.ts
+++ b/packages/lovagepond-operator/src/ctl_types.ts
@@ -1,11 +1,10 @@
 /**
- * What the `ctl` commands are made of: rows of a table that name, describe and
- * run each command.
+ * Types of the `ctl` commands: definition, options, input and output.
  */
 import {type ExitCode} from '@lovagepond/process';
 import {type AdministrationClient, type ClientTime} from './operator_client.js';
 
-/** What a command shows: a value for `--json`, lines for people. */
+/** Output of a command: a value for `--json`, and lines for people. */
 export interface CtlOutput {
   readonly json: unknown;
   readonly lines: readonly string[];
@@ -13,7 +12,7 @@
   readonly exitCode?: ExitCode;
 }
 
-/** The options of one command line; only those of the command are set. */
+/** Options of all commands; a command sets only its own. */
 export interface CtlOptions {
   readonly file?: string;
   readonly base?: string;
@@ -29,17 +28,17 @@
   readonly maxQueuedTokens?: string;
 }
 
-/** The shell around the commands. */
+/** Input, output and time of the commands. */
 export interface CtlIo extends ClientTime {
-  /** @param text goes to standard output, with its line ends */
+  /** @param text written to standard output without a further line end */
   write(text: string): void;
-  /** @param text goes to standard error, with its line ends */
+  /** @param text written to standard error without a further line end */
   writeError(text: string): void;
-  /** @returns the file's text; `-` is standard input */
+  /** @returns the text of the file; the path `-` is standard input */
   readFile(path: string): Promise<string>;
-  /** @param code what the program will exit with */
+  /** @param code the exit code of the program */
   setExitCode(code: ExitCode): void;
-  /** @returns an id that no other operation has */
+  /** @returns a unique operation id */
   createOperationId(): string;
 }
 
@@ -53,10 +52,10 @@
 
 /** One `ctl` command. */
 export interface CtlCommand {
-  /** The group it stands in; none for a command of its own. */
+  /** Command group; left out for a top-level command. */
   readonly group?: string;
   readonly name: string;
-  /** Its arguments in commander's form, for example `<server>`. */
+  /** Arguments in commander's syntax, for example `<server>`. */
   readonly args?: string;
   readonly description: string;
   /** Flags and their descriptions. */
@@ -65,7 +64,7 @@
   run(call: CtlCall): Promise<CtlOutput>;
 }
 
-/** The command line can't be used as it stands. */
+/** Invalid arguments or options. */
 export class UsageError extends Error {
   constructor(message: string) {
     super(message);
--- a/packages/lovagepond-operator/src/operator_calls.ts
+++ b/packages/lovagepond-operator/src/operator_calls.ts
@@ -1,6 +1,6 @@
 /**
- * One call of the administration API, parsed and checked, and the mapping of
- * control's outcomes to replies.
+ * Parsed calls of the administration API, and the mapping of control's answers
+ * to HTTP replies.
  */
 import {type ParsedUrlQuery} from 'node:querystring';
 import {
@@ -15,22 +15,22 @@
   replyWithError,
 } from './operator_http.js';
 
-/** A call as a handler gets it. */
+/** A parsed call, as its handler receives it. */
 export interface AdministrationCall {
   readonly administration: ControlAdministration;
-  /** Named parts of the path. */
+  /** Values of the named path segments. */
   readonly params: Readonly<Record<string, string>>;
   readonly query: ParsedUrlQuery;
   /** Parsed JSON; undefined for an empty body. */
   readonly body: unknown;
-  /** The Operation-Id header; never empty in a change. */
+  /** The Operation-Id header; never empty for a change. */
   readonly operationId: string;
   /** The If-Match header as a revision. */
   readonly baseRevision: number | undefined;
   readonly dryRun: boolean;
 }
 
-/** Answers one kind of call. */
+/** Handles the calls of one route. */
 export type CallHandler = (
   call: AdministrationCall,
 ) => AdministrationReply | Promise<AdministrationReply>;
@@ -79,7 +79,7 @@
 
 /**
  * @param header an If-Match header, for example `"12"`
- * @returns the revision; undefined when there is none that can be read
+ * @returns the revision; undefined when the header is missing or malformed
  */
 export function parseRevision(header: string | undefined): number | undefined {
   const digits = /^"?(\d{1,15})"?$/.exec(header?.trim() ?? '')?.[1];
--- a/packages/lovagepond-operator/src/operator_client.ts
+++ b/packages/lovagepond-operator/src/operator_client.ts
@@ -1,26 +1,27 @@
 /**
- * Asks control's administration servers on an operator's behalf.
+ * Client of the administration API of control.
  *
- * A lost answer says nothing about a change. So a change is sent again, to
- * each member in turn, with the operation id and the base revision of its first
- * try: control gives a resend the first answer, and the change is made once.
+ * When an answer is lost, the outcome of the change is unknown. The client
+ * retries the change at each member in turn, with the operation id and base
+ * revision of the first try. Changes are idempotent: control answers a retry
+ * with the first answer and makes the change once.
  */
 import {type ErrorKind, parseErrorKind} from '@lovagepond/core';
 import {type Dispatcher, request} from 'undici';
 
-/** Where control is and how long to try. */
+/** Addresses, credentials and time limits of the client. */
 export interface ClientSettings {
   /** Origins of the members' administration servers; at least one. */
   readonly origins: readonly string[];
-  /** The operators' token; empty to only read. */
+  /** The operators' token; may be empty for reads over loopback. */
   readonly token: string;
-  /** Longest wait for one answer, milliseconds. */
+  /** Time limit of one attempt, milliseconds. */
   readonly answerTimeoutMs: number;
-  /** Longest time over all tries of one call, milliseconds. */
+  /** Time limit over all attempts of one call, milliseconds. */
   readonly limitMs: number;
 }
 
-/** Time, as the client sees and spends it. */
+/** Clock and timer of the client. */
 export interface ClientTime {
   /** @returns monotonic milliseconds */
   now(): number;
@@ -28,7 +29,7 @@
   wait(delayMs: number): Promise<void>;
 }
 
-/** A change to send, the same on each try. */
+/** A change to send; every attempt sends the same one. */
 export interface ChangeCall {
   readonly method: 'PUT' | 'POST' | 'DELETE';
   readonly path: string;
@@ -38,7 +39,7 @@
   readonly body?: unknown;
 }
 
-/** The `error` object of a refusal. */
+/** The `error` object of an error response. */
 export interface ApiError {
   readonly kind: ErrorKind;
   readonly message: string;
@@ -51,7 +52,7 @@
   readonly currentRevision?: number;
 }
 
-/** Control answered no: a member's refusal, whole. */
+/** A control member refused the call; carries its `error` object. */
 export class RefusedError extends Error {
   readonly error: ApiError;
 
@@ -64,7 +65,7 @@
 
 /** No member gave a final answer within the limit. */
 export class UnreachableError extends Error {
-  /** What each member said or how it failed, last try. */
+  /** Outcome of the last attempt at each member, by origin. */
   readonly attempts: ReadonlyMap<string, string>;
 
   constructor(message: string, attempts: ReadonlyMap<string, string>) {
@@ -75,7 +76,7 @@
   }
 }
 
-/** One member's answer, or why there is none. */
+/** Outcome of one attempt at one member. */
 type Attempt =
   | {readonly kind: 'answered'; readonly value: unknown}
   | {readonly kind: 'refused'; readonly error: ApiError}
@@ -83,7 +84,7 @@
 
 const ROUND_DELAY_MS = 500;
 
-/** Kinds after which another member, or a later try, can answer better. */
+/** Error kinds after which the call is retried at the next member. */
 const RETRYABLE_KINDS: ReadonlySet<ErrorKind> = new Set<ErrorKind>([
   'notLeader',
   'notReady',
@@ -91,16 +92,16 @@
   'internal',
 ]);
 
-/** Sends calls to control's members until one gives a final answer. */
+/** Sends each call to the control members until one gives a final answer. */
 export class AdministrationClient {
   readonly #settings: ClientSettings;
   readonly #time: ClientTime;
   readonly #dispatcher: Dispatcher | undefined;
 
   /**
-   * @param settings where control is and how long to try
-   * @param time the present time, and waiting
-   * @param dispatcher undici's connections; its global ones when left out
+   * @param settings addresses, credentials and time limits
+   * @param time clock and timer
+   * @param dispatcher undici dispatcher; the global one when left out
    */
   constructor(
     settings: ClientSettings,
@@ -112,7 +113,7 @@
     this.#dispatcher = dispatcher;
   }
 
-  /** @returns the members' origins, in the order of their tries */
+  /** @returns the origins of the members, in the order of attempts */
   get origins(): readonly string[] {
     return this.#settings.origins;
   }
@@ -120,20 +121,21 @@
   /**
    * Reads from the first member that answers.
    *
-   * @param path path of the API, with its query
+   * @param path path of the call, with its query
    * @returns the parsed answer
-   * @throws RefusedError, UnreachableError
+   * @throws RefusedError when a member refused the call;
+   *     UnreachableError when no member answered within the time limit
    */
   read(path: string): Promise<unknown> {
     return this.#tryMembers(origin => this.#send(origin, 'GET', path, {}));
   }
 
   /**
-   * Reads from every member, each once.
+   * Reads from every member, with one attempt each.
    *
-   * @param path path of the API
-   * @returns the answers of the members that gave one, by origin
-   * @throws UnreachableError when none did
+   * @param path path of the call
+   * @returns the answers of the members that responded, by origin
+   * @throws UnreachableError when no member responded
    */
   async readAll(path: string): Promise<ReadonlyMap<string, unknown>> {
     const answers = new Map<string, unknown>();
@@ -149,12 +151,12 @@
   }
 
   /**
-   * Makes one change, however often it must be sent.
+   * Makes one change once, even when several attempts are needed.
    *
-   * @param call the change; its operation id is the same on each try
+   * @param call the change; its operation id is the same in each attempt
    * @returns the parsed answer
-   * @throws RefusedError when control refused it;
-   *     UnreachableError when its outcome isn't known within the limit
+   * @throws RefusedError when a member refused the change;
+   *     UnreachableError when the outcome is unknown at the time limit
    */
   change(call: ChangeCall): Promise<unknown> {
     const headers: Record<string, string> = {
@@ -226,12 +228,12 @@
   }
 }
 
-/** Tells the options with which the same command makes the same change. */
+/** Describes the options with which a retry makes the same change. */
 function describeRetryOptions({operationId, baseRevision}: ChangeCall): string {
   const base = baseRevision === undefined ? '' : ` --base ${baseRevision}`;
   return (
-    'whether the change was made is not known: ' +
-    `repeat it with --operation-id ${operationId}${base}`
+    'the outcome of the change is unknown: ' +
+    `retry it with --operation-id ${operationId}${base}`
   );
 }
 
--- a/packages/lovagepond-operator/src/operator_configuration_routes.ts
+++ b/packages/lovagepond-operator/src/operator_configuration_routes.ts
@@ -1,5 +1,5 @@
 /**
- * Calls that read and change the configuration, whole or by object.
+ * Routes that read and change the configuration, as a whole or by object.
  */
 import {
   type Configuration,
@@ -114,8 +114,9 @@
 };
 
 /**
- * Reads wait for a majority's word. An operator may ask for what one member
- * holds, whatever its age: the answer then says that nobody confirmed it.
+ * Answers a read only after a majority has confirmed the configuration. With
+ * `unconfirmed=true` it returns the configuration of this member, which may be
+ * stale, and marks the reply as unconfirmed.
  */
 function requireConfirmation(handle: CallHandler): CallHandler {
   return async call => {
--- a/packages/lovagepond-operator/src/operator_fleet_routes.ts
+++ b/packages/lovagepond-operator/src/operator_fleet_routes.ts
@@ -1,5 +1,5 @@
 /**
- * Calls about backend servers, orders, quarantined requests, control's members,
+ * Routes for backend servers, orders, quarantined requests, control members,
  * convergence and the state dump.
  */
 import {z} from '@lovagepond/core';
@@ -43,7 +43,7 @@
     .join('; ');
 }
 
-/** Hands a body that fits the schema on; any other is a bad request. */
+/** Validates the body; a body that doesn't match is a bad request. */
 function withBody<Body>(
   schema: z.ZodType<Body>,
   handle: (body: Body, call: AdministrationCall) => ReturnType<CallHandler>,
@@ -105,7 +105,7 @@
 const getDump: CallHandler = ({administration}) =>
   replyWith(administration.dump());
 
-/** Routes beside those of the configuration. */
+/** All routes except those of the configuration. */
 export const FLEET_ROUTES: readonly AdministrationRoute[] = [
   {method: 'get', path: '/v1/backend-servers', handle: listBackendServers},
   {
--- a/packages/lovagepond-operator/src/operator_http.ts
+++ b/packages/lovagepond-operator/src/operator_http.ts
@@ -1,19 +1,19 @@
 /**
- * HTTP helpers of the administration server: bounded bodies, replies and the
- * check of the operator's token.
+ * HTTP helpers of the administration server: size-limited bodies, replies and
+ * authentication by the operators' token.
  */
 import {createHash, timingSafeEqual} from 'node:crypto';
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {answerFor, type ErrorKind, makeFailure} from '@lovagepond/core';
 
-/** What a handler answers. */
+/** HTTP reply of a handler. */
 export interface AdministrationReply {
   readonly status: number;
   readonly body: unknown;
   readonly headers?: Readonly<Record<string, string>>;
 }
 
-/** Fields that some kinds of error carry besides the closed table's. */
+/** Fields that only some kinds of errors have. */
 export interface ErrorDetails {
   readonly message?: string;
   readonly retryAfterMs?: number;
@@ -23,7 +23,7 @@
   readonly leader?: string;
 }
 
-/** The body of every error answer. */
+/** Body of every error reply. */
 export interface ErrorBody {
   readonly error: {
     readonly kind: ErrorKind;
@@ -32,13 +32,13 @@
   } & ErrorDetails & {readonly message: string};
 }
 
-/** Time after which an operator may ask again, milliseconds. */
+/** Default delay before a retry, milliseconds. */
 const RETRY_AFTER_MS = 500;
 const MS_PER_SECOND = 1_000;
 
 /**
- * @param kind a kind of the closed list
- * @param details what goes beside the table's fields
+ * @param kind the kind of error; it determines status and disposition
+ * @param details further fields of the error
  * @returns the reply, with Retry-After when the kind is retryable
  */
 export function replyWithError(
@@ -63,7 +63,7 @@
 }
 
 /**
- * @param body a value that JSON can carry
+ * @param body a value that can be serialised as JSON
  * @param headers further headers
  * @returns a reply with status 200
  */
@@ -75,10 +75,11 @@
 }
 
 /**
- * Sends a reply and ends the response.
+ * Sends a reply and ends the response. Does nothing when a reply was sent
+ * before or the connection is closed.
  *
- * @param res the response; nothing may have been written to it
- * @param reply what to send
+ * @param res the response
+ * @param reply the reply to send
  */
 export function sendReply(
   res: ServerResponse,
@@ -94,7 +95,7 @@
   res.end(bytes);
 }
 
-/** A body read whole, or what is wrong with it. */
+/** A complete, parsed body, or the reply that refuses it. */
 export type BodyResult =
   | {readonly ok: true; readonly value: unknown}
   | {readonly ok: false; readonly reply: AdministrationReply};
@@ -102,12 +103,12 @@
 /**
  * Reads a JSON body up to a limit.
  *
- * A body over the limit is refused before its rest is read; the connection
- * closes after the answer, so that the rest can't be taken for a request.
+ * A larger body is refused without reading the rest of it. The connection
+ * closes after the reply, so that the rest can't be parsed as another request.
  *
  * @param req the request
  * @param maxBytes largest body accepted, bytes
- * @returns the parsed value (undefined for an empty body), or the refusal
+ * @returns the parsed value (undefined for an empty body), or the error reply
  */
 export async function readJsonBody(
   req: IncomingMessage,
@@ -149,11 +150,11 @@
 /**
  * Compares the Authorization header with the token.
  *
- * Digests of equal length are compared in constant time: a comparison that
- * ends at the first difference would let a caller find the token byte by byte.
+ * Digests of equal length are compared in constant time. A comparison that ends
+ * at the first difference allows a timing attack on the token, byte by byte.
  *
  * @param header the Authorization header
- * @param token the operators' token; the empty one admits nobody
+ * @param token the operators' token; an empty token admits no caller
  * @returns true when the header carries the token
  */
 export function hasToken(header: string | undefined, token: string): boolean {
--- a/packages/lovagepond-operator/src/operator_route.ts
+++ b/packages/lovagepond-operator/src/operator_route.ts
@@ -1,12 +1,12 @@
 /**
- * One row of the administration API's table of routes.
+ * Route definition of the administration API.
  */
 import {type CallHandler} from './operator_calls.js';
 
 /** A route; every method but `get` is a change. */
 export interface AdministrationRoute {
   readonly method: 'get' | 'put' | 'post' | 'delete';
-  /** Path with `:named` parts. */
+  /** Path with `:named` segments. */
   readonly path: string;
   readonly handle: CallHandler;
 }
--- a/packages/lovagepond-operator/src/operator_server.ts
+++ b/packages/lovagepond-operator/src/operator_server.ts
@@ -1,5 +1,5 @@
 /**
- * The administration server: HTTP and JSON over one control member.
+ * HTTP server of the administration API of one control member.
  */
 import {createServer, type Server} from 'node:http';
 import {type AddressInfo} from 'node:net';
@@ -37,9 +37,9 @@
   readonly #server: Server;
 
   /**
-   * @param administration the control member
-   * @param settings where to listen, and the limits
-   * @param log where faults go; never bodies or tokens
+   * @param administration administration interface of the control member
+   * @param settings address, token and limits
+   * @param log logs internal errors, without bodies or tokens
    */
   constructor(
     administration: ControlAdministration,
@@ -70,9 +70,9 @@
   }
 
   /**
-   * Binds the address.
+   * Starts to listen.
    *
-   * @returns the port that it listens on
+   * @returns the port that the server listens on
    */
   async start(): Promise<number> {
     const {host, port} = this.#settings;
@@ -86,7 +86,9 @@
     return address.port;
   }
 
-  /** Takes no new connection and resolves when running calls are answered. */
+  /**
+   * Accepts no new connections; resolves when all running calls are answered.
+   */
   async stop(): Promise<void> {
     const closed = new Promise<void>(resolve => {
       this.#server.close(() => {
--- a/packages/lovagepond-operator/src/operator_settings.ts
+++ b/packages/lovagepond-operator/src/operator_settings.ts
@@ -4,19 +4,19 @@
 
 /** Settings of an {@link AdministrationServer}. */
 export interface OperatorSettings {
-  /** Address to listen on; loopback unless an operator sets another. */
+  /** Address to listen on; loopback by default. */
   readonly host: string;
   /** TCP port; 0 takes a free one. */
   readonly port: number;
-  /** The operators' token; with the empty one no change is possible. */
+  /** The operators' token; an empty token allows no change. */
   readonly token: string;
   /** Largest body accepted, bytes. */
   readonly maxBodyBytes: number;
-  /** Longest time for a request to arrive whole, milliseconds. */
+  /** Time limit to receive a complete request, milliseconds. */
   readonly requestTimeoutMs: number;
 }
 
-/** Settings where an operator gives none. */
+/** Default settings. */
 export const DEFAULT_OPERATOR_SETTINGS: OperatorSettings = Object.freeze({
   host: '127.0.0.1',
   port: 7403,
@@ -29,7 +29,7 @@
 
 /**
  * @param host an address from the settings
- * @returns true when only processes of the same host can reach it
+ * @returns true when only processes of the same host can connect to it
  */
 export function isLoopback(host: string): boolean {
   return LOOPBACK_HOSTS.has(host) || /^127(\.\d{1,3}){3}$/.test(host);
