--- a/packages/lovagepond-cli/src/command_standalone.ts
+++ b/packages/lovagepond-cli/src/command_standalone.ts
@@ -23,9 +23,9 @@
 import {createStandaloneFleet} from './standalone_fleet.js';
 import {StandaloneRole} from './standalone_role.js';
 import {
-  type FleetSet,
   assignDataFolders,
   assignFreePorts,
+  type FleetSet,
   readSetFolder,
 } from './standalone_set.js';
 import {createBuiltInSet} from './standalone_settings.js';
