--- a/packages/lovagepond-cli/src/__tests__/e2e/leader_death.test.ts
+++ b/packages/lovagepond-cli/src/__tests__/e2e/leader_failure.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, it} from 'vitest';
-import {until} from './open_chat.js';
+import {waitUntil} from './open_chat.js';
 import {useThreeMembers} from './three_members.js';
 
 const CHANGE = ['workspaces', 'set', 'pharmacy', 'weight=2'];
@@ -27,12 +27,12 @@
     return (await fleet.dump(name)).state['revision'];
   }
 
-  // An operator's change is accepted, and the leader dies; the operator, who
-  // can't know whether it was, sends it again under the same operation id. It
-  // must be answered as the change already made, or it would be made twice or
-  // be refused for its old base. The others bring it into force everywhere, and
-  // the dead member comes back with its disk and holds it too.
-  it('make a change once over the death of their leader', async () => {
+  // The leader crashes after it accepted a change. The operator, who can't know
+  // the outcome, sends the change again with the same operation id. The retry
+  // must return the accepted revision: otherwise the change is made twice, or
+  // refused because of its old base revision. The other members distribute the
+  // revision, and the crashed member has it too after a restart with its disk.
+  it('make a change once although their leader fails', async () => {
     const accepted = await fleet.ctl(...CHANGE, ...SAME_OPERATION);
     expect(accepted).toMatchObject({revision: 2});
     const leader = await findLeader();
@@ -42,15 +42,18 @@
 
     const routers = fleet.namesOf('router');
     const nodes = [...routers, ...fleet.namesOf('sidecar')].sort();
-    await until(async () => {
-      const told = (await fleet.ctl('convergence', '--wait')) as Convergence;
-      expect(told).toMatchObject({revision: 2, behind: []});
-      return told.nodes.length === nodes.length;
+    await waitUntil(async () => {
+      const convergence = (await fleet.ctl(
+        'convergence',
+        '--wait',
+      )) as Convergence;
+      expect(convergence).toMatchObject({revision: 2, behind: []});
+      return convergence.nodes.length === nodes.length;
     });
     for (const router of routers) expect(await revisionOf(router)).toBe(2);
 
     await fleet.restart(leader);
-    await until(async () => (await revisionOf(leader)) === 2);
+    await waitUntil(async () => (await revisionOf(leader)) === 2);
     expect(await fleet.ctl('configuration')).toMatchObject({revision: 2});
   });
 });
--- a/packages/lovagepond-cli/src/__tests__/unit/command_line.test.ts
+++ b/packages/lovagepond-cli/src/__tests__/unit/command_line.test.ts
@@ -3,7 +3,7 @@
 import {createProgram} from '../../command_line.js';
 
 describe('command line', () => {
-  it('tells examples and exit codes in its help', () => {
+  it('shows examples and exit codes in its help', () => {
     let help = '';
     const program = createProgram();
     program.configureOutput({
@@ -13,7 +13,7 @@
     });
     program.outputHelp();
     expect(help).toMatch(/Examples:\n {2}\$ lovagepond standalone/);
-    expect(help).toMatch(/3 {2}the settings have faults/);
+    expect(help).toMatch(/3 {2}the settings are invalid/);
     for (const name of ['router', 'sidecar', 'control', 'check-settings']) {
       expect(help).toContain(name);
     }
--- a/packages/lovagepond-cli/src/composition_root.ts
+++ b/packages/lovagepond-cli/src/composition_root.ts
@@ -1,5 +1,6 @@
 /**
- * Joins one role with what it needs. The only place that knows the container.
+ * Composition root: creates a role and injects its dependencies. No other
+ * module uses the dependency injection container.
  */
 import 'reflect-metadata';
 import {type Clock, Random} from '@lovagepond/core';
@@ -27,10 +28,10 @@
   toProcessSettings,
 } from './settings_sections.js';
 
-/** Values of the sections that every settings file has. */
+/** Values of the settings sections that all roles share. */
 export type CommonValues = FileValues<typeof COMMON_SECTIONS>;
 
-/** A checked settings file of one role. */
+/** A validated settings file of one role. */
 export interface LoadedSettings {
   readonly file: string;
   readonly values: CommonValues;
@@ -45,7 +46,7 @@
   SETTINGS: Symbol('settings'),
 } as const;
 
-/** One role and the process around it. */
+/** Runs one role as the process. */
 @injectable()
 export class RoleProcess {
   readonly #definition: RoleDefinition;
@@ -77,14 +78,14 @@
    * @returns the exit code
    */
   async run(): Promise<ExitCode> {
-    const parts = {
+    const dependencies = {
       clock: this.#clock,
       log: this.#log,
       random: this.#random,
       metrics: this.#metrics,
     };
     const {file, values} = this.#settings;
-    const role = await this.#definition.createRole(values, parts);
+    const role = await this.#definition.createRole(values, dependencies);
     const {role: kind, name} = values.process;
     registerProcessMetrics(this.#metrics);
     registerRoleMetrics(this.#metrics, [{kind, name, role}]);
@@ -95,7 +96,7 @@
       this.#log,
     );
     const runner = new ProcessRunner(toProcessSettings(values.platform), {
-      ...parts,
+      ...dependencies,
       role,
       reload: running => {
         reloader.reload(running);
@@ -109,7 +110,7 @@
   return new Random(seed ?? (clock.wallTime() ^ process.pid) >>> 0);
 }
 
-function registerParts(
+function registerDependencies(
   child: DependencyContainer,
   {process: identity, platform}: CommonValues,
 ): void {
@@ -125,15 +126,15 @@
 
 /**
  * @param definition the role
- * @param settings its checked settings file
- * @returns the process, ready to run
+ * @param settings its validated settings file
+ * @returns the process, not started yet
  */
 export function composeRoleProcess(
   definition: RoleDefinition,
   settings: LoadedSettings,
 ): RoleProcess {
   const child = container.createChildContainer();
-  registerParts(child, settings.values);
+  registerDependencies(child, settings.values);
   child.register(TOKEN.DEFINITION, {useValue: definition});
   child.register(TOKEN.SETTINGS, {useValue: settings});
   return child.resolve(RoleProcess);
--- a/packages/lovagepond-cli/src/role_metrics.ts
+++ b/packages/lovagepond-cli/src/role_metrics.ts
@@ -1,27 +1,30 @@
 /**
  * Metrics of each role, read from its state dump at each scrape.
  *
- * The dump is the one place where a role counts, so that metrics and dump
- * never disagree.
+ * The state dump is the only source of a role's counters, so that metrics and
+ * dump always agree.
  */
 import {type Role, type StateDump} from '@lovagepond/core';
 import {type MetricsRegistry, type Sample} from '@lovagepond/process';
 import {type RoleName} from './cli_constants.js';
 
-/** A value in a dump, by the keys that lead to it. */
+/** Path of a value in a state dump: the keys that lead to it. */
 type Path = readonly string[];
 
-/** One metric and where a dump holds it. */
+/** One metric and its place in the state dump; exactly one place is set. */
 interface DumpMetric {
   readonly kind: 'counter' | 'gauge';
   readonly name: string;
   readonly help: string;
-  /** Where a plain number, or true or false, stands. */
+  /** Path of one number or boolean. */
   readonly path?: Path;
-  /** Where objects of numbers stand, and the label that their keys become. */
-  readonly byLabel?: {readonly paths: readonly Path[]; readonly label: string};
-  /** Several plain numbers under one label. */
-  readonly parts?: {
+  /** Paths of objects of numbers; their keys become values of the label. */
+  readonly labelledObjects?: {
+    readonly paths: readonly Path[];
+    readonly label: string;
+  };
+  /** Paths of single numbers, by value of the label. */
+  readonly labelledNumbers?: {
     readonly label: string;
     readonly paths: Readonly<Record<string, Path>>;
   };
@@ -32,21 +35,21 @@
     kind: 'counter',
     name: 'lovagepond_control_bytes_total',
     help: 'Control traffic of this process in bytes.',
-    parts: {label: 'direction', paths},
+    labelledNumbers: {label: 'direction', paths},
   };
 }
 
 const REVISION: DumpMetric = {
   kind: 'gauge',
   name: 'lovagepond_configuration_revision',
-  help: 'Configuration revision that this process holds.',
+  help: 'Configuration revision in use by this process.',
   path: ['revision'],
 };
 
 const SUSPECTED_REQUESTS: DumpMetric = {
   kind: 'gauge',
   name: 'lovagepond_suspected_requests',
-  help: 'Requests that servers crashed under, quarantined or not.',
+  help: 'Requests during which backend servers crashed, quarantined or not.',
   path: ['suspectedRequests'],
 };
 
@@ -60,7 +63,7 @@
     kind: 'counter',
     name: 'lovagepond_refusals_total',
     help: 'Requests answered with an error, by kind.',
-    byLabel: {
+    labelledObjects: {
       paths: [['failedByKind'], ['front', 'refusedByKind']],
       label: 'kind',
     },
@@ -68,7 +71,7 @@
   {
     kind: 'counter',
     name: 'lovagepond_requests_answered_total',
-    help: 'Requests answered whole.',
+    help: 'Requests with a complete answer.',
     path: ['answered'],
   },
   {
@@ -86,8 +89,8 @@
   {
     kind: 'gauge',
     name: 'lovagepond_load_skew_ratio',
-    help: "A pool's busiest ready server over the mean, as known here.",
-    byLabel: {paths: [['skew']], label: 'pool'},
+    help: 'Load of the busiest ready server over the mean load of its pool.',
+    labelledObjects: {paths: [['skew']], label: 'pool'},
   },
   {
     kind: 'gauge',
@@ -98,25 +101,25 @@
   {
     kind: 'gauge',
     name: 'lovagepond_backend_servers',
-    help: 'Backend servers in the membership that this router holds.',
+    help: 'Backend servers in the membership list of this router.',
     path: ['backendServers'],
   },
   {
     kind: 'gauge',
     name: 'lovagepond_suspected_servers',
-    help: 'Backend servers that this router has evidence against.',
+    help: 'Backend servers that this router suspects of having failed.',
     path: ['suspects'],
   },
   {
     kind: 'counter',
     name: 'lovagepond_frames_dropped_total',
-    help: 'Frames thrown away, by reason.',
-    byLabel: {paths: [['droppedByReason']], label: 'reason'},
+    help: 'Frames dropped, by reason.',
+    labelledObjects: {paths: [['droppedByReason']], label: 'reason'},
   },
   {
     kind: 'counter',
     name: 'lovagepond_hops_total',
-    help: 'Pointers, hand-overs and revision exchanges followed.',
+    help: 'Redirections followed: pointers, hand-overs and revision exchanges.',
     path: ['hops'],
   },
   {
@@ -140,19 +143,19 @@
   {
     kind: 'counter',
     name: 'lovagepond_refusals_total',
-    help: 'Attempts refused, truly not run, by kind.',
-    byLabel: {paths: [['attempts', 'refusedByKind']], label: 'kind'},
+    help: 'Attempts refused without running, by kind.',
+    labelledObjects: {paths: [['attempts', 'refusedByKind']], label: 'kind'},
   },
   {
     kind: 'counter',
     name: 'lovagepond_failures_total',
     help: 'Attempts that failed after dispatch, by kind.',
-    byLabel: {paths: [['attempts', 'failedByKind']], label: 'kind'},
+    labelledObjects: {paths: [['attempts', 'failedByKind']], label: 'kind'},
   },
   {
     kind: 'counter',
     name: 'lovagepond_requests_answered_total',
-    help: 'Attempts answered whole.',
+    help: 'Attempts with a complete answer.',
     path: ['attempts', 'answered'],
   },
   {
@@ -164,8 +167,8 @@
   {
     kind: 'gauge',
     name: 'lovagepond_load_tokens',
-    help: 'Estimated tokens at the backend server and in the queue.',
-    parts: {
+    help: 'Estimated tokens running at the backend server and queued.',
+    labelledNumbers: {
       label: 'state',
       paths: {
         running: ['gate', 'runningTokens'],
@@ -178,7 +181,7 @@
   {
     kind: 'counter',
     name: 'lovagepond_requests_taken_total',
-    help: 'Requests taken from longer queues.',
+    help: 'Requests taken over from longer queues of other sidecars.',
     path: ['taken'],
   },
 ];
@@ -188,7 +191,7 @@
   {
     kind: 'gauge',
     name: 'lovagepond_backend_servers',
-    help: 'Backend servers announced.',
+    help: 'Backend servers that have announced themselves.',
     path: ['backendServers'],
   },
   {
@@ -200,14 +203,14 @@
   {
     kind: 'gauge',
     name: 'lovagepond_control_fresh',
-    help: '1 while this member is in touch with a majority.',
+    help: '1 while this member has contact with a majority.',
     path: ['fresh'],
   },
   {
     kind: 'gauge',
     name: 'lovagepond_consensus_index',
-    help: 'Log positions of this member.',
-    parts: {
+    help: 'Consensus log indexes of this member.',
+    labelledNumbers: {
       label: 'position',
       paths: {
         commit: ['consensus', 'commitIndex'],
@@ -220,14 +223,14 @@
   {
     kind: 'gauge',
     name: 'lovagepond_consensus_term',
-    help: 'Term of this member.',
+    help: 'Consensus term of this member.',
     path: ['consensus', 'term'],
   },
   {
     kind: 'gauge',
     name: 'lovagepond_ledger_entries',
-    help: 'Calls that may not be repeated, by the state of their entry.',
-    byLabel: {paths: [['ledger']], label: 'state'},
+    help: 'Ledger entries of non-repeatable calls, by state.',
+    labelledObjects: {paths: [['ledger']], label: 'state'},
   },
   SUSPECTED_REQUESTS,
 ];
@@ -237,7 +240,7 @@
   {
     kind: 'gauge',
     name: 'lovagepond_gateway_requests_in_flight',
-    help: 'Forwarded requests that have no final answer yet.',
+    help: 'Forwarded requests without a final answer yet.',
     path: ['inFlight'],
   },
   {
@@ -249,20 +252,20 @@
   {
     kind: 'counter',
     name: 'lovagepond_gateway_requests_ended_total',
-    help: 'Forwarded requests that were offered to a server, by their end.',
-    byLabel: {paths: [['endedByOutcome']], label: 'outcome'},
+    help: 'Forwarded requests that were sent to a server, by outcome.',
+    labelledObjects: {paths: [['endedByOutcome']], label: 'outcome'},
   },
   {
     kind: 'counter',
     name: 'lovagepond_refusals_total',
     help: 'Requests answered with an error, by kind.',
-    byLabel: {paths: [['refusedByKind']], label: 'kind'},
+    labelledObjects: {paths: [['refusedByKind']], label: 'kind'},
   },
   {
     kind: 'counter',
     name: 'lovagepond_gateway_attempts_failed_total',
-    help: 'Attempts that brought no whole answer, by their end.',
-    byLabel: {paths: [['failedAttemptsByOutcome']], label: 'outcome'},
+    help: 'Attempts without a complete answer, by outcome.',
+    labelledObjects: {paths: [['failedAttemptsByOutcome']], label: 'outcome'},
   },
   {
     kind: 'counter',
@@ -273,7 +276,7 @@
   {
     kind: 'counter',
     name: 'lovagepond_gateway_servers_crashed_total',
-    help: 'Backend servers that ended while they ran requests of this gateway.',
+    help: 'Backend servers that crashed while they ran requests of this gateway.',
     path: ['crashedServers'],
   },
   SUSPECTED_REQUESTS,
@@ -311,29 +314,33 @@
 }
 
 function readSamples(metric: DumpMetric, {state}: StateDump): Sample[] {
-  const {path, byLabel, parts} = metric;
+  const {path, labelledObjects, labelledNumbers} = metric;
   if (path) return toSample(findValue(state, path), {});
-  if (byLabel) {
-    const counts = byLabel.paths.map(place => findValue(state, place) ?? {});
+  if (labelledObjects) {
+    const counts = labelledObjects.paths.map(
+      valuePath => findValue(state, valuePath) ?? {},
+    );
     return counts
       .flatMap(Object.entries)
-      .flatMap(([key, value]) => toSample(value, {[byLabel.label]: key}));
+      .flatMap(([key, value]) =>
+        toSample(value, {[labelledObjects.label]: key}),
+      );
   }
-  if (!parts) return [];
-  return Object.entries(parts.paths).flatMap(([key, place]) =>
-    toSample(findValue(state, place), {[parts.label]: key}),
+  if (!labelledNumbers) return [];
+  return Object.entries(labelledNumbers.paths).flatMap(([key, valuePath]) =>
+    toSample(findValue(state, valuePath), {[labelledNumbers.label]: key}),
   );
 }
 
 function labelNamesOf({
-  byLabel,
-  parts,
-}: Pick<DumpMetric, 'byLabel' | 'parts'>): string[] {
-  const label = byLabel?.label ?? parts?.label;
+  labelledObjects,
+  labelledNumbers,
+}: Pick<DumpMetric, 'labelledObjects' | 'labelledNumbers'>): string[] {
+  const label = labelledObjects?.label ?? labelledNumbers?.label;
   return label === undefined ? [] : [label];
 }
 
-/** One role of this process. */
+/** A role of this process whose metrics are exported. */
 export interface MeteredRole {
   readonly kind: RoleName;
   /** The process name from its settings. */
@@ -355,7 +362,7 @@
 
 /**
  * Registers the metrics of every role of this process. A metric that several
- * kinds of roles have stands once, told apart by its labels.
+ * kinds of roles share is registered once; its labels name the role.
  *
  * @param metrics the process's registry
  * @param roles the roles
@@ -368,12 +375,12 @@
   for (const {kind} of roles) {
     for (const metric of METRICS_BY_ROLE[kind]) rows.set(metric.name, metric);
   }
-  for (const {kind, name, help, ...places} of rows.values()) {
+  for (const {kind, name, help, ...sources} of rows.values()) {
     metrics.observe({
       kind,
       name,
       help,
-      labelNames: ['role', 'process', ...labelNamesOf(places)],
+      labelNames: ['role', 'process', ...labelNamesOf(sources)],
       read: () => roles.flatMap(role => readRole(role, name)),
     });
   }
--- a/packages/lovagepond-cli/src/standalone_fleet.ts
+++ b/packages/lovagepond-cli/src/standalone_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Every role of a set, with stand-ins for the backend servers, as one role.
+ * Creates every role of a set, with fake backend servers, as one role.
  */
 import {type Role} from '@lovagepond/core';
 import {
@@ -14,23 +14,23 @@
 import {type RoleName} from './cli_constants.js';
 import {createFake, type FakeKind} from './command_fake.js';
 import {ControlMember} from './control_member.js';
-import {type RoleParts} from './role_definition.js';
+import {type RoleDependencies} from './role_definition.js';
 import {type NamedRole, RoleGroup} from './role_group.js';
 import {loadRoleDefinition} from './role_loader.js';
 import {roleOf} from './role_of_settings.js';
 import {type MeteredRole, registerRoleMetrics} from './role_metrics.js';
 import {type FleetSet} from './standalone_set.js';
 
-/** The roles of one process, not started yet. */
+/** The roles of one process and its control members, not started yet. */
 export interface StandaloneFleet {
   readonly group: Role;
   readonly members: readonly ControlMember[];
 }
 
-/** Each role after those that it needs. */
+/** Each kind of role after the kinds that it depends on. */
 const START_ORDER: readonly RoleName[] = ['control', 'sidecar', 'router'];
 
-function makeFakes(settings: readonly ParsedSettings[]): NamedRole[] {
+function createFakes(settings: readonly ParsedSettings[]): NamedRole[] {
   return settings.flatMap(({sections}): NamedRole[] => {
     const {kind, url} = sections['backend'] ?? {};
     if (kind === undefined || url === undefined) return [];
@@ -40,28 +40,28 @@
   });
 }
 
-async function makeRole(
+async function createMeteredRole(
   kind: RoleName,
   parsed: ParsedSettings,
-  parts: RoleParts,
+  dependencies: RoleDependencies,
 ): Promise<MeteredRole> {
   const definition = await loadRoleDefinition(kind);
   const schema: FileSchema = definition.schema;
   const check = checkSettings(parsed, schema);
   if (!check.ok) throw new SettingsError(check.faults);
-  const role = await definition.createRole(check.values, parts);
+  const role = await definition.createRole(check.values, dependencies);
   return {kind, name: parsed.sections['process']?.['name'] ?? '', role};
 }
 
-async function makeRoles(
+async function createMeteredRoles(
   settings: readonly ParsedSettings[],
-  parts: RoleParts,
+  dependencies: RoleDependencies,
 ): Promise<MeteredRole[]> {
   const roles: MeteredRole[] = [];
   for (const kind of START_ORDER) {
     for (const parsed of settings) {
       if (roleOf(parsed) !== kind) continue;
-      roles.push(await makeRole(kind, parsed, parts));
+      roles.push(await createMeteredRole(kind, parsed, dependencies));
     }
   }
   return roles;
@@ -69,24 +69,27 @@
 
 /**
  * @param set settings of the fleet
- * @param parts what the roles share
+ * @param dependencies the dependencies that all roles share
  * @returns the roles
  * @throws SettingsError with the faults of every file
  */
-export async function makeStandaloneFleet(
+export async function createStandaloneFleet(
   {settings}: FleetSet,
-  parts: RoleParts,
+  dependencies: RoleDependencies,
 ): Promise<StandaloneFleet> {
   const {faults} = checkParsedSettings(settings, {sharedPlatform: true});
   if (faults.length > 0) throw new SettingsError(faults);
-  const roles = await makeRoles(settings, parts);
-  registerRoleMetrics(parts.metrics, roles);
+  const roles = await createMeteredRoles(settings, dependencies);
+  registerRoleMetrics(dependencies.metrics, roles);
   const members = roles.flatMap(({role}) =>
     role instanceof ControlMember ? [role] : [],
   );
   const layers = START_ORDER.map(kind =>
     roles.filter(role => role.kind === kind),
   );
-  const group = new RoleGroup([makeFakes(settings), ...layers], parts.clock);
+  const group = new RoleGroup(
+    [createFakes(settings), ...layers],
+    dependencies.clock,
+  );
   return {group, members};
 }
--- /dev/null
+++ b/packages/lovagepond-explain/src/explain_histogram.ts
@@ -0,0 +1,34 @@
+/**
+ * Histogram of request durations with bounded memory.
+ */
+
+/** Ratio of neighbouring bucket bounds: quantiles are exact to a tenth. */
+const BUCKET_RATIO = 1.1;
+
+/** Counts durations in exponentially growing buckets. */
+export class DurationHistogram {
+  readonly #buckets = new Map<number, number>();
+  #count = 0;
+
+  /** @param ms a duration, milliseconds */
+  add(ms: number): void {
+    const bucket =
+      ms < 1 ? 0 : Math.ceil(Math.log(ms) / Math.log(BUCKET_RATIO));
+    this.#buckets.set(bucket, (this.#buckets.get(bucket) ?? 0) + 1);
+    this.#count += 1;
+  }
+
+  /**
+   * @param fraction share of the durations that are shorter, 0 to 1
+   * @returns the duration, milliseconds; 0 when there are no durations
+   */
+  quantile(fraction: number): number {
+    const buckets = [...this.#buckets].sort(([a], [b]) => a - b);
+    let remaining = fraction * this.#count;
+    for (const [bucket, count] of buckets) {
+      remaining -= count;
+      if (remaining <= 0) return Math.round(BUCKET_RATIO ** bucket);
+    }
+    return 0;
+  }
+}
--- a/packages/lovagepond-explain/src/explain_request.ts
+++ b/packages/lovagepond-explain/src/explain_request.ts
@@ -1,33 +1,39 @@
 /**
- * Collects what the logs hold of one request and of what was around it.
+ * Collects the log lines of one request and failures near it.
  */
-import {Beliefs, type ProcessBelief} from './explain_beliefs.js';
-import {type LogLine, textOf} from './explain_line.js';
+import {formatValue, type LogLine} from './explain_line.js';
+import {
+  type ProcessState,
+  ProcessStateTracker,
+} from './explain_process_state.js';
 
-/** Failures at the same server that belong to the same event, milliseconds. */
-const NEAR_MS = 1_000;
+/**
+ * Failures at the same server within this time count as the same event,
+ * milliseconds.
+ */
+const NEARBY_MS = 1_000;
 
-/** Failures of other requests kept; the oldest go first. */
+/** Failures of other requests that are kept; the oldest are evicted first. */
 const MAX_FAILURES = 20_000;
 
-/** What is known of one request. */
-export interface RequestAccount {
+/** What the logs show about one request. */
+export interface RequestReport {
   readonly id: string;
-  /** The request's own lines by time. */
+  /** The request's own lines, sorted by time. */
   readonly lines: readonly LogLine[];
-  /** What the deciding process believed at its last line. */
-  readonly belief: ProcessBelief | undefined;
-  /** Other requests' failures at the same servers at about the same time. */
-  readonly nearFailures: readonly LogLine[];
+  /** State of the request's process at the request's last line. */
+  readonly processState: ProcessState | undefined;
+  /** Failures of other requests at the same servers at about the same time. */
+  readonly nearbyFailures: readonly LogLine[];
 }
 
-/** Reads lines in the order of the logs; files may come one after another. */
-export class RequestEvidence {
+/** Builds a report from log lines; log files may follow one another. */
+export class RequestReportBuilder {
   readonly #id: string;
-  readonly #beliefs = new Beliefs();
+  readonly #processStates = new ProcessStateTracker();
   readonly #lines: LogLine[] = [];
-  #failures: LogLine[] = [];
-  #belief: ProcessBelief | undefined;
+  #otherFailures: LogLine[] = [];
+  #processState: ProcessState | undefined;
 
   /** @param id the request's id */
   constructor(id: string) {
@@ -35,38 +41,44 @@
   }
 
   /** @param line the next line */
-  take(line: LogLine): void {
-    this.#beliefs.take(line);
+  add(line: LogLine): void {
+    this.#processStates.add(line);
     if (line.fields['request'] === this.#id) {
       this.#lines.push(line);
-      this.#belief = this.#beliefs.of(line.process);
+      this.#processState = this.#processStates.get(line.process);
     } else if (line.message === 'attempt failed') {
       this.#keepFailure(line);
     }
   }
 
-  /** @returns the account, or undefined when no line names the request */
-  collect(): RequestAccount | undefined {
+  /** @returns the report, or undefined when no line names the request */
+  build(): RequestReport | undefined {
     if (this.#lines.length === 0) return undefined;
     const lines = [...this.#lines].sort(
       (left, right) => left.timeMs - right.timeMs,
     );
     const own = lines.filter(({message}) => message === 'attempt failed');
-    const nearFailures = this.#failures.filter(line =>
-      own.some(failure => isNear(failure, line)),
+    const nearbyFailures = this.#otherFailures.filter(line =>
+      own.some(failure => isNearby(failure, line)),
     );
-    return {id: this.#id, lines, belief: this.#belief, nearFailures};
+    return {
+      id: this.#id,
+      lines,
+      processState: this.#processState,
+      nearbyFailures,
+    };
   }
 
   #keepFailure(line: LogLine): void {
-    this.#failures.push(line);
-    if (this.#failures.length < 2 * MAX_FAILURES) return;
-    this.#failures = this.#failures.slice(-MAX_FAILURES);
+    this.#otherFailures.push(line);
+    if (this.#otherFailures.length < 2 * MAX_FAILURES) return;
+    this.#otherFailures = this.#otherFailures.slice(-MAX_FAILURES);
   }
 }
 
-function isNear(failure: LogLine, other: LogLine): boolean {
+function isNearby(failure: LogLine, other: LogLine): boolean {
   const isSameServer =
-    textOf(failure.fields['server']) === textOf(other.fields['server']);
-  return isSameServer && Math.abs(failure.timeMs - other.timeMs) <= NEAR_MS;
+    formatValue(failure.fields['server']) ===
+    formatValue(other.fields['server']);
+  return isSameServer && Math.abs(failure.timeMs - other.timeMs) <= NEARBY_MS;
 }
