--- a/packages/lovagepond-backend/src/__tests__/unit/backend_event_stream.test.ts
+++ b/packages/lovagepond-backend/src/__tests__/unit/backend_event_stream.test.ts
@@ -43,7 +43,7 @@
 
 test('passes on only own events, and calls only a finished answer whole', () => {
   const judge = (check: AnswerCheck, data: string, name = ''): string => {
-    const verdict = check.judge({bytes: Buffer.alloc(0), name, data});
+    const verdict = check.inspect({bytes: Buffer.alloc(0), name, data});
     return verdict.kind === 'fail' ? verdict.failure.kind : verdict.kind;
   };
   const finish = '{"id":"chatcmpl-r","choices":[{"finish_reason":"stop"}]}';
@@ -71,13 +71,13 @@
     let known = 0;
     for (const sequence of sequences) {
       const base = {incarnation: 'e', workspace: 'w', chat: 'c', tokens: 1};
-      const told = follower.take({...base, sequence, kind: 'stored'});
-      const last = told.at(-1);
+      const events = follower.take({...base, sequence, kind: 'stored'});
+      const last = events.at(-1);
       if (!last) {
         expect(sequence).toBeLessThanOrEqual(known);
         continue;
       }
-      const gap = told.length === 2 && told[0]?.kind === 'gap';
+      const gap = events.length === 2 && events[0]?.kind === 'gap';
       expect(gap).toBe(sequence !== known + 1);
       known = sequence;
     }
--- a/packages/lovagepond-backend/src/__tests__/unit/backend_http_engine.test.ts
+++ b/packages/lovagepond-backend/src/__tests__/unit/backend_http_engine.test.ts
@@ -8,7 +8,7 @@
   connectEngine,
   contentOf,
   startEngine,
-  startRaw,
+  startRawServer,
 } from './backend_test_utils.js';
 
 afterEach(cleanUp);
@@ -83,7 +83,7 @@
   const body = `${chunk('one')}data: [DONE]\n\n`;
   const whole = `${head}${body.length.toString(16)}\r\n${body}\r\n0\r\n\r\n`;
   const broken = `${head}${chunk('one').length.toString(16)}\r\n${chunk('one')}`;
-  const engine = connectEngine(await startRaw(broken, whole));
+  const engine = connectEngine(await startRawServer(broken, whole));
   const {text, last} = await collect(engine, completion('r1'));
   expect(text).toBe(chunk('one'));
   expect(last).toMatchObject({failure: {kind: 'backendFailed'}});
@@ -180,7 +180,7 @@
   // second is already here, and still must not be passed on.
   const event = 'data: {"id":"r1","choices":[{"delta":{"content":"x"}}]}\n\n';
   const head = 'HTTP/1.1 200 OK\r\ncontent-length: 9000\r\n\r\n';
-  const engine = connectEngine(await startRaw(head + event + event));
+  const engine = connectEngine(await startRawServer(head + event + event));
   const {events} = await collect(engine, completion('r1'), seen => {
     if (seen.kind === 'data') engine.cancel('r1');
   });
@@ -215,8 +215,8 @@
   expect(unknown.last).toMatchObject({failure: {kind: 'answerTruncated'}});
   await server.stop();
   // Without a pooled connection: one that broke unnoticed takes bytes.
-  const newcomer = connectEngine(server.address);
-  const gone = await collect(newcomer, completion('r3'));
+  const freshClient = connectEngine(server.address);
+  const gone = await collect(freshClient, completion('r3'));
   expect(gone.events).toEqual([
     {kind: 'failed', failure: expect.objectContaining({kind: 'unreachable'})},
   ]);
@@ -241,20 +241,22 @@
   // before it hears of event 3, and by the engine's position alone after it.
   const server = await startEngine();
   const engine = connectEngine(server.address);
-  const told: string[] = [];
-  engine.subscribeCache(event => told.push(`${event.kind} ${event.sequence}`));
+  const received: string[] = [];
+  engine.subscribeCache(event =>
+    received.push(`${event.kind} ${event.sequence}`),
+  );
   server.setFaults({dropCacheEventEvery: 2});
   const runAll = async (...chats: string[]): Promise<void> => {
     for (const chat of chats) await collect(engine, completion(chat, {chat}));
   };
   await runAll('c1');
-  await expect.poll(() => told).toEqual(['stored 1']);
+  await expect.poll(() => received).toEqual(['stored 1']);
   await runAll('c2', 'c3', 'c4');
   const wanted = ['stored 1', 'gap 2', 'stored 3', 'gap 4'];
-  await expect.poll(() => told).toEqual(wanted);
+  await expect.poll(() => received).toEqual(wanted);
   server.restart();
   await engine.loadReport(clock.now());
-  await expect.poll(() => told).toEqual([...wanted, 'gap 0']);
+  await expect.poll(() => received).toEqual([...wanted, 'gap 0']);
 });
 
 test('cache events go on after their connection went silent', async () => {
@@ -262,14 +264,16 @@
   // between. The events made meanwhile are asked for again, so none is lost.
   const server = await startEngine();
   const engine = connectEngine(server.address);
-  const told: string[] = [];
-  engine.subscribeCache(event => told.push(`${event.kind} ${event.sequence}`));
+  const received: string[] = [];
+  engine.subscribeCache(event =>
+    received.push(`${event.kind} ${event.sequence}`),
+  );
   await collect(engine, completion('r1', {chat: 'c1'}));
-  await expect.poll(() => told).toEqual(['stored 1']);
+  await expect.poll(() => received).toEqual(['stored 1']);
   server.silence();
   await collect(engine, completion('r2', {chat: 'c2'}));
   await expect
-    .poll(() => told, {timeout: 10_000})
+    .poll(() => received, {timeout: 10_000})
     .toEqual(['stored 1', 'stored 2']);
 });
 
--- a/packages/lovagepond-backend/src/__tests__/unit/backend_http_service.test.ts
+++ b/packages/lovagepond-backend/src/__tests__/unit/backend_http_service.test.ts
@@ -6,7 +6,7 @@
   clock,
   connectService,
   serviceCall,
-  startRaw,
+  startRawServer,
   startService,
 } from './backend_test_utils.js';
 
@@ -108,7 +108,7 @@
 test('an answer without a length is not taken for whole', async () => {
   // HTTP lets an answer end with its connection. One that was cut short then
   // looks exactly like a whole one.
-  const address = await startRaw('HTTP/1.1 200 OK\r\n\r\n{"half":');
+  const address = await startRawServer('HTTP/1.1 200 OK\r\n\r\n{"half":');
   const service = connectService(address);
   const outcome = await service.call(serviceCall('r1'), clock.now());
   expect(verdictOf(outcome)).toBe('answerTruncated mayHaveRun');
@@ -116,7 +116,7 @@
 
 test('an endless answer is cut at the limit', async () => {
   const head = 'HTTP/1.1 200 OK\r\ncontent-length: 9000000\r\n\r\n';
-  const address = await startRaw(head + 'x'.repeat(200_000));
+  const address = await startRawServer(head + 'x'.repeat(200_000));
   const service = connectService(address, {maxWholeBytes: 100_000});
   const outcome = await service.call(serviceCall('r1'), clock.now());
   expect(outcome).toMatchObject({
--- a/packages/lovagepond-backend/src/__tests__/unit/backend_test_utils.ts
+++ b/packages/lovagepond-backend/src/__tests__/unit/backend_test_utils.ts
@@ -147,7 +147,7 @@
 }
 
 /** A server that answers each connection with the next text, then the last. */
-export async function startRaw(...texts: string[]): Promise<string> {
+export async function startRawServer(...texts: string[]): Promise<string> {
   const server = createServer(socket => {
     socket.on('error', () => {});
     const text = (texts.length > 1 ? texts.shift() : texts[0]) ?? '';
--- a/packages/lovagepond-backend/src/backend_answer_assembly.ts
+++ b/packages/lovagepond-backend/src/backend_answer_assembly.ts
@@ -34,16 +34,16 @@
  */
 export function mergeDelta(target: Json, delta: Json): Json {
   for (const [name, piece] of Object.entries(delta)) {
-    const former = target[name];
-    if (typeof piece === 'string' && typeof former === 'string') {
-      target[name] = NAMING_FIELDS.has(name) ? piece : former + piece;
+    const previous = target[name];
+    if (typeof piece === 'string' && typeof previous === 'string') {
+      target[name] = NAMING_FIELDS.has(name) ? piece : previous + piece;
     } else if (isObject(piece)) {
-      target[name] = mergeDelta(isObject(former) ? former : {}, piece);
+      target[name] = mergeDelta(isObject(previous) ? previous : {}, piece);
     } else if (Array.isArray(piece)) {
-      const list: unknown[] = Array.isArray(former) ? former : [];
+      const list: unknown[] = Array.isArray(previous) ? previous : [];
       mergeList(list, piece);
       target[name] = list;
-    } else if (piece !== null || former === undefined) {
+    } else if (piece !== null || previous === undefined) {
       target[name] = piece;
     }
   }
@@ -89,7 +89,7 @@
  * @param body a completion request that isn't streamed
  * @returns the same request, streamed, or undefined when it is no JSON object
  */
-export function askToStream(body: Uint8Array): Buffer | undefined {
+export function toStreamingRequest(body: Uint8Array): Buffer | undefined {
   try {
     const request: unknown = JSON.parse(Buffer.from(body).toString('utf8'));
     if (!isObject(request)) return undefined;
--- a/packages/lovagepond-backend/src/backend_answer_check.ts
+++ b/packages/lovagepond-backend/src/backend_answer_check.ts
@@ -48,7 +48,7 @@
 /** Checks one request's events, over all of its connections. */
 export class AnswerCheck {
   readonly #requestId: string;
-  #finishReason = false;
+  #hasFinishReason = false;
   #usage: EngineUsage = {promptTokens: 0, cachedTokens: 0, answerTokens: 0};
 
   /** @param requestId the request whose answer is expected */
@@ -65,9 +65,9 @@
    * @param event the next event
    * @returns what it means
    */
-  judge(event: ServerSentEvent): AnswerVerdict {
+  inspect(event: ServerSentEvent): AnswerVerdict {
     if (event.data === '') return SKIP;
-    if (event.data === DONE_DATA) return this.#judgeEnd();
+    if (event.data === DONE_DATA) return this.#inspectEnd();
     if (event.name === 'error') return fail('The engine reported an error.');
     const chunk = parseChunk(event.data);
     if (!chunk) return fail('The engine sent an event that is no chunk.');
@@ -77,15 +77,15 @@
     if (!this.#isOwn(chunk.id)) {
       return fail("The engine sent another request's answer.");
     }
-    if (chunk.usage) this.#note(chunk.usage);
+    if (chunk.usage) this.#recordUsage(chunk.usage);
     if (chunk.choices.some(choice => choice.finish_reason)) {
-      this.#finishReason = true;
+      this.#hasFinishReason = true;
     }
     return {kind: 'pass', content: chunk};
   }
 
-  #judgeEnd(): AnswerVerdict {
-    if (this.#finishReason) return {kind: 'whole'};
+  #inspectEnd(): AnswerVerdict {
+    if (this.#hasFinishReason) return {kind: 'whole'};
     return {kind: 'fail', failure: makeFailure('answerTruncated')};
   }
 
@@ -94,7 +94,7 @@
     return id === `${COMPLETION_ID_PREFIX}${this.#requestId}`;
   }
 
-  #note(usage: z.infer<typeof usageSchema>): void {
+  #recordUsage(usage: z.infer<typeof usageSchema>): void {
     this.#usage = {
       promptTokens: usage.prompt_tokens,
       cachedTokens: usage.prompt_tokens_details?.cached_tokens ?? 0,
--- a/packages/lovagepond-backend/src/backend_cache_sequence.ts
+++ b/packages/lovagepond-backend/src/backend_cache_sequence.ts
@@ -23,7 +23,7 @@
    * @param incarnation what the engine said of itself, by whatever way
    * @returns a gap when it has restarted: its cache is gone
    */
-  noteIncarnation(incarnation: string): CacheEvent[] {
+  updateIncarnation(incarnation: string): CacheEvent[] {
     if (incarnation === this.#incarnation) return [];
     const restarted = this.#incarnation !== '';
     this.#incarnation = incarnation;
@@ -37,17 +37,17 @@
    *     event whose forerunner was lost
    */
   take(event: EngineCacheEvent): CacheEvent[] {
-    const told = this.noteIncarnation(event.incarnation);
-    if (event.sequence <= this.#last) return told;
+    const events = this.updateIncarnation(event.incarnation);
+    if (event.sequence <= this.#last) return events;
     if (event.kind === 'position') return this.#skipTo(event.sequence);
     // A lost event may be the eviction of any chat. Without the gap, a chat
     // would count as warm for good and be sent to a server that rebuilds it.
     const lost = event.sequence > this.#last + 1;
-    if (lost && told.length === 0) {
-      told.push({kind: 'gap', sequence: event.sequence - 1});
+    if (lost && events.length === 0) {
+      events.push({kind: 'gap', sequence: event.sequence - 1});
     }
     this.#last = event.sequence;
-    return [...told, toCacheEvent(event)];
+    return [...events, toCacheEvent(event)];
   }
 
   /** The last event before a pause was lost: no later one would show it. */
--- a/packages/lovagepond-backend/src/backend_cache_subscription.ts
+++ b/packages/lovagepond-backend/src/backend_cache_subscription.ts
@@ -43,7 +43,7 @@
 
   /** @returns ends the subscription */
   start(): Unregister {
-    void this.#follow();
+    void this.#connect();
     return () => {
       this.#ended = true;
       clearTimeout(this.#timer);
@@ -52,11 +52,11 @@
   }
 
   /** @param incarnation what another answer of the engine told */
-  noteIncarnation(incarnation: string): void {
-    this.#tell(this.#sequence.noteIncarnation(incarnation));
+  updateIncarnation(incarnation: string): void {
+    this.#notify(this.#sequence.updateIncarnation(incarnation));
   }
 
-  async #follow(): Promise<void> {
+  async #connect(): Promise<void> {
     if (this.#ended) return;
     const {incarnation, last} = this.#sequence;
     const query = new URLSearchParams({incarnation, after: String(last)});
@@ -71,7 +71,7 @@
     );
     this.#exchange = exchange;
     await this.#read(exchange);
-    this.#retry();
+    this.#scheduleReconnect();
   }
 
   async #read(exchange: HttpExchange): Promise<void> {
@@ -83,26 +83,26 @@
       this.#retryMs = FIRST_RETRY_MS;
       const events = parser.push(event.bytes);
       if (!events) return;
-      for (const item of events) this.#take(item);
+      for (const item of events) this.#handleEvent(item);
     }
   }
 
-  #take(item: ServerSentEvent): void {
+  #handleEvent(item: ServerSentEvent): void {
     if (item.data === '') return;
     const parsed = parseEvent(item.data);
-    if (parsed) this.#tell(this.#sequence.take(parsed));
+    if (parsed) this.#notify(this.#sequence.take(parsed));
   }
 
-  #tell(events: readonly CacheEvent[]): void {
+  #notify(events: readonly CacheEvent[]): void {
     if (this.#ended) return;
     for (const event of events) this.#listener(event);
   }
 
-  #retry(): void {
+  #scheduleReconnect(): void {
     if (this.#ended) return;
     const delay = this.#retryMs * (0.5 + this.#random.next());
     this.#retryMs = Math.min(LAST_RETRY_MS, 2 * this.#retryMs);
-    this.#timer = setTimeout(() => void this.#follow(), delay);
+    this.#timer = setTimeout(() => void this.#connect(), delay);
   }
 }
 
--- a/packages/lovagepond-backend/src/backend_fake_engine.ts
+++ b/packages/lovagepond-backend/src/backend_fake_engine.ts
@@ -78,8 +78,8 @@
   readonly publishAt: number;
 }
 
-const KEPT_CACHE_CHANGES = 4_096;
-const KEPT_LOAD_MS = 5_000;
+const MAX_CACHE_CHANGES = 4_096;
+const LOAD_RETENTION_MS = 5_000;
 const LOAD_REPORTS_PER_TRIM = 64;
 const NO_LOAD = {runningTokens: 0, waitingTokens: 0, runningRequests: 0};
 
@@ -88,7 +88,7 @@
   readonly #settings: FakeEngineSettings;
   #batch: FakeBatch;
   #cache: FakePrefixCache;
-  #starts = 1;
+  #startCount = 1;
   #stepEndsAt: number | undefined;
   #changes: PublishedChange[] = [];
   #reports: LoadReport[] = [];
@@ -107,7 +107,7 @@
 
   /** Changes with each restart. */
   get incarnation(): string {
-    return `engine-${this.#starts}`;
+    return `engine-${this.#startCount}`;
   }
 
   /** The role it was last ordered to. */
@@ -138,7 +138,7 @@
   submit(job: FakeJob, now: number): FakeEngineOutput[] {
     this.#batch.add(job);
     const outputs = this.#stepEndsAt === undefined ? this.#admit(now) : [];
-    this.#noteLoad(now);
+    this.#recordLoad(now);
     return outputs;
   }
 
@@ -149,7 +149,7 @@
    */
   cancel(requestId: string, now: number): boolean {
     const removed = this.#batch.remove(requestId);
-    this.#noteLoad(now);
+    this.#recordLoad(now);
     return removed;
   }
 
@@ -168,7 +168,7 @@
       const at = this.#stepEndsAt;
       this.#finishStep(at, outputs);
       outputs.push(...this.#admit(at));
-      this.#noteLoad(at);
+      this.#recordLoad(at);
     }
     return outputs;
   }
@@ -254,7 +254,7 @@
    * of fencing tokens.
    */
   restart(): void {
-    this.#starts += 1;
+    this.#startCount += 1;
     this.#batch = new FakeBatch(this.#settings);
     this.#cache = new FakePrefixCache(this.#settings.cacheTokens);
     this.#models = this.#settings.models;
@@ -314,14 +314,14 @@
     const publishAt = now + this.#settings.cacheEventLagMs;
     const changes = this.#cache.store({workspace, chat}, tokens);
     for (const change of changes) this.#changes.push({change, publishAt});
-    const surplus = this.#changes.length - KEPT_CACHE_CHANGES;
+    const surplus = this.#changes.length - MAX_CACHE_CHANGES;
     if (surplus > 0) this.#changes.splice(0, surplus);
   }
 
-  #noteLoad(now: number): void {
+  #recordLoad(now: number): void {
     this.#reports.push(this.#makeReport(now));
     const lag = Math.max(this.#settings.loadLagMs, this.#faults.loadLagMs ?? 0);
-    const oldest = now - Math.max(lag, KEPT_LOAD_MS);
+    const oldest = now - Math.max(lag, LOAD_RETENTION_MS);
     if (this.#reports.length < 2 * LOAD_REPORTS_PER_TRIM) return;
     const kept = this.#reports.findLastIndex(item => item.measuredAt <= oldest);
     if (kept > 0) this.#reports.splice(0, kept);
--- a/packages/lovagepond-backend/src/backend_fake_engine_host.ts
+++ b/packages/lovagepond-backend/src/backend_fake_engine_host.ts
@@ -20,7 +20,7 @@
 }
 
 /** What the host needs of its server. */
-export interface FakeEngineHostParts {
+export interface FakeEngineHostDependencies {
   readonly engine: FakeEngine;
   readonly clock: Clock;
   /** How long an answer is kept for a caller that lost its connection. */
@@ -31,7 +31,7 @@
 
 /** Answers requests with a {@link FakeEngine}'s output as it comes. */
 export class FakeEngineHost {
-  readonly #parts: FakeEngineHostParts;
+  readonly #deps: FakeEngineHostDependencies;
   readonly #engine: FakeEngine;
   readonly #streams = new Map<string, FakeStream>();
   readonly #timers = new TimerSet();
@@ -46,10 +46,10 @@
   #faultyRequests = 0;
   #stepTimer: NodeJS.Timeout | undefined;
 
-  /** @param parts the engine and what is around it */
-  constructor(parts: FakeEngineHostParts) {
-    this.#parts = parts;
-    this.#engine = parts.engine;
+  /** @param deps the engine and what is around it */
+  constructor(deps: FakeEngineHostDependencies) {
+    this.#deps = deps;
+    this.#engine = deps.engine;
   }
 
   /** What it was asked to do. */
@@ -73,7 +73,7 @@
   restart(): void {
     this.#engine.restart();
     this.#streams.clear();
-    this.#parts.cutConnections();
+    this.#deps.cutConnections();
     clearTimeout(this.#stepTimer);
   }
 
@@ -84,7 +84,7 @@
   }
 
   /** Sends a heartbeat on each open answer. */
-  beat(): void {
+  sendHeartbeats(): void {
     for (const stream of this.#streams.values()) stream.heartbeat();
   }
 
@@ -105,7 +105,7 @@
     if (known) {
       this.#counters.resumes += 1;
       if (!known.attach(res, offset)) refuseResume(res);
-      else this.#cancelWhenLeft(res, known);
+      else this.#cancelAfterDisconnect(res, known);
     } else if (offset > 0) {
       refuseResume(res);
     } else if (this.#faults.refuse) {
@@ -125,7 +125,7 @@
     if (stream && !this.#faults.answerDelayMs) {
       stream.cut();
       this.#streams.delete(requestId);
-      this.#engine.cancel(requestId, this.#parts.clock.now());
+      this.#engine.cancel(requestId, this.#deps.clock.now());
     }
     return stream !== undefined;
   }
@@ -137,23 +137,23 @@
     const stream = new FakeStream(job, faulty ? this.#faults : {});
     this.#streams.set(job.requestId, stream);
     stream.attach(res, 0);
-    this.#cancelWhenLeft(res, stream);
-    this.#act(this.#engine.submit(job, this.#parts.clock.now()));
+    this.#cancelAfterDisconnect(res, stream);
+    this.#handleOutputs(this.#engine.submit(job, this.#deps.clock.now()));
   }
 
-  #cancelWhenLeft(res: ServerResponse, stream: FakeStream): void {
+  #cancelAfterDisconnect(res: ServerResponse, stream: FakeStream): void {
     res.on('close', () => {
-      this.#timers.start(this.#parts.resumeWindowMs, () => {
+      this.#timers.start(this.#deps.resumeWindowMs, () => {
         if (stream.attached) return;
         const {requestId} = stream.job;
-        this.#engine.cancel(requestId, this.#parts.clock.now());
+        this.#engine.cancel(requestId, this.#deps.clock.now());
         if (this.#streams.get(requestId) !== stream) return;
         this.#streams.delete(requestId);
       });
     });
   }
 
-  #act(outputs: readonly FakeEngineOutput[]): void {
+  #handleOutputs(outputs: readonly FakeEngineOutput[]): void {
     const delayMs = this.#faults.answerDelayMs ?? 0;
     for (const output of outputs) {
       const stream = this.#streams.get(output.requestId);
@@ -165,7 +165,7 @@
         });
       }
     }
-    this.#schedule();
+    this.#scheduleStep();
   }
 
   #deliver(output: FakeEngineOutput, stream: FakeStream): void {
@@ -180,13 +180,13 @@
     }
   }
 
-  #schedule(): void {
+  #scheduleStep(): void {
     clearTimeout(this.#stepTimer);
     const at = this.#engine.nextAt();
     if (at === undefined) return;
-    const delay = Math.max(0, at - this.#parts.clock.now());
+    const delay = Math.max(0, at - this.#deps.clock.now());
     this.#stepTimer = setTimeout(() => {
-      this.#act(this.#engine.advance(this.#parts.clock.now()));
+      this.#handleOutputs(this.#engine.advance(this.#deps.clock.now()));
     }, delay);
   }
 }
--- a/packages/lovagepond-backend/src/backend_fake_engine_server.ts
+++ b/packages/lovagepond-backend/src/backend_fake_engine_server.ts
@@ -101,19 +101,19 @@
 
   /**
    * @param settings address, speed, size and habits
-   * @param parts the clock
+   * @param deps the clock
    */
   constructor(
     settings: FakeEngineServerSettings,
-    parts: {readonly clock: Clock},
+    deps: {readonly clock: Clock},
   ) {
     this.#settings = settings;
-    this.#clock = parts.clock;
+    this.#clock = deps.clock;
     this.#engine = new FakeEngine(settings);
     this.#listener = new FakeListener(this.#makeRoutes());
     this.#host = new FakeEngineHost({
       engine: this.#engine,
-      clock: parts.clock,
+      clock: deps.clock,
       resumeWindowMs: settings.resumeWindowMs,
       cutConnections: () => {
         this.#listener.cutAll();
@@ -139,7 +139,7 @@
   async start(): Promise<void> {
     await this.#listener.listen(this.#settings.port, this.#settings.host);
     this.#heartbeat = setInterval(() => {
-      this.#beat();
+      this.#onHeartbeat();
     }, this.#settings.heartbeatMs);
   }
 
@@ -300,8 +300,8 @@
     }
   }
 
-  #beat(): void {
-    this.#host.beat();
+  #onHeartbeat(): void {
+    this.#host.sendHeartbeats();
     const sequence = this.#engine.cachePosition(this.#clock.now());
     const {incarnation} = this.#engine;
     const position = JSON.stringify({kind: 'position', incarnation, sequence});
--- a/packages/lovagepond-backend/src/backend_fake_stream.ts
+++ b/packages/lovagepond-backend/src/backend_fake_stream.ts
@@ -99,7 +99,7 @@
   addToken(index: number): void {
     const content = fakeToken(this.#id, index);
     this.#push({choices: [{index: 0, delta: {content}}]});
-    this.#fail(index + 1);
+    this.#injectFault(index + 1);
   }
 
   /** @param usage counts for the last event */
@@ -129,7 +129,7 @@
     if (!this.#stalled) this.#res?.write(event);
   }
 
-  #fail(tokens: number): void {
+  #injectFault(tokens: number): void {
     const faults = this.#faults;
     if (tokens === faults.stallAfterTokens) this.#stalled = true;
     if (tokens === faults.cutAfterTokens) this.cut();
--- a/packages/lovagepond-backend/src/backend_http_client.ts
+++ b/packages/lovagepond-backend/src/backend_http_client.ts
@@ -37,7 +37,7 @@
 });
 
 /** A whole answer, or how it was lost. */
-export type WholeOutcome =
+export type BufferedOutcome =
   | {
       readonly kind: 'answered';
       readonly status: number;
@@ -99,11 +99,11 @@
    * @param signal gives it up
    * @returns the answer, or how it was lost; never throws
    */
-  async sendWhole(
+  async sendBuffered(
     request: ExchangeRequest,
     fresh: boolean,
     signal?: AbortSignal,
-  ): Promise<WholeOutcome> {
+  ): Promise<BufferedOutcome> {
     if (signal?.aborted) {
       return {kind: 'lost', loss: LOSS.ABORTED, dispatched: false};
     }
@@ -120,7 +120,7 @@
   }
 
   /**
-   * Like {@link HttpBackendClient.sendWhole} for requests that may run twice:
+   * Like {@link HttpBackendClient.sendBuffered} for requests that may run twice:
    * a loss on a pooled connection is tried once more over a fresh one. A
    * connection that some device in between forgot stays silent for good while
    * new ones work; the server is not to blame before a fresh one fails too.
@@ -128,9 +128,9 @@
    * @param request what to send; idempotent
    * @returns the answer, or how the last try was lost
    */
-  async sendRepeatable(request: ExchangeRequest): Promise<WholeOutcome> {
-    const first = await this.sendWhole(request, false);
-    return first.kind === 'lost' ? this.sendWhole(request, true) : first;
+  async sendIdempotent(request: ExchangeRequest): Promise<BufferedOutcome> {
+    const first = await this.sendBuffered(request, false);
+    return first.kind === 'lost' ? this.sendBuffered(request, true) : first;
   }
 
   /** Ends all connections; what is in flight is lost. */
@@ -152,7 +152,7 @@
     };
   }
 
-  async #collect(exchange: HttpExchange): Promise<WholeOutcome> {
+  async #collect(exchange: HttpExchange): Promise<BufferedOutcome> {
     const chunks: Buffer[] = [];
     let length = 0;
     let status = 0;
--- a/packages/lovagepond-backend/src/backend_http_engine.ts
+++ b/packages/lovagepond-backend/src/backend_http_engine.ts
@@ -20,7 +20,7 @@
 import {
   HttpBackendClient,
   type HttpClientSettings,
-  type WholeOutcome,
+  type BufferedOutcome,
 } from './backend_http_client.js';
 import {type ExchangeRequest, LOSS} from './backend_http_exchange.js';
 import {HttpEngineRun} from './backend_http_run.js';
@@ -50,9 +50,9 @@
 const HTTP_NOT_FOUND = 404;
 const TRANSFER_CONNECTIONS = 4;
 
-type Answer = Extract<WholeOutcome, {kind: 'answered'}>;
+type Answer = Extract<BufferedOutcome, {kind: 'answered'}>;
 
-function refuse(
+function failed(
   kind: ErrorKind,
   message?: string,
 ): {
@@ -63,22 +63,22 @@
   return {ok: false, failure: makeFailure(kind, details)};
 }
 
-function expectOk(outcome: WholeOutcome): Result<Answer> {
+function expectOk(outcome: BufferedOutcome): Result<Answer> {
   if (outcome.kind === 'tooLarge') {
-    return refuse('backendFailed', 'The answer is larger than allowed.');
+    return failed('backendFailed', 'The answer is larger than allowed.');
   }
   if (outcome.kind === 'lost') {
-    if (!outcome.dispatched) return refuse('unreachable');
+    if (!outcome.dispatched) return failed('unreachable');
     const silent = outcome.loss === LOSS.SILENT;
-    return refuse(silent ? 'backendSilent' : 'backendFailed');
+    return failed(silent ? 'backendSilent' : 'backendFailed');
   }
   if (outcome.status === HTTP_OK) return {ok: true, value: outcome};
-  if (outcome.status === HTTP_NOT_FOUND) return refuse('notFound');
-  return refuse('backendFailed', `The engine answered ${outcome.status}.`);
+  if (outcome.status === HTTP_NOT_FOUND) return failed('notFound');
+  return failed('backendFailed', `The engine answered ${outcome.status}.`);
 }
 
 function readJson<Value>(
-  outcome: WholeOutcome,
+  outcome: BufferedOutcome,
   schema: z.ZodType<Value>,
 ): Result<Value> {
   const answer = expectOk(outcome);
@@ -89,7 +89,7 @@
   } catch {
     // Falls through to the failure below.
   }
-  return refuse('backendFailed', 'The engine sent JSON of another shape.');
+  return failed('backendFailed', 'The engine sent JSON of another shape.');
 }
 
 function cachePath(key: CacheKey): string {
@@ -141,7 +141,7 @@
       if (this.#runs.get(request.requestId) === run) {
         this.#runs.delete(request.requestId);
       }
-      if (run.givenUp) this.#tellCancel(request.requestId);
+      if (run.isAbandoned) this.#sendCancel(request.requestId);
     }
   }
 
@@ -150,7 +150,7 @@
   }
 
   async exportCache(key: CacheKey): Promise<Result<ExportedCache>> {
-    const outcome = await this.#transfers.sendRepeatable(
+    const outcome = await this.#transfers.sendIdempotent(
       this.#request('GET', cachePath(key)),
     );
     const answer = expectOk(outcome);
@@ -160,14 +160,14 @@
     if (Number.isSafeInteger(tokens) && tokens > 0) {
       return {ok: true, value: {tokens, bytes: body}};
     }
-    return refuse('backendFailed', 'The engine told no length of the context.');
+    return failed('backendFailed', 'The engine told no length of the context.');
   }
 
   async importCache(
     key: CacheKey,
     cache: ExportedCache,
   ): Promise<Result<boolean>> {
-    const outcome = await this.#transfers.sendRepeatable({
+    const outcome = await this.#transfers.sendIdempotent({
       ...this.#request('PUT', cachePath(key)),
       headers: {
         'content-type': 'application/octet-stream',
@@ -194,14 +194,14 @@
   }
 
   async loadReport(now: number): Promise<Result<LoadReport>> {
-    const outcome = await this.#client.sendRepeatable(
+    const outcome = await this.#client.sendIdempotent(
       this.#request('GET', ENGINE_PATH.LOAD),
     );
     const parsed = readJson(outcome, loadSchema);
     if (!parsed.ok) return parsed;
     const load = parsed.value;
     for (const subscription of this.#subscriptions.keys()) {
-      subscription.noteIncarnation(load.incarnation);
+      subscription.updateIncarnation(load.incarnation);
     }
     return {
       ok: true,
@@ -225,7 +225,7 @@
       action: order.action,
       arguments: order.arguments,
     };
-    const outcome = await this.#client.sendRepeatable({
+    const outcome = await this.#client.sendIdempotent({
       ...this.#request('POST', ENGINE_PATH.ORDERS),
       headers: {'content-type': 'application/json'},
       body: Buffer.from(JSON.stringify(body)),
@@ -245,8 +245,8 @@
     return {method, path, headers: {}, silenceMs};
   }
 
-  #tellCancel(requestId: string): void {
+  #sendCancel(requestId: string): void {
     const path = ENGINE_PATH.REQUESTS + encodeURIComponent(requestId);
-    void this.#client.sendRepeatable(this.#request('DELETE', path));
+    void this.#client.sendIdempotent(this.#request('DELETE', path));
   }
 }
--- a/packages/lovagepond-backend/src/backend_http_exchange.ts
+++ b/packages/lovagepond-backend/src/backend_http_exchange.ts
@@ -60,7 +60,7 @@
 export class HttpExchange implements Dispatcher.DispatchHandler {
   readonly #events: ExchangeEvent[] = [];
   #controller: Dispatcher.DispatchController | undefined;
-  #wake: (() => void) | undefined;
+  #notifyReader: (() => void) | undefined;
   #keptBytes = 0;
   #dispatched = false;
   #ended = false;
@@ -82,7 +82,7 @@
     try {
       dispatcher.dispatch(options, this);
     } catch {
-      this.#lose(LOSS.UNREACHABLE);
+      this.#fail(LOSS.UNREACHABLE);
     }
   }
 
@@ -96,7 +96,7 @@
     if (this.#ended) return;
     this.#aborted = true;
     this.#controller?.abort(new Error('given up'));
-    this.#lose(LOSS.ABORTED);
+    this.#fail(LOSS.ABORTED);
   }
 
   /**
@@ -115,7 +115,7 @@
         const event = this.#events.shift();
         if (!event) {
           if (this.#ended) return;
-          await new Promise<void>(resolve => (this.#wake = resolve));
+          await new Promise<void>(resolve => (this.#notifyReader = resolve));
           continue;
         }
         if (event.kind === 'chunk') this.#release(event.bytes.length);
@@ -133,7 +133,7 @@
     // which is the truth.
     if (this.#dispatched || this.#aborted) {
       controller.abort(new Error('sent only once'));
-      this.#lose(this.#aborted ? LOSS.ABORTED : LOSS.BROKEN);
+      this.#fail(this.#aborted ? LOSS.ABORTED : LOSS.BROKEN);
       return;
     }
     this.#controller = controller;
@@ -174,8 +174,8 @@
     _controller: Dispatcher.DispatchController,
     err: NodeJS.ErrnoException,
   ): void {
-    if (!this.#dispatched) this.#lose(LOSS.UNREACHABLE);
-    else this.#lose(lossOf(err));
+    if (!this.#dispatched) this.#fail(LOSS.UNREACHABLE);
+    else this.#fail(lossOf(err));
   }
 
   #release(bytes: number): void {
@@ -185,7 +185,7 @@
     if (paused && this.#keptBytes <= MAX_KEPT_BYTES) this.#controller?.resume();
   }
 
-  #lose(loss: Loss): void {
+  #fail(loss: Loss): void {
     if (this.#ended) return;
     this.#push({kind: 'lost', loss, dispatched: this.#dispatched});
     this.#ended = true;
@@ -194,8 +194,8 @@
   #push(event: ExchangeEvent): void {
     if (this.#ended) return;
     this.#events.push(event);
-    this.#wake?.();
-    this.#wake = undefined;
+    this.#notifyReader?.();
+    this.#notifyReader = undefined;
   }
 }
 
--- a/packages/lovagepond-backend/src/backend_http_run.ts
+++ b/packages/lovagepond-backend/src/backend_http_run.ts
@@ -3,7 +3,7 @@
  */
 import {type IncomingHttpHeaders} from 'node:http';
 import {type ErrorKind, type Failure, makeFailure} from '@lovagepond/core';
-import {AnswerAssembly, askToStream} from './backend_answer_assembly.js';
+import {AnswerAssembly, toStreamingRequest} from './backend_answer_assembly.js';
 import {AnswerCheck} from './backend_answer_check.js';
 import {ENGINE_HEADER} from './backend_engine_protocol.js';
 import {EventParser} from './backend_event_parser.js';
@@ -43,12 +43,12 @@
 };
 
 /** How one connection's part of the run ended. */
-type PartEnd =
+type ConnectionOutcome =
   | {readonly kind: 'whole'}
   | {readonly kind: 'failed'; readonly failure: Failure}
   | {readonly kind: 'lost'; readonly loss: Loss | 'truncated'};
 
-function refuseResume(reconnected: boolean): PartEnd {
+function refuseResume(reconnected: boolean): ConnectionOutcome {
   if (reconnected) return {kind: 'lost', loss: 'truncated'};
   return {kind: 'failed', failure: makeFailure('answerTruncated')};
 }
@@ -61,7 +61,7 @@
   readonly #parser = new EventParser(MAX_EVENT_BYTES);
   readonly #assembly: AnswerAssembly | undefined;
   #exchange: HttpExchange | undefined;
-  #ending: ErrorKind | undefined;
+  #abortKind: ErrorKind | undefined;
   /** Bytes of the engine's events taken so far. */
   #received: number;
   /** Bytes of the answer yielded so far. */
@@ -84,86 +84,88 @@
   }
 
   /** True when the engine may still work on a run that nobody wants. */
-  get givenUp(): boolean {
-    const unwanted = this.#ending !== undefined || !this.#concluded;
+  get isAbandoned(): boolean {
+    const unwanted = this.#abortKind !== undefined || !this.#concluded;
     return this.#dispatched && unwanted;
   }
 
   /** @param kind what the run fails with when it has been dispatched */
   abort(kind: ErrorKind): void {
-    this.#ending ??= kind;
+    this.#abortKind ??= kind;
     this.#exchange?.abort();
   }
 
   /** @returns the run's events */
   async *events(): AsyncGenerator<EngineEvent, void> {
     const body = this.#assembly
-      ? askToStream(this.#request.body)
+      ? toStreamingRequest(this.#request.body)
       : this.#request.body;
     if (!body) {
       yield this.#failure('badRequest');
       return;
     }
-    let end = yield* this.#part(body, false);
+    let end = yield* this.#runConnection(body, false);
     // The connection may be at fault and not the engine: a device in between
     // that has forgotten it leaves it silent for good. A fresh one goes on
     // from the delivered offset. The engine knows the request by its id and
     // refuses what it can't continue, so two generations are never spliced.
-    if (end.kind === 'lost' && this.#mayGoOn()) {
+    if (end.kind === 'lost' && this.#canResume()) {
       this.#parser.reset();
-      const second = yield* this.#part(body, true);
+      const second = yield* this.#runConnection(body, true);
       if (second.kind !== 'lost') end = second;
     }
     this.#concluded = true;
     yield* this.#conclude(end);
   }
 
-  #mayGoOn(): boolean {
-    return this.#dispatched && this.#ending === undefined;
+  #canResume(): boolean {
+    return this.#dispatched && this.#abortKind === undefined;
   }
 
-  *#conclude(end: PartEnd): Generator<EngineEvent, void> {
+  *#conclude(end: ConnectionOutcome): Generator<EngineEvent, void> {
     if (end.kind === 'whole') {
-      if (this.#assembly) yield* this.#dataOf(this.#assembly.encode());
+      if (this.#assembly) yield* this.#dataEvents(this.#assembly.encode());
       const {usage} = this.#check;
       yield {kind: 'end', totalBytes: this.#offset, usage};
     } else if (end.kind === 'failed') {
       yield {kind: 'failed', failure: end.failure};
     } else if (!this.#dispatched) {
-      yield this.#failure(NOT_DISPATCHED[this.#ending ?? ''] ?? 'unreachable');
+      yield this.#failure(
+        NOT_DISPATCHED[this.#abortKind ?? ''] ?? 'unreachable',
+      );
     } else {
-      yield this.#failure(this.#ending ?? LOSS_KINDS[end.loss]);
+      yield this.#failure(this.#abortKind ?? LOSS_KINDS[end.loss]);
     }
   }
 
-  async *#part(
+  async *#runConnection(
     body: Uint8Array,
     fresh: boolean,
-  ): AsyncGenerator<EngineEvent, PartEnd> {
-    if (this.#ending) return {kind: 'lost', loss: LOSS.ABORTED};
-    const former = this.#dispatched;
+  ): AsyncGenerator<EngineEvent, ConnectionOutcome> {
+    if (this.#abortKind) return {kind: 'lost', loss: LOSS.ABORTED};
+    const isRetry = this.#dispatched;
     const exchange = this.#send(body, fresh);
     let status = 0;
     const refusal: Buffer[] = [];
     for await (const event of exchange.events()) {
-      if (event.kind === 'dispatched' && !former) {
+      if (event.kind === 'dispatched' && !isRetry) {
         this.#dispatched = true;
         yield {kind: 'dispatched'};
       } else if (event.kind === 'head') {
         status = event.status;
-        if (!this.#agrees(event.headers)) return refuseResume(former);
+        if (!this.#confirmsOffset(event.headers)) return refuseResume(isRetry);
       } else if (event.kind === 'lost') {
         return {kind: 'lost', loss: event.loss};
       } else if (event.kind === 'chunk' && status !== HTTP_OK) {
         if (refusal.length === 0) refusal.push(event.bytes);
       } else if (event.kind === 'chunk') {
-        const end = yield* this.#take(event.bytes);
+        const end = yield* this.#processChunk(event.bytes);
         if (end?.kind === 'whole') exchange.detach();
         if (end) return end;
       }
     }
     if (status === HTTP_OK) return {kind: 'lost', loss: 'truncated'};
-    return this.#refused(status, Buffer.concat(refusal), former);
+    return this.#handleErrorStatus(status, Buffer.concat(refusal), isRetry);
   }
 
   /**
@@ -171,7 +173,7 @@
    * send its first bytes once more: the caller would read two generations as
    * one answer. Only one that repeats the offset goes on with the same one.
    */
-  #agrees(headers: IncomingHttpHeaders): boolean {
+  #confirmsOffset(headers: IncomingHttpHeaders): boolean {
     if (this.#received === 0) return true;
     return headers[ENGINE_HEADER.RESUME_FROM] === String(this.#received);
   }
@@ -200,13 +202,15 @@
     return exchange;
   }
 
-  *#take(bytes: Buffer): Generator<EngineEvent, PartEnd | undefined> {
+  *#processChunk(
+    bytes: Buffer,
+  ): Generator<EngineEvent, ConnectionOutcome | undefined> {
     const events = this.#parser.push(bytes);
-    if (!events) return this.#broken('An event is larger than allowed.');
+    if (!events) return this.#engineFailed('An event is larger than allowed.');
     for (const event of events) {
       // A cancelled run passes nothing on, however late its answer comes.
-      if (this.#ending) return {kind: 'lost', loss: LOSS.ABORTED};
-      const verdict = this.#check.judge(event);
+      if (this.#abortKind) return {kind: 'lost', loss: LOSS.ABORTED};
+      const verdict = this.#check.inspect(event);
       if (verdict.kind === 'fail') {
         return {kind: 'failed', failure: verdict.failure};
       }
@@ -215,11 +219,11 @@
       if (!this.#started) yield this.#start();
       this.#received += event.bytes.length;
       if (!this.#assembly) {
-        yield* this.#dataOf(event.bytes);
+        yield* this.#dataEvents(event.bytes);
         continue;
       }
       if (this.#received > MAX_WHOLE_BYTES) {
-        return this.#broken('The answer is larger than allowed.');
+        return this.#engineFailed('The answer is larger than allowed.');
       }
       this.#assembly.add(verdict.content);
     }
@@ -236,7 +240,7 @@
     };
   }
 
-  *#dataOf(bytes: Buffer): Generator<EngineEvent, void> {
+  *#dataEvents(bytes: Buffer): Generator<EngineEvent, void> {
     for (let at = 0; at < bytes.length; at += WHOLE_CHUNK_BYTES) {
       const part = bytes.subarray(at, at + WHOLE_CHUNK_BYTES);
       yield {kind: 'data', offset: this.#offset, bytes: part};
@@ -244,21 +248,25 @@
     }
   }
 
-  #broken(message: string): PartEnd {
+  #engineFailed(message: string): ConnectionOutcome {
     return {
       kind: 'failed',
       failure: makeFailure('backendFailed', {message}),
     };
   }
 
-  #refused(status: number, body: Buffer, former: boolean): PartEnd {
+  #handleErrorStatus(
+    status: number,
+    body: Buffer,
+    isRetry: boolean,
+  ): ConnectionOutcome {
     const text = body.toString('utf8', 0, MAX_ERROR_BYTES);
     const message = `The engine answered ${status}: ${text}`;
     // A refusal speaks only for the connection it came on. When the request
     // went out on another one before, it may have run there.
-    if (former) return {kind: 'lost', loss: LOSS.BROKEN};
+    if (isRetry) return {kind: 'lost', loss: LOSS.BROKEN};
     const kind = REFUSALS[status];
-    if (kind === undefined) return this.#broken(message);
+    if (kind === undefined) return this.#engineFailed(message);
     return {kind: 'failed', failure: makeFailure(kind, {message})};
   }
 
--- a/packages/lovagepond-backend/src/backend_http_service.ts
+++ b/packages/lovagepond-backend/src/backend_http_service.ts
@@ -5,7 +5,7 @@
 import {
   HttpBackendClient,
   type HttpClientSettings,
-  type WholeOutcome,
+  type BufferedOutcome,
 } from './backend_http_client.js';
 import {type Loss, LOSS} from './backend_http_exchange.js';
 import {
@@ -54,7 +54,7 @@
 function isDelimited({
   status,
   headers,
-}: Extract<WholeOutcome, {kind: 'answered'}>): boolean {
+}: Extract<BufferedOutcome, {kind: 'answered'}>): boolean {
   if (status === HTTP_NO_CONTENT) return true;
   const chunked = headers['transfer-encoding'] !== undefined;
   return chunked || headers['content-length'] !== undefined;
@@ -87,13 +87,13 @@
     clearTimeout(timer);
     signal?.removeEventListener('abort', abort);
     const byDeadline = limit.signal.aborted && signal?.aborted !== true;
-    return this.#judge(request, outcome, byDeadline);
+    return this.#toOutcome(request, outcome, byDeadline);
   }
 
   async probe(): Promise<boolean> {
     const {silenceMs} = this.#client.settings;
     const request = {method: 'GET', path: '/', headers: {}, silenceMs} as const;
-    const outcome = await this.#client.sendWhole(request, true);
+    const outcome = await this.#client.sendBuffered(request, true);
     return outcome.kind !== 'lost';
   }
 
@@ -101,7 +101,10 @@
     return this.#client.close();
   }
 
-  #send(request: ServiceRequest, signal: AbortSignal): Promise<WholeOutcome> {
+  #send(
+    request: ServiceRequest,
+    signal: AbortSignal,
+  ): Promise<BufferedOutcome> {
     const exchange = {
       method: 'POST',
       path: request.path,
@@ -112,12 +115,12 @@
     // A pooled connection that the service closes in the same moment loses the
     // call after its bytes left: it may have run, and nobody may repeat it. A
     // fresh connection proves that the service is there before a byte leaves.
-    return this.#client.sendWhole(exchange, request.nonRepeatable, signal);
+    return this.#client.sendBuffered(exchange, request.nonRepeatable, signal);
   }
 
-  #judge(
+  #toOutcome(
     request: ServiceRequest,
-    outcome: WholeOutcome,
+    outcome: BufferedOutcome,
     byDeadline: boolean,
   ): ServiceOutcome {
     if (outcome.kind === 'tooLarge') {
--- a/packages/lovagepond-measure/src/caller_measure.ts
+++ b/packages/lovagepond-measure/src/caller_measure.ts
@@ -206,7 +206,7 @@
   const chunk = Buffer.from(makeEvent('request-0', 0));
   const start = process.cpuUsage();
   for (let i = 0; i < CHECKED_EVENTS; i += 1) {
-    for (const event of parser.push(chunk) ?? []) check.judge(event);
+    for (const event of parser.push(chunk) ?? []) check.inspect(event);
   }
   return cpuMicros(start) / CHECKED_EVENTS;
 }
