--- a/packages/lovagepond-backend/src/__tests__/unit/backend_event_stream.test.ts
+++ b/packages/lovagepond-backend/src/__tests__/unit/backend_event_stream.test.ts
@@ -14,7 +14,7 @@
 
 const LIMIT = 1_000;
 
-test('finds the same events however the bytes are cut', () => {
+test('parses the same events however the bytes are split into chunks', () => {
   const text =
     'data: {"a":"ü"}\n\n: beat\r\n\r\nevent: x\ndata: 1\ndata: 2\n\n';
   const bytes = Buffer.from(text);
@@ -35,36 +35,36 @@
   fc.assert(property, {seed: SEED});
 });
 
-test('an event without an end is not kept beyond the limit', () => {
+test('an incomplete event is not buffered beyond the limit', () => {
   const parser = new EventParser(LIMIT);
   expect(parser.push(Buffer.alloc(LIMIT, 'x'))).toEqual([]);
   expect(parser.push(Buffer.from('x'))).toBeUndefined();
 });
 
-test('passes on only own events, and calls only a finished answer whole', () => {
-  const judge = (check: AnswerCheck, data: string, name = ''): string => {
+test('forwards only events of its request, and accepts only a finished answer', () => {
+  const inspect = (check: AnswerCheck, data: string, name = ''): string => {
     const verdict = check.inspect({bytes: Buffer.alloc(0), name, data});
     return verdict.kind === 'fail' ? verdict.failure.kind : verdict.kind;
   };
   const finish = '{"id":"chatcmpl-r","choices":[{"finish_reason":"stop"}]}';
-  expect(judge(new AnswerCheck('r'), '[DONE]')).toBe('answerTruncated');
-  expect(judge(new AnswerCheck('r'), '{"id":"r2"}')).toBe('backendFailed');
-  expect(judge(new AnswerCheck('r'), '{"choices":[]}')).toBe('backendFailed');
-  expect(judge(new AnswerCheck('r'), '{"id":"r"}', 'error')).toBe(
+  expect(inspect(new AnswerCheck('r'), '[DONE]')).toBe('answerTruncated');
+  expect(inspect(new AnswerCheck('r'), '{"id":"r2"}')).toBe('backendFailed');
+  expect(inspect(new AnswerCheck('r'), '{"choices":[]}')).toBe('backendFailed');
+  expect(inspect(new AnswerCheck('r'), '{"id":"r"}', 'error')).toBe(
     'backendFailed',
   );
-  expect(judge(new AnswerCheck('r'), 'oops')).toBe('backendFailed');
+  expect(inspect(new AnswerCheck('r'), 'oops')).toBe('backendFailed');
   const check = new AnswerCheck('r');
-  expect(['', finish, '[DONE]'].map(data => judge(check, data))).toEqual([
+  expect(['', finish, '[DONE]'].map(data => inspect(check, data))).toEqual([
     'skip',
     'pass',
     'whole',
   ]);
 });
 
-test('no lost cache event stays unnoticed', () => {
-  // Events are lost, doubled and reordered on their way. Before a listener
-  // hears of an event, it has heard of all earlier ones, or of a gap since.
+test('every lost cache event is detected', () => {
+  // Events are lost, duplicated and reordered. Before a listener gets an event,
+  // it has got all earlier events or a gap.
   const arrivals = fc.array(fc.integer({min: 1, max: 30}), {maxLength: 40});
   const property = fc.property(arrivals, sequences => {
     const follower = new CacheSequence();
@@ -85,7 +85,7 @@
   fc.assert(property, {seed: SEED});
 });
 
-test('joins the pieces of a message, tool calls included', () => {
+test('merges the pieces of a message, including tool calls', () => {
   const message = {};
   mergeDelta(message, {role: 'assistant', content: 'Hel'});
   mergeDelta(message, {content: 'lo', role: 'assistant'});
@@ -100,9 +100,9 @@
   });
 });
 
-test('an answer that nobody takes holds the server back', async () => {
-  // The caller reads slowly, so the sidecar takes nothing for a while. The
-  // server must be made to wait; else its whole answer piles up here.
+test('an answer that nobody reads applies backpressure to the server', async () => {
+  // The caller reads slowly, so the sidecar reads nothing for a while. Without
+  // backpressure the complete answer would be buffered in the sidecar.
   const sockets: Socket[] = [];
   const server = createServer((_req, res) => {
     const chunk = Buffer.alloc(64 * 1024);
@@ -131,17 +131,17 @@
       return still;
     })
     .toBe(true);
-  // The kernel's buffers on both ends of the loopback take some of it.
+  // The kernel's buffers on both ends of the loopback hold part of the answer.
   expect(former).toBeLessThan(32 * 1024 * 1024);
   exchange.abort();
   await client.close();
   server.close();
 });
 
-test('a request that the library sends again is broken off', async () => {
-  // The HTTP library puts a request whose connection was reset back into its
-  // queue and starts it on the next one. The service may have run the first;
-  // the second start must not write a byte, and the outcome must stay open.
+test('a request that the HTTP library sends again is aborted', async () => {
+  // After a connection reset the HTTP library queues the request again and
+  // starts it on the next connection. The service may have run the first one,
+  // so the second start must not write a byte, and the outcome must be unknown.
   const aborts: string[] = [];
   const controller = (name: string): Dispatcher.DispatchController =>
     ({abort: () => aborts.push(name)}) as never;
--- a/packages/lovagepond-backend/src/__tests__/unit/backend_fake_engine.test.ts
+++ b/packages/lovagepond-backend/src/__tests__/unit/backend_fake_engine.test.ts
@@ -24,19 +24,20 @@
   return Object.fromEntries(finished.map(item => [item.requestId, item.at]));
 }
 
-test('answers a warm chat sooner, by the prompt it need not read', () => {
+test('answers a cached chat faster, without prefill of its prompt', () => {
   const engine = makeEngine();
   const prompt = {promptTokens: 8_000};
   engine.submit(job('a', {chat: 'c', ...prompt}), 0);
   const cold = finishTimes(engine.advance(60_000))['a']!;
   engine.submit(job('b', {chat: 'c', ...prompt}), 100_000);
   const warm = finishTimes(engine.advance(200_000))['b']! - 100_000;
-  // 8,000 tokens at 8,000 a second, against 10 steps of 20 ms.
+  // Prefill of 8,000 tokens at 8,000 per second, compared with 10 decode steps
+  // of 20 ms.
   expect(cold).toBeGreaterThan(1_000);
   expect(warm).toBeCloseTo(200, 0);
 });
 
-test('batches: ten requests together cost far less than ten in turn', () => {
+test('batches: ten requests at once take far less time than ten in sequence', () => {
   const engine = makeEngine();
   engine.submit(job('0', {promptTokens: 1}), 0);
   const alone = finishTimes(engine.advance(1e6))['0']!;
@@ -47,7 +48,7 @@
   expect(last - 1e6).toBeLessThan(2 * alone);
 });
 
-test('takes the higher priority first, and cancels what waits', () => {
+test('runs higher priorities first, and cancels waiting requests', () => {
   const engine = makeEngine({maxRequests: 1});
   engine.submit(job('running'), 0);
   engine.submit(job('low', {priority: 1}), 0);
@@ -59,7 +60,7 @@
   expect(engine.outstandingTokens).toBe(0);
 });
 
-test('evicts the least recently used chat, and tells it late', () => {
+test('evicts the least recently used chat, and publishes this with a delay', () => {
   const engine = makeEngine({cacheTokens: 2_500, cacheEventLagMs: 200});
   for (const chat of ['a', 'b']) engine.submit(job(chat), 0);
   engine.advance(10_000);
@@ -77,7 +78,7 @@
   ]);
 });
 
-test('reports its load as it was a while ago', () => {
+test('reports its load with a delay', () => {
   const engine = makeEngine({loadLagMs: 500});
   engine.submit(job('a', {promptTokens: 100_000}), 1_000);
   expect(engine.loadReport(1_400).runningTokens).toBe(0);
@@ -86,7 +87,7 @@
   expect(engine.loadReport(1_500).runningTokens).toBe(0);
 });
 
-test('whatever happens, every request left finishes with all its tokens', () => {
+test('every request that is not cancelled finishes with all its tokens', () => {
   const command = fc.record({
     at: fc.integer({min: 0, max: 2_000}),
     chat: fc.integer({min: 0, max: 5}),
--- a/packages/lovagepond-backend/src/__tests__/unit/backend_http_engine.test.ts
+++ b/packages/lovagepond-backend/src/__tests__/unit/backend_http_engine.test.ts
@@ -13,7 +13,7 @@
 
 afterEach(cleanUp);
 
-test('streams an answer, and finds the context warm the next time', async () => {
+test('streams an answer, and uses the cached context for the next one', async () => {
   const server = await startEngine();
   const engine = connectEngine(server.address);
   const first = await collect(engine, completion('r1'));
@@ -31,7 +31,7 @@
   expect(JSON.stringify(second.last)).not.toContain('"cachedTokens":0');
 });
 
-test('makes one JSON answer when no stream is wanted', async () => {
+test('returns one JSON answer to a non-streaming request', async () => {
   const server = await startEngine();
   const engine = connectEngine(server.address);
   const {text, last} = await collect(engine, completion('r1', {stream: false}));
@@ -50,10 +50,10 @@
   expect(last).toMatchObject({kind: 'end', totalBytes: text.length});
 });
 
-test('goes on over a fresh connection when the old one breaks', async () => {
-  // The connection breaks after 7 tokens, while the engine still makes the
-  // answer. The caller sees one answer: the adapter asks the engine to go on
-  // from the delivered byte, and nothing is lost, doubled or made twice.
+test('resumes over a new connection when the old one breaks', async () => {
+  // The connection breaks after 7 tokens, while the engine still generates the
+  // answer. The adapter resumes from the delivered offset. The caller gets one
+  // answer, in which nothing is lost, duplicated or generated twice.
   const server = await startEngine();
   server.setFaults({cutAfterTokens: 7});
   const engine = connectEngine(server.address);
@@ -72,10 +72,10 @@
   expect(server.counters).toMatchObject({requests: 2, resumes: 2});
 });
 
-test('an engine that begins anew in place of going on is not believed', async () => {
-  // The connection breaks after the first event. The engine knows nothing of
+test('an answer that starts again instead of resuming is rejected', async () => {
+  // The connection breaks after the first event. The engine does not support
   // resuming: it ignores the offset and sends a new generation from its start.
-  // Joined to the first, the caller would read a text that no engine wrote.
+  // Appended to the first one, it would give a text that no engine generated.
   const chunk = (text: string): string =>
     `data: {"id":"r1","choices":[{"delta":{"content":"${text}"},` +
     '"finish_reason":"stop"}]}\n\n';
@@ -89,9 +89,9 @@
   expect(last).toMatchObject({failure: {kind: 'backendFailed'}});
 });
 
-test('goes on when an answer stalls on a connection that stays', async () => {
-  // Something between the two ends has lost track of the connection: it never
-  // closes and nothing comes any more, while new ones work.
+test('resumes when an answer stalls on an open connection', async () => {
+  // A device on the network path has dropped the connection's state: it stays
+  // open but nothing arrives any more, while new connections work.
   const server = await startEngine();
   server.setFaults({stallAfterTokens: 5});
   const engine = connectEngine(server.address);
@@ -100,10 +100,10 @@
   expect(last.kind).toBe('end');
 });
 
-test('a silent pooled connection is not held against the engine', async () => {
-  // A connection that idled in the pool has gone silent for good. The request
-  // written to it is never answered; a fresh connection must serve it, and
-  // load reports and orders must get through as well.
+test('a silent pooled connection does not count as an engine failure', async () => {
+  // An idle connection in the pool has become silent forever. The request sent
+  // on it is never answered; a new connection must serve it, and load reports
+  // and orders must succeed as well.
   const server = await startEngine();
   const engine = connectEngine(server.address, {maxConnections: 1});
   await collect(engine, completion('r1'));
@@ -115,9 +115,9 @@
   expect((await engine.loadReport(clock.now())).ok).toBe(true);
 });
 
-test('an answer that ends without its marker is never whole', async () => {
-  // The stream ends cleanly after 4 tokens: HTTP calls that complete. Only the
-  // missing end marker tells that there should have been more.
+test('an answer without its end marker is never complete', async () => {
+  // The stream ends cleanly after 4 tokens, which is complete in terms of HTTP.
+  // Only the missing end marker shows that the answer is truncated.
   const server = await startEngine();
   server.setFaults({truncateAfterTokens: 4});
   const engine = connectEngine(server.address);
@@ -129,10 +129,10 @@
   }
 });
 
-test('a restarted engine ends its answers, and its report tells', async () => {
-  // The engine dies amid an answer and comes back at once, empty. What it had
-  // delivered belongs to a generation that is gone; the new engine must not
-  // be asked to make up the rest.
+test('a restarted engine fails its answers, and its load report shows it', async () => {
+  // The engine crashes during an answer and restarts at once without its state.
+  // The delivered part belongs to a lost generation, so the answer must not be
+  // completed by the restarted engine.
   const server = await startEngine();
   const engine = connectEngine(server.address);
   const before = await engine.loadReport(clock.now());
@@ -156,9 +156,9 @@
   ]);
 });
 
-test('a cancelled run passes nothing on, and the engine is told', async () => {
-  // The caller goes away while the engine answers. Tokens that come after the
-  // cancellation are dropped, and the engine stops working for nobody.
+test('a cancelled run forwards nothing, and the engine gets a cancellation', async () => {
+  // The caller disconnects while the engine answers. Tokens that arrive after
+  // the cancellation are dropped, and the engine stops its work.
   const server = await startEngine({stepMs: 5});
   const engine = connectEngine(server.address);
   let dataAfterCancel = 0;
@@ -175,9 +175,9 @@
   expect(server.engine.outstandingTokens).toBe(0);
 });
 
-test('drops what came with the event at which a run was cancelled', async () => {
-  // Two events come in one segment. The caller goes away at the first; the
-  // second is already here, and still must not be passed on.
+test('drops events that arrived together with the last one before a cancel', async () => {
+  // Two events arrive in one segment. The caller disconnects at the first one.
+  // The second one is already received but must not be forwarded.
   const event = 'data: {"id":"r1","choices":[{"delta":{"content":"x"}}]}\n\n';
   const head = 'HTTP/1.1 200 OK\r\ncontent-length: 9000\r\n\r\n';
   const engine = connectEngine(await startRawServer(head + event + event));
@@ -188,7 +188,7 @@
   expect(events.at(-1)).toMatchObject({failure: {kind: 'callerGone'}});
 });
 
-test('ends at the deadline, and drops what comes later', async () => {
+test('fails at the deadline, and drops later events', async () => {
   const server = await startEngine();
   server.setFaults({answerDelayMs: 300});
   const engine = connectEngine(server.address);
@@ -198,14 +198,14 @@
   expect(events[1]).toMatchObject({failure: {kind: 'deadlineExceeded'}});
 });
 
-test('a deadline that lies far ahead ends nothing', async () => {
+test('a deadline in the far future does not abort a run', async () => {
   const server = await startEngine();
   const engine = connectEngine(server.address);
   const {last} = await collect(engine, completion('r1', {deadline: Infinity}));
   expect(last.kind).toBe('end');
 });
 
-test('tells what was not run from what may have run', async () => {
+test('distinguishes requests that were not run from those that may have run', async () => {
   const server = await startEngine();
   const engine = connectEngine(server.address);
   server.setFaults({refuse: true});
@@ -214,7 +214,8 @@
   const unknown = await collect(engine, completion('r2', {resumeFrom: 10}));
   expect(unknown.last).toMatchObject({failure: {kind: 'answerTruncated'}});
   await server.stop();
-  // Without a pooled connection: one that broke unnoticed takes bytes.
+  // A new client without pooled connections, as bytes can still be written to
+  // one whose end was not noticed yet.
   const freshClient = connectEngine(server.address);
   const gone = await collect(freshClient, completion('r3'));
   expect(gone.events).toEqual([
@@ -222,9 +223,9 @@
   ]);
 });
 
-test('an engine that dies for good may have run the request', async () => {
-  // The first connection breaks after the request went out, the fresh one is
-  // refused. "Unreachable" would say that it was not run; it may have.
+test('an engine that crashes for good may have run the request', async () => {
+  // The first connection breaks after the request was sent, and the new one is
+  // refused. "unreachable" would mean that it was not run, but it may have run.
   const server = await startEngine();
   const engine = connectEngine(server.address);
   let stopped: Promise<void> | undefined;
@@ -235,10 +236,10 @@
   expect(last).toMatchObject({failure: {kind: 'backendFailed'}});
 });
 
-test('tells of lost cache events and of a restart by a gap', async () => {
-  // Event 2 is lost, and so is event 4, after which nothing happens for long.
-  // Whatever they said, the listener must learn that something is missing:
-  // before it hears of event 3, and by the engine's position alone after it.
+test('reports lost cache events and a restart as a gap', async () => {
+  // Event 2 is lost, and so is event 4, which no other event follows for long.
+  // The listener must get a gap for each: for event 2 before it gets event 3,
+  // and for event 4 from the engine's position alone.
   const server = await startEngine();
   const engine = connectEngine(server.address);
   const received: string[] = [];
@@ -259,9 +260,10 @@
   await expect.poll(() => received).toEqual([...wanted, 'gap 0']);
 });
 
-test('cache events go on after their connection went silent', async () => {
-  // The connection that carries the events is forgotten by something in
-  // between. The events made meanwhile are asked for again, so none is lost.
+test('cache events continue after their connection became silent', async () => {
+  // A device on the network path has dropped the state of the connection that
+  // carries the events. After a reconnect the engine sends the events since the
+  // last received one, so none is lost.
   const server = await startEngine();
   const engine = connectEngine(server.address);
   const received: string[] = [];
@@ -277,7 +279,7 @@
     .toEqual(['stored 1', 'stored 2']);
 });
 
-test('moves a KV cache, and passes orders with their fencing', async () => {
+test('moves a KV cache, and sends orders with fencing tokens', async () => {
   const servers = [await startEngine(), await startEngine()];
   const [from, to] = servers.map(server => connectEngine(server.address));
   const key = {workspace: 'shop', chat: 'c1'};
--- a/packages/lovagepond-backend/src/__tests__/unit/backend_http_service.test.ts
+++ b/packages/lovagepond-backend/src/__tests__/unit/backend_http_service.test.ts
@@ -19,7 +19,7 @@
   return `${kind} ${answerFor(kind).disposition}`;
 }
 
-test('calls once and gives the answer as it is', async () => {
+test('sends a call once and returns its answer unchanged', async () => {
   const server = await startService();
   const service = connectService(server.address);
   const call = serviceCall('r1', {idempotencyKey: 'k1'});
@@ -33,10 +33,10 @@
   expect(await service.probe()).toBe(true);
 });
 
-test('a lost call is "not run" only when no byte of it left', async () => {
-  // A redemption goes wrong at each place it can. Whenever the service may
-  // have seen it, the outcome says so, and it is never sent a second time; a
-  // wrong "not run" would have it redeemed twice.
+test('a failed call is "not run" only when no byte of it was sent', async () => {
+  // A redemption fails in every possible way. Whenever the service may have run
+  // it, the outcome says so, and it is never sent again. With a wrong "not run"
+  // it would be redeemed twice.
   const server = await startService();
   const service = connectService(server.address);
   const modes = {
@@ -62,10 +62,10 @@
   expect(await service.probe()).toBe(false);
 });
 
-test('a call given up before its first byte is never sent', async () => {
-  // The attempt is revoked while its connection is still being made. It is
-  // answered as not run at once, so it must not go out when the connection
-  // stands a moment later.
+test('a call aborted before its first byte is never sent', async () => {
+  // The attempt is revoked while its connection is being established. It is
+  // reported as not run at once, so it must not be sent when the connection is
+  // open a moment later.
   const server = await startService();
   const service = connectService(server.address);
   const controller = new AbortController();
@@ -81,7 +81,7 @@
   expect([...server.runs.keys()]).toEqual(['r2', 'r3']);
 });
 
-test('a call past its deadline may have run once it was sent', async () => {
+test('a call that exceeds its deadline after it was sent may have run', async () => {
   const server = await startService();
   server.setFaults({answerDelayMs: 5_000});
   const service = connectService(server.address, {silenceMs: 10_000});
@@ -93,9 +93,9 @@
   expect(verdictOf(refused)).toBe('deadlineUnreachable notRun');
 });
 
-test('a silent pooled connection takes no call that must not repeat', async () => {
-  // The pool's connection has gone silent for good. A non-repeatable call sent
-  // on it could neither be answered nor repeated; it goes over a fresh one.
+test('a non-repeatable call is not sent on a silent pooled connection', async () => {
+  // The pooled connection has become silent forever. A non-repeatable call sent
+  // on it could neither be answered nor retried; it uses a new connection.
   const server = await startService();
   const service = connectService(server.address, {maxConnections: 1});
   const first = serviceCall('r1', {nonRepeatable: false});
@@ -105,16 +105,16 @@
   expect(verdictOf(outcome)).toBe('answered 200');
 });
 
-test('an answer without a length is not taken for whole', async () => {
-  // HTTP lets an answer end with its connection. One that was cut short then
-  // looks exactly like a whole one.
+test('an answer without a length is not accepted as complete', async () => {
+  // HTTP allows an answer to end when its connection closes. A truncated answer
+  // is then indistinguishable from a complete one.
   const address = await startRawServer('HTTP/1.1 200 OK\r\n\r\n{"half":');
   const service = connectService(address);
   const outcome = await service.call(serviceCall('r1'), clock.now());
   expect(verdictOf(outcome)).toBe('answerTruncated mayHaveRun');
 });
 
-test('an endless answer is cut at the limit', async () => {
+test('an answer is aborted at the size limit', async () => {
   const head = 'HTTP/1.1 200 OK\r\ncontent-length: 9000000\r\n\r\n';
   const address = await startRawServer(head + 'x'.repeat(200_000));
   const service = connectService(address, {maxWholeBytes: 100_000});
--- a/packages/lovagepond-backend/src/__tests__/unit/backend_test_utils.ts
+++ b/packages/lovagepond-backend/src/__tests__/unit/backend_test_utils.ts
@@ -1,4 +1,4 @@
-/** Helpers: fakes and adapters on loopback, ended after each test. */
+/** Test helpers: fakes and adapters on loopback, closed after each test. */
 import {type AddressInfo, createServer} from 'node:net';
 import {type Clock, Random} from '@lovagepond/core';
 import {
@@ -86,7 +86,7 @@
   };
 }
 
-/** Runs a request to its end; `onEvent` sees each event as it comes. */
+/** Runs a request to its end; `onEvent` is called with each event. */
 export async function collect(
   engine: HttpModelEngine,
   request: EngineRequest,
@@ -103,7 +103,7 @@
   return {events, text, last: events.at(-1)!};
 }
 
-/** The answer's text out of its events. */
+/** Extracts the answer's text from its events. */
 export function contentOf(events: string): string {
   const pieces = events.matchAll(/"content":"([^"]*)"/g);
   return [...pieces].map(match => match[1]).join('');
@@ -146,7 +146,10 @@
   };
 }
 
-/** A server that answers each connection with the next text, then the last. */
+/**
+ * Starts a server that answers each connection with the next text, and all
+ * further connections with the last one.
+ */
 export async function startRawServer(...texts: string[]): Promise<string> {
   const server = createServer(socket => {
     socket.on('error', () => {});
--- a/packages/lovagepond-backend/src/backend_answer_assembly.ts
+++ b/packages/lovagepond-backend/src/backend_answer_assembly.ts
@@ -1,13 +1,13 @@
 /**
- * Makes the one JSON answer of a request that isn't streamed out of the events
- * that the engine streams. The engine is always asked to stream: its
- * heartbeats, its resume and its end marker then guard both sorts of answers.
+ * Assembles the JSON answer to a non-streaming request from the engine's event
+ * stream. The engine is always asked to stream, so that heartbeats, resumption
+ * and the end marker protect both kinds of answers.
  */
 import {type AnswerChunk} from './backend_answer_check.js';
 
 type Json = Record<string, unknown>;
 
-/** String fields that name something; all others are pieces of a text. */
+/** String fields that are replaced; all other strings are concatenated. */
 const NAMING_FIELDS = new Set(['id', 'type', 'role']);
 
 function isObject(value: unknown): value is Json {
@@ -28,8 +28,8 @@
 }
 
 /**
- * @param target message so far; changed
- * @param delta the next piece of it
+ * @param target the message so far; modified in place
+ * @param delta the next piece of the message
  * @returns the message
  */
 export function mergeDelta(target: Json, delta: Json): Json {
@@ -50,7 +50,7 @@
   return target;
 }
 
-/** Collects an answer's events. */
+/** Collects the events of one answer. */
 export class AnswerAssembly {
   readonly #choices = new Map<number, Json>();
   #head: Json = {};
@@ -64,7 +64,7 @@
     for (const choice of choices) this.#addChoice(choice);
   }
 
-  /** @returns the whole answer as JSON in UTF-8 */
+  /** @returns the complete answer as JSON in UTF-8 */
   encode(): Buffer {
     const choices = [...this.#choices.values()].map(choice => ({
       logprobs: null,
@@ -86,8 +86,9 @@
 }
 
 /**
- * @param body a completion request that isn't streamed
- * @returns the same request, streamed, or undefined when it is no JSON object
+ * @param body a non-streaming completion request
+ * @returns the same request with streaming, or undefined when the body is not a
+ *     JSON object
  */
 export function toStreamingRequest(body: Uint8Array): Buffer | undefined {
   try {
--- a/packages/lovagepond-backend/src/backend_answer_check.ts
+++ b/packages/lovagepond-backend/src/backend_answer_check.ts
@@ -1,6 +1,6 @@
 /**
- * Decides what of an engine's events may be passed on as the answer to one
- * request. No I/O: events go in, bytes to pass on or a failure come out.
+ * Validates an engine's events before they are forwarded as the answer to one
+ * request. No I/O.
  */
 import {type Failure, makeFailure, z} from '@lovagepond/core';
 import {
@@ -11,12 +11,12 @@
 import {type ServerSentEvent} from './backend_event_parser.js';
 import {type EngineUsage} from './backend_model_engine.js';
 
-/** What an event means for the answer. */
+/** The result of checking one event. */
 export type AnswerVerdict =
-  /** A comment or an event without content. */
+  /** A comment, or an event without data. */
   | {readonly kind: 'skip'}
   | {readonly kind: 'pass'; readonly content: AnswerChunk}
-  /** The end marker of an answer that is whole. */
+  /** The end marker of a complete answer. */
   | {readonly kind: 'whole'}
   | {readonly kind: 'fail'; readonly failure: Failure};
 
@@ -45,7 +45,7 @@
   }
 }
 
-/** Checks one request's events, over all of its connections. */
+/** Checks the events of one request across all of its connections. */
 export class AnswerCheck {
   readonly #requestId: string;
   #hasFinishReason = false;
@@ -56,24 +56,24 @@
     this.#requestId = requestId;
   }
 
-  /** Counts of the last event that told them. */
+  /** Token counts from the last event that contained them. */
   get usage(): EngineUsage {
     return this.#usage;
   }
 
   /**
    * @param event the next event
-   * @returns what it means
+   * @returns whether to forward it, skip it, or end the answer
    */
   inspect(event: ServerSentEvent): AnswerVerdict {
     if (event.data === '') return SKIP;
     if (event.data === DONE_DATA) return this.#inspectEnd();
     if (event.name === 'error') return fail('The engine reported an error.');
     const chunk = parseChunk(event.data);
-    if (!chunk) return fail('The engine sent an event that is no chunk.');
-    // An engine or a device before it may give one caller another's answer.
-    // The id in each event is the only proof of whose it is; one foreign event
-    // ends the answer before any of it reaches the wrong caller.
+    if (!chunk) return fail('The engine sent an invalid event.');
+    // An engine, or a device in front of it, may mix up answers of two callers.
+    // Only the id in each event identifies the request. A single event with
+    // another id ends the answer, so that none of it reaches the wrong caller.
     if (!this.#isOwn(chunk.id)) {
       return fail("The engine sent another request's answer.");
     }
--- a/packages/lovagepond-backend/src/backend_cache_sequence.ts
+++ b/packages/lovagepond-backend/src/backend_cache_sequence.ts
@@ -1,27 +1,27 @@
 /**
- * Finds gaps in an engine's cache events. No I/O.
+ * Detects lost cache events of an engine by their sequence numbers. No I/O.
  */
 import {type EngineCacheEvent} from './backend_engine_protocol.js';
 import {type CacheEvent} from './backend_model_engine.js';
 
-/** Follows the sequence numbers of one engine. */
+/** Tracks the sequence numbers of one engine's cache events. */
 export class CacheSequence {
   #incarnation = '';
   #last = 0;
 
-  /** Incarnation heard of last, empty before the first. */
+  /** The engine's last reported incarnation; empty before the first one. */
   get incarnation(): string {
     return this.#incarnation;
   }
 
-  /** Sequence number heard last. */
+  /** Sequence number of the last event. */
   get last(): number {
     return this.#last;
   }
 
   /**
-   * @param incarnation what the engine said of itself, by whatever way
-   * @returns a gap when it has restarted: its cache is gone
+   * @param incarnation the engine's incarnation, from any of its messages
+   * @returns a gap when the engine has restarted and its cache is lost
    */
   updateIncarnation(incarnation: string): CacheEvent[] {
     if (incarnation === this.#incarnation) return [];
@@ -32,16 +32,18 @@
   }
 
   /**
-   * @param event as the engine sent it, perhaps doubled or after lost ones
-   * @returns what to tell listeners: nothing for a double, a gap before an
-   *     event whose forerunner was lost
+   * @param event an event from the engine; may be a duplicate, or follow lost
+   *     events
+   * @returns the events for listeners: none for a duplicate, a gap first when
+   *     events before this one were lost
    */
   take(event: EngineCacheEvent): CacheEvent[] {
     const events = this.updateIncarnation(event.incarnation);
     if (event.sequence <= this.#last) return events;
     if (event.kind === 'position') return this.#skipTo(event.sequence);
-    // A lost event may be the eviction of any chat. Without the gap, a chat
-    // would count as warm for good and be sent to a server that rebuilds it.
+    // The lost event may be the eviction of any chat. Without the gap, that
+    // chat would count as cached forever, and its requests would be sent to a
+    // server that has to rebuild the context.
     const lost = event.sequence > this.#last + 1;
     if (lost && events.length === 0) {
       events.push({kind: 'gap', sequence: event.sequence - 1});
@@ -50,7 +52,7 @@
     return [...events, toCacheEvent(event)];
   }
 
-  /** The last event before a pause was lost: no later one would show it. */
+  /** Reports a lost event that no later event follows. */
   #skipTo(sequence: number): CacheEvent[] {
     this.#last = sequence;
     return [{kind: 'gap', sequence}];
--- a/packages/lovagepond-backend/src/backend_cache_subscription.ts
+++ b/packages/lovagepond-backend/src/backend_cache_subscription.ts
@@ -1,6 +1,6 @@
 /**
- * Follows an engine's cache events over HTTP, through lost connections and the
- * engine's restarts.
+ * Subscription to an engine's cache events over HTTP. It reconnects after lost
+ * connections and restarts of the engine.
  */
 import {type Random, type Unregister} from '@lovagepond/core';
 import {CacheSequence} from './backend_cache_sequence.js';
@@ -15,7 +15,7 @@
 const LAST_RETRY_MS = 4_000;
 const HTTP_OK = 200;
 
-/** One subscription. */
+/** One subscription to the cache events of an engine. */
 export class CacheSubscription {
   readonly #client: HttpBackendClient;
   readonly #random: Random;
@@ -27,9 +27,9 @@
   #ended = false;
 
   /**
-   * @param client connections to the engine
-   * @param random spreads the reconnects
-   * @param listener gets the events
+   * @param client HTTP client for the engine
+   * @param random adds jitter to the reconnect delay
+   * @param listener called with each event
    */
   constructor(
     client: HttpBackendClient,
@@ -41,7 +41,7 @@
     this.#listener = listener;
   }
 
-  /** @returns ends the subscription */
+  /** @returns a function that ends the subscription */
   start(): Unregister {
     void this.#connect();
     return () => {
@@ -51,7 +51,7 @@
     };
   }
 
-  /** @param incarnation what another answer of the engine told */
+  /** @param incarnation the engine's incarnation, from another response */
   updateIncarnation(incarnation: string): void {
     this.#notify(this.#sequence.updateIncarnation(incarnation));
   }
--- a/packages/lovagepond-backend/src/backend_engine_protocol.ts
+++ b/packages/lovagepond-backend/src/backend_engine_protocol.ts
@@ -1,12 +1,12 @@
 /**
- * The HTTP protocol towards model engines: paths, headers and the shapes of
- * what an engine tells. See docs/PROTOCOLS.md.
+ * The HTTP protocol of model engines: paths, headers and message schemas. See
+ * docs/PROTOCOLS.md.
  */
 import {z} from '@lovagepond/core';
 
-/** Paths of an engine besides those of the requests themselves. */
+/** Paths of an engine other than those of the completion requests. */
 export const ENGINE_PATH = {
-  /** `DELETE` with the request id behind it cancels. */
+  /** `DELETE` with the request id appended cancels the request. */
   REQUESTS: '/v1/requests/',
   /** `GET` exports, `PUT` imports a chat's KV cache. */
   CACHE: '/v1/cache',
@@ -21,16 +21,16 @@
   PRIORITY: 'x-lovagepond-priority',
   WORKSPACE: 'x-lovagepond-workspace',
   CHAT: 'x-lovagepond-chat',
-  /** Bytes of the answer's events that were already delivered. */
+  /** Number of bytes of the answer's events that were already delivered. */
   RESUME_FROM: 'x-lovagepond-resume-from',
-  /** Context length of an exported or imported KV cache. */
+  /** Context length of an exported or imported KV cache, tokens. */
   CACHE_TOKENS: 'x-lovagepond-cache-tokens',
 } as const;
 
-/** Ends an answer's events. */
+/** Data of the event that marks the end of an answer. */
 export const DONE_DATA = '[DONE]';
 
-/** Some servers put this in front of the request id. */
+/** Prefix that some servers add to the request id. */
 export const COMPLETION_ID_PREFIX = 'chatcmpl-';
 
 const count = z.number().int().min(0);
@@ -42,7 +42,7 @@
   prompt_tokens_details: z.object({cached_tokens: count.default(0)}).nullish(),
 });
 
-/** An engine's load report; `age_ms` says how old it is. */
+/** An engine's load report; `age_ms` is its age, milliseconds. */
 export const loadSchema = z.object({
   incarnation: z.string(),
   running_tokens: count,
@@ -55,8 +55,9 @@
 });
 
 /**
- * A cache event; `sequence` rises by one within an incarnation. A `position`
- * changes nothing and tells the sequence number of the last event sent.
+ * A cache event. `sequence` increases by one per event within an incarnation. A
+ * `position` event changes nothing; it repeats the sequence number of the last
+ * event, so that its loss is detected.
  */
 export const cacheEventSchema = z.object({
   incarnation: z.string(),
@@ -73,7 +74,7 @@
   message: z.string().default(''),
 });
 
-/** An order as it is posted. */
+/** An order in the body of a POST request. */
 export const orderSchema = z.object({
   order_id: z.string(),
   fencing_token: count,
@@ -81,5 +82,5 @@
   arguments: z.record(z.string(), z.string()).default({}),
 });
 
-/** A cache event as an engine wrote it. */
+/** A cache event as an engine sends it. */
 export type EngineCacheEvent = z.infer<typeof cacheEventSchema>;
--- a/packages/lovagepond-backend/src/backend_event_parser.ts
+++ b/packages/lovagepond-backend/src/backend_event_parser.ts
@@ -1,14 +1,14 @@
 /**
- * Cuts a byte stream into server-sent events, within a size.
+ * Streaming parser for server-sent events with a size limit.
  */
 
-/** One event: its bytes as they came, and the joined `data` lines. */
+/** One event: its raw bytes and its parsed fields. */
 export interface ServerSentEvent {
-  /** With the blank line that ends it. */
+  /** Raw bytes, including the blank line at the end. */
   readonly bytes: Buffer;
   /** The `event` field, empty for a plain message. */
   readonly name: string;
-  /** Empty for a comment. */
+  /** The `data` lines joined by line feeds; empty for a comment. */
   readonly data: string;
 }
 
@@ -26,7 +26,7 @@
   return {bytes, name, data: data.join('\n')};
 }
 
-/** @returns position behind the first blank line, -1 when there is none */
+/** @returns position after the first blank line, -1 when there is none */
 function findEventEnd(bytes: Buffer): number {
   let at = bytes.indexOf(LINE_FEED);
   while (at >= 0) {
@@ -38,20 +38,20 @@
   return -1;
 }
 
-/** Collects chunks and gives whole events. */
+/** Buffers chunks and returns complete events. */
 export class EventParser {
   readonly #maxEventBytes: number;
   #rest: Buffer = EMPTY;
 
-  /** @param maxEventBytes an event may not be larger */
+  /** @param maxEventBytes limit for the buffered part of an event */
   constructor(maxEventBytes: number) {
     this.#maxEventBytes = maxEventBytes;
   }
 
   /**
-   * @param chunk next bytes
-   * @returns the events that are whole now, or undefined when what is kept of
-   *     an unfinished one passes the limit
+   * @param chunk the next bytes of the stream
+   * @returns the events that are now complete, or undefined when the buffered
+   *     part of an incomplete event exceeds the limit
    */
   push(chunk: Buffer): ServerSentEvent[] | undefined {
     let bytes =
@@ -66,7 +66,7 @@
     return events;
   }
 
-  /** Forgets an unfinished event, for a new connection. */
+  /** Discards an incomplete event before a new connection. */
   reset(): void {
     this.#rest = EMPTY;
   }
--- a/packages/lovagepond-backend/src/backend_fake_answer.ts
+++ b/packages/lovagepond-backend/src/backend_fake_answer.ts
@@ -1,6 +1,6 @@
 /**
- * The text a fake engine answers with: a function of the request id, so that
- * a crossed, cut or doubled answer shows by its text alone.
+ * Answer text of a fake engine. It is derived from the request id, so that a
+ * mixed-up, truncated or duplicated answer is detected by its text alone.
  */
 
 const WORDS = [
@@ -35,7 +35,7 @@
 /**
  * @param requestId the request's id
  * @param index position of the token, from 0
- * @returns its text, with the position in it
+ * @returns the token's text, which includes the position
  */
 export function fakeToken(requestId: string, index: number): string {
   const word = WORDS[hashText(`${requestId}#${index}`) % WORDS.length] ?? '';
@@ -45,7 +45,7 @@
 /**
  * @param requestId the request's id
  * @param tokens length of the answer
- * @returns the whole text, as an undisturbed answer holds it
+ * @returns the complete text of an answer without faults
  */
 export function fakeAnswerText(requestId: string, tokens: number): string {
   const parts = Array.from({length: tokens}, (_, index) =>
--- a/packages/lovagepond-backend/src/backend_fake_batch.ts
+++ b/packages/lovagepond-backend/src/backend_fake_batch.ts
@@ -1,9 +1,9 @@
 /**
- * Continuous batching of a fake engine. Each step gives every answering
- * request one token and spends what is left of the step on prompts.
+ * Continuous batching of a fake engine. Each step decodes one token for every
+ * request whose prefill is done, and prefills prompts of the others.
  */
 
-/** One request as the fake engine knows it. */
+/** One request to the fake engine. */
 export interface FakeJob {
   readonly requestId: string;
   readonly workspace: string;
@@ -16,14 +16,14 @@
 
 /** Speed and size of the batch. */
 export interface FakeBatchSettings {
-  /** Contexts in the batch together hold at most this many tokens. */
+  /** Maximum number of tokens of all contexts in the batch. */
   readonly capacityTokens: number;
   readonly maxRequests: number;
   readonly prefillTokensPerSecond: number;
   readonly decodeTokensPerSecond: number;
-  /** Shortest step, milliseconds: the time between tokens when idle. */
+  /** Minimum step, milliseconds: the time between tokens at low load. */
   readonly stepMs: number;
-  /** Prompt tokens worked on in one step, over all requests. */
+  /** Maximum prompt tokens prefilled in one step, over all requests. */
   readonly prefillTokensPerStep: number;
 }
 
@@ -35,10 +35,10 @@
   answered: number;
 }
 
-/** What a step did to one request. */
+/** Result of a step for one request. */
 export interface FakeStepResult {
   readonly run: FakeRun;
-  /** Answer tokens made in this step, 0 or 1. */
+  /** Answer tokens decoded in this step, 0 or 1. */
   readonly made: number;
   readonly finished: boolean;
 }
@@ -49,7 +49,7 @@
   return job.promptTokens + job.answerTokens;
 }
 
-/** Requests waiting for the batch, and those in it. */
+/** The requests in the batch and those waiting for it. */
 export class FakeBatch {
   readonly #settings: FakeBatchSettings;
   readonly #running = new Map<string, FakeRun>();
@@ -57,7 +57,7 @@
   #runningTokens = 0;
   #waitingTokens = 0;
 
-  /** @param settings speed and size */
+  /** @param settings speed and size of the batch */
   constructor(settings: FakeBatchSettings) {
     this.#settings = settings;
   }
@@ -78,7 +78,7 @@
     return this.#waiting.length;
   }
 
-  /** @param job waits behind those of its own or a higher priority */
+  /** @param job queued after jobs of the same or a higher priority */
   add(job: FakeJob): void {
     const behind = this.#waiting.findIndex(
       other => other.priority < job.priority,
@@ -88,10 +88,10 @@
   }
 
   /**
-   * Takes waiting requests into the batch while they fit.
+   * Admits waiting requests to the batch while they fit.
    *
-   * @param warmTokens tells how much of a job's prompt is cached
-   * @returns those taken
+   * @param warmTokens returns how many tokens of a job's prompt are cached
+   * @returns the admitted requests
    */
   admit(warmTokens: (job: FakeJob) => number): FakeRun[] {
     const taken: FakeRun[] = [];
@@ -109,7 +109,7 @@
     return taken;
   }
 
-  /** @returns milliseconds the next step takes, undefined with none to do */
+  /** @returns duration of the next step in ms, undefined with an empty batch */
   stepDuration(): number | undefined {
     if (this.#running.size === 0) return undefined;
     let decode = 0;
@@ -125,7 +125,7 @@
     return Math.max(this.#settings.stepMs, seconds * MS_PER_SECOND);
   }
 
-  /** @returns what the step did to each request that got a token */
+  /** @returns the result for each request that got a token */
   step(): FakeStepResult[] {
     let budget = this.#settings.prefillTokensPerStep;
     const results: FakeStepResult[] = [];
@@ -145,8 +145,8 @@
   }
 
   /**
-   * @param requestId a request, waiting or running
-   * @returns true when it was there
+   * @param requestId id of a waiting or running request
+   * @returns true when there was such a request
    */
   remove(requestId: string): boolean {
     const run = this.#running.get(requestId);
--- a/packages/lovagepond-backend/src/backend_fake_cache.ts
+++ b/packages/lovagepond-backend/src/backend_fake_cache.ts
@@ -1,36 +1,36 @@
 /**
- * The prefix cache of a fake engine: limited memory, least recently used chat
- * evicted first, each change an event with a sequence number.
+ * Prefix cache of a fake engine, with limited memory and LRU eviction. Each
+ * change is an event with a sequence number.
  */
 import {type CacheEvent, type CacheKey} from './backend_model_engine.js';
 
-/** One chat's context. */
+/** One chat's cached context. */
 export interface CacheEntry {
   readonly key: CacheKey;
   readonly tokens: number;
 }
 
-/** A change that has not been published yet. */
+/** A change of the cache, as an event for subscribers. */
 export type CacheChange = Exclude<CacheEvent, {readonly kind: 'gap'}>;
 
 function nameOf(key: CacheKey): string {
   return `${key.workspace}\0${key.chat}`;
 }
 
-/** Which chats' contexts are warm. */
+/** The cached contexts of chats. */
 export class FakePrefixCache {
   readonly #limitTokens: number;
-  /** In order of use, the least recent first. */
+  /** In LRU order, the least recently used first. */
   readonly #entries = new Map<string, CacheEntry>();
   #tokens = 0;
   #sequence = 0;
 
-  /** @param limitTokens memory of the cache */
+  /** @param limitTokens size of the cache, tokens */
   constructor(limitTokens: number) {
     this.#limitTokens = limitTokens;
   }
 
-  /** Tokens held. */
+  /** Number of cached tokens. */
   get tokens(): number {
     return this.#tokens;
   }
@@ -42,7 +42,7 @@
 
   /**
    * @param key the chat
-   * @returns its warm tokens, 0 when cold; does not count as a use
+   * @returns its cached tokens, 0 when not cached; does not count as a use
    */
   peek(key: CacheKey): number {
     return this.#entries.get(nameOf(key))?.tokens ?? 0;
@@ -50,7 +50,8 @@
 
   /**
    * @param key the chat
-   * @returns its warm tokens, 0 when cold; makes it the most recently used
+   * @returns its cached tokens, 0 when not cached; marks it as most recently
+   *     used
    */
   use(key: CacheKey): number {
     const name = nameOf(key);
@@ -63,7 +64,7 @@
 
   /**
    * @param key the chat
-   * @param tokens its context's length
+   * @param tokens length of its context
    * @returns the changes, evictions first
    */
   store(key: CacheKey, tokens: number): CacheChange[] {
--- a/packages/lovagepond-backend/src/backend_fake_engine.ts
+++ b/packages/lovagepond-backend/src/backend_fake_engine.ts
@@ -1,6 +1,6 @@
 /**
- * A fake model engine without I/O: requests and the present time go in, what
- * the engine does comes out. Runs in virtual time as well as behind HTTP.
+ * A fake model engine without I/O. Callers pass requests and the current time
+ * and get the engine's outputs. It runs in virtual time or behind HTTP.
  */
 import {
   FakeBatch,
@@ -23,20 +23,20 @@
   type OrderAction,
 } from './backend_model_engine.js';
 
-/** A fake engine's speed, size and habits. */
+/** Speed, size and behavior of a fake engine. */
 export interface FakeEngineSettings extends FakeBatchSettings {
-  /** Memory of the prefix cache, tokens. */
+  /** Size of the prefix cache, tokens. */
   readonly cacheTokens: number;
-  /** Age of its load report. */
+  /** Age of the load report. */
   readonly loadLagMs: number;
-  /** Delay of its cache events. */
+  /** Delay of cache events. */
   readonly cacheEventLagMs: number;
-  /** Refuses an order whose fencing token is below one it has seen. */
+  /** Whether to reject orders with a fencing token below one seen before. */
   readonly obeysFencing: boolean;
   readonly models: readonly string[];
 }
 
-/** Values near those of a small model on one accelerator. */
+/** Values similar to those of a small model on one accelerator. */
 export const DEFAULT_FAKE_ENGINE_SETTINGS: FakeEngineSettings = Object.freeze({
   capacityTokens: 64_000,
   maxRequests: 64,
@@ -51,7 +51,7 @@
   models: ['small'],
 });
 
-/** What an engine does; `at` is monotonic milliseconds. */
+/** Output of the engine; `at` is the time, monotonic milliseconds. */
 export type FakeEngineOutput =
   | {
       readonly kind: 'started';
@@ -72,7 +72,7 @@
       readonly usage: EngineUsage;
     };
 
-/** A cache change with the time from which it can be heard of. */
+/** A cache change and the time from which subscribers can get it. */
 interface PublishedChange {
   readonly change: CacheChange;
   readonly publishAt: number;
@@ -97,7 +97,7 @@
   #role = '';
   #faults: FakeFaults = {};
 
-  /** @param settings speed, size and habits */
+  /** @param settings speed, size and behavior */
   constructor(settings: FakeEngineSettings) {
     this.#settings = settings;
     this.#batch = new FakeBatch(settings);
@@ -110,30 +110,30 @@
     return `engine-${this.#startCount}`;
   }
 
-  /** The role it was last ordered to. */
+  /** The role set by the last order; empty before the first. */
   get role(): string {
     return this.#role;
   }
 
-  /** Models loaded. */
+  /** The loaded models. */
   get models(): readonly string[] {
     return this.#models;
   }
 
-  /** Tokens of the requests in the batch and waiting, at this moment. */
+  /** Current number of tokens of all running and waiting requests. */
   get outstandingTokens(): number {
     return this.#batch.runningTokens + this.#batch.waitingTokens;
   }
 
-  /** @param faults failures to make from now on */
+  /** @param faults the faults to inject from now on */
   setFaults(faults: FakeFaults): void {
     this.#faults = faults;
   }
 
   /**
-   * @param job a request with an id that is not running
-   * @param now present time, monotonic milliseconds
-   * @returns what happens at once
+   * @param job a request whose id is not in use
+   * @param now current time, monotonic milliseconds
+   * @returns the immediate outputs
    */
   submit(job: FakeJob, now: number): FakeEngineOutput[] {
     this.#batch.add(job);
@@ -143,9 +143,9 @@
   }
 
   /**
-   * @param requestId a request, waiting or running
-   * @param now present time, monotonic milliseconds
-   * @returns true when it was there and is gone now
+   * @param requestId id of a waiting or running request
+   * @param now current time, monotonic milliseconds
+   * @returns true when the request was found and removed
    */
   cancel(requestId: string, now: number): boolean {
     const removed = this.#batch.remove(requestId);
@@ -153,14 +153,14 @@
     return removed;
   }
 
-  /** @returns when the engine does something next, undefined when idle */
+  /** @returns the time of the engine's next step, undefined when idle */
   nextAt(): number | undefined {
     return this.#stepEndsAt;
   }
 
   /**
-   * @param now present time, monotonic milliseconds
-   * @returns all it did up to now, in order
+   * @param now current time, monotonic milliseconds
+   * @returns all outputs up to now, in order
    */
   advance(now: number): FakeEngineOutput[] {
     const outputs: FakeEngineOutput[] = [];
@@ -174,9 +174,9 @@
   }
 
   /**
-   * @param after sequence number heard last
-   * @param now present time, monotonic milliseconds
-   * @returns later changes that can be heard of by now, without the lost ones
+   * @param after sequence number of the last received event
+   * @param now current time, monotonic milliseconds
+   * @returns the changes published since, without those lost by a fault
    */
   cacheChangesAfter(after: number, now: number): CacheChange[] {
     const every = this.#faults.dropCacheEventEvery ?? 0;
@@ -190,8 +190,8 @@
   }
 
   /**
-   * @param now present time, monotonic milliseconds
-   * @returns sequence number of the last change that is out by now, lost or not
+   * @param now current time, monotonic milliseconds
+   * @returns sequence number of the last published change, lost or not
    */
   cachePosition(now: number): number {
     const extra = this.#faults.cacheEventLagMs ?? 0;
@@ -200,8 +200,8 @@
   }
 
   /**
-   * @param now present time, monotonic milliseconds
-   * @returns a report as old as the engine's lag makes it
+   * @param now current time, monotonic milliseconds
+   * @returns the load as it was before the configured lag
    */
   loadReport(now: number): LoadReport {
     const lag = Math.max(this.#settings.loadLagMs, this.#faults.loadLagMs ?? 0);
@@ -216,16 +216,16 @@
 
   /**
    * @param key a chat
-   * @returns tokens of its context that are warm at this moment
+   * @returns the number of currently cached tokens of its context
    */
   cachedTokens(key: CacheKey): number {
     return this.#cache.peek(key);
   }
 
   /**
-   * @param key a chat whose context comes from another engine
-   * @param tokens its length
-   * @param now present time, monotonic milliseconds
+   * @param key a chat whose context was exported by another engine
+   * @param tokens length of the context
+   * @param now current time, monotonic milliseconds
    * @returns false when it doesn't fit
    */
   importCache(key: CacheKey, tokens: number, now: number): boolean {
@@ -235,8 +235,8 @@
   }
 
   /**
-   * @param order an order
-   * @returns what became of it
+   * @param order the order to execute
+   * @returns the outcome
    */
   order(order: EngineOrder): EngineOrderOutcome {
     const checks = this.#settings.obeysFencing && !this.#faults.ignoreFencing;
@@ -250,8 +250,8 @@
   }
 
   /**
-   * Loses all requests, the cache, the models loaded by order and what it knew
-   * of fencing tokens.
+   * Restarts the engine: all requests, the cache, models loaded by order and
+   * the last fencing token are lost.
    */
   restart(): void {
     this.#startCount += 1;
--- a/packages/lovagepond-backend/src/backend_fake_engine_host.ts
+++ b/packages/lovagepond-backend/src/backend_fake_engine_host.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a fake engine on the real clock: its answers' streams and timers.
+ * Runs a fake engine in real time, with timers and response streams.
  */
 import {type ServerResponse} from 'node:http';
 import {type Clock} from '@lovagepond/core';
@@ -10,7 +10,7 @@
 import {FakeStream} from './backend_fake_stream.js';
 import {TimerSet} from './backend_timer_utils.js';
 
-/** What the fake was asked to do, for tests and the dump. */
+/** Counters for tests and the state dump. */
 export interface FakeEngineCounters {
   readonly requests: number;
   readonly resumes: number;
@@ -19,17 +19,17 @@
   readonly orders: number;
 }
 
-/** What the host needs of its server. */
+/** Dependencies of {@link FakeEngineHost}. */
 export interface FakeEngineHostDependencies {
   readonly engine: FakeEngine;
   readonly clock: Clock;
-  /** How long an answer is kept for a caller that lost its connection. */
+  /** How long an answer can be resumed after its connection was lost. */
   readonly resumeWindowMs: number;
-  /** Cuts all connections, as the end of the process would. */
+  /** Closes all connections, as a crash of the process would. */
   readonly cutConnections: () => void;
 }
 
-/** Answers requests with a {@link FakeEngine}'s output as it comes. */
+/** Streams the output of a {@link FakeEngine} as responses to requests. */
 export class FakeEngineHost {
   readonly #deps: FakeEngineHostDependencies;
   readonly #engine: FakeEngine;
@@ -46,30 +46,30 @@
   #faultyRequests = 0;
   #stepTimer: NodeJS.Timeout | undefined;
 
-  /** @param deps the engine and what is around it */
+  /** @param deps the engine and its environment */
   constructor(deps: FakeEngineHostDependencies) {
     this.#deps = deps;
     this.#engine = deps.engine;
   }
 
-  /** What it was asked to do. */
+  /** Counts of requests and other calls so far. */
   get counters(): FakeEngineCounters {
     return {...this.#counters};
   }
 
-  /** Answers held. */
+  /** Number of answers that can be resumed. */
   get streams(): number {
     return this.#streams.size;
   }
 
-  /** @param faults failures to make from now on, in place of the former ones */
+  /** @param faults replaces the faults that are injected */
   setFaults(faults: FakeFaults): void {
     this.#faults = faults;
     this.#faultyRequests = faults.requests ?? Infinity;
     this.#engine.setFaults(faults);
   }
 
-  /** Ends and starts the engine: connections, streams and cache are lost. */
+  /** Restarts the engine: connections, streams and cache are lost. */
   restart(): void {
     this.#engine.restart();
     this.#streams.clear();
@@ -77,13 +77,13 @@
     clearTimeout(this.#stepTimer);
   }
 
-  /** Ends all timers. */
+  /** Stops all timers. */
   stop(): void {
     clearTimeout(this.#stepTimer);
     this.#timers.stop();
   }
 
-  /** Sends a heartbeat on each open answer. */
+  /** Sends a heartbeat on each open response. */
   sendHeartbeats(): void {
     for (const stream of this.#streams.values()) stream.heartbeat();
   }
@@ -94,11 +94,11 @@
   }
 
   /**
-   * Runs a request, or goes on with one that is already known by its id.
+   * Runs a request, or resumes one with the same id.
    *
    * @param job the request
-   * @param offset bytes of its answer that were already delivered
-   * @param res where the answer goes
+   * @param offset number of bytes of the answer that were already delivered
+   * @param res the response that gets the answer
    */
   complete(job: FakeJob, offset: number, res: ServerResponse): void {
     const known = this.#streams.get(job.requestId);
@@ -116,8 +116,8 @@
   }
 
   /**
-   * @param requestId a request
-   * @returns true when it was known
+   * @param requestId id of a request
+   * @returns true when there was such a request
    */
   cancel(requestId: string): boolean {
     this.#counters.cancels += 1;
--- a/packages/lovagepond-backend/src/backend_fake_engine_server.ts
+++ b/packages/lovagepond-backend/src/backend_fake_engine_server.ts
@@ -1,5 +1,5 @@
 /**
- * A fake model engine behind HTTP, told to fail by its faults.
+ * A fake model engine behind HTTP, with fault injection.
  */
 import {type App, type Request, type Response} from '@tinyhttp/app';
 import {type Clock, type Role, type StateDump, z} from '@lovagepond/core';
@@ -29,17 +29,17 @@
   sendJson,
 } from './backend_fake_http.js';
 
-/** Where the fake listens, and how it behaves. */
+/** Address and behavior of the fake engine. */
 export interface FakeEngineServerSettings extends FakeEngineSettings {
   readonly host: string;
-  /** 0 takes a free port. */
+  /** 0 selects a free port. */
   readonly port: number;
   readonly heartbeatMs: number;
-  /** How long an answer is kept for a caller that lost its connection. */
+  /** How long an answer can be resumed after its connection was lost. */
   readonly resumeWindowMs: number;
-  /** Size of an exported KV cache. */
+  /** Size of an exported KV cache per token. */
   readonly cacheBytesPerToken: number;
-  /** Answer length of a request that names none. */
+  /** Answer length of a request without a token limit. */
   readonly defaultAnswerTokens: number;
 }
 
@@ -100,7 +100,7 @@
   #heartbeat: NodeJS.Timeout | undefined;
 
   /**
-   * @param settings address, speed, size and habits
+   * @param settings address, speed, size and behavior
    * @param deps the clock
    */
   constructor(
@@ -126,12 +126,12 @@
     return `${this.#settings.host}:${this.#listener.port}`;
   }
 
-  /** The engine itself, for tests in the same process. */
+  /** The engine, for tests in the same process. */
   get engine(): FakeEngine {
     return this.#engine;
   }
 
-  /** What it was asked to do. */
+  /** Counts of requests and other calls so far. */
   get counters(): FakeEngineCounters {
     return this.#host.counters;
   }
@@ -169,17 +169,17 @@
     return {version: 1, role: 'fake-engine', state};
   }
 
-  /** @param faults failures to make from now on, in place of the former ones */
+  /** @param faults replaces the faults that are injected */
   setFaults(faults: FakeFaults): void {
     this.#host.setFaults(faults);
   }
 
-  /** Makes all open connections silent; new ones work. */
+  /** Makes all open connections unresponsive; new ones work. */
   silence(): void {
     this.#listener.silence();
   }
 
-  /** Ends and starts the engine: connections, streams and cache are lost. */
+  /** Restarts the engine: connections, streams and cache are lost. */
   restart(): void {
     this.#host.restart();
   }
--- a/packages/lovagepond-backend/src/backend_fake_faults.ts
+++ b/packages/lovagepond-backend/src/backend_fake_faults.ts
@@ -1,9 +1,9 @@
 /**
- * The failures a fake can be told to make.
+ * Fault injection for fake engines.
  */
 import {z} from '@lovagepond/core';
 
-/** Paths of the fakes' own controls. */
+/** Control paths of the fakes. */
 export const FAKE_PATH = {
   FAULTS: '/fake/faults',
   RESTART: '/fake/restart',
@@ -13,33 +13,36 @@
 
 const count = z.number().int().min(0);
 
-/** Schema of the faults, as a scenario sends them over HTTP. */
+/** Schema of the faults in the body of a control request. */
 export const fakeFaultsSchema = z.strictObject({
-  /** The engine ends and starts anew after this many tokens of an answer. */
+  /** The engine restarts after this many tokens of an answer. */
   dieAfterTokens: count.optional(),
-  /** The connection is cut there; the engine still holds the answer. */
+  /** The connection is cut after this many; the answer can be resumed. */
   cutAfterTokens: count.optional(),
-  /** The answer ends cleanly but early, without its end marker, for good. */
+  /**
+   * The answer ends cleanly but early, without its end marker, and can't be
+   * resumed.
+   */
   truncateAfterTokens: count.optional(),
-  /** Nothing more is sent after this many tokens; the connection stays. */
+  /** After this many tokens nothing is sent; the connection stays open. */
   stallAfterTokens: count.optional(),
-  /** An answer's events carry another request's id and text. */
+  /** The events contain another request's id and text. */
   crossAnswers: z.boolean().optional(),
-  /** Answers leave late by this much; a cancellation doesn't stop them. */
+  /** Answers are delayed by this, and a cancellation doesn't stop them. */
   answerDelayMs: count.optional(),
-  /** How many requests the faults above hit; all when left out. */
+  /** Number of requests affected by the faults above; default is all. */
   requests: count.optional(),
-  /** Each cache event whose sequence is a multiple of this is lost. */
+  /** Cache events whose sequence number is a multiple of this are lost. */
   dropCacheEventEvery: count.optional(),
-  /** Cache events come later by this much. */
+  /** Additional delay of cache events. */
   cacheEventLagMs: count.optional(),
-  /** The load report is at least this old. */
+  /** Minimum age of the load report. */
   loadLagMs: count.optional(),
-  /** Orders are obeyed whatever their fencing token. */
+  /** Orders are executed without a check of their fencing token. */
   ignoreFencing: z.boolean().optional(),
-  /** New requests are refused with 503. */
+  /** New requests are rejected with 503. */
   refuse: z.boolean().optional(),
 });
 
-/** Faults in force; those left out don't occur. */
+/** Active faults; omitted ones don't occur. */
 export type FakeFaults = Readonly<z.infer<typeof fakeFaultsSchema>>;
--- a/packages/lovagepond-backend/src/backend_fake_http.ts
+++ b/packages/lovagepond-backend/src/backend_fake_http.ts
@@ -1,5 +1,5 @@
 /**
- * Small HTTP helpers that the fakes share.
+ * HTTP helpers shared by the fakes.
  */
 import {
   createServer,
@@ -12,10 +12,10 @@
 import {type z} from '@lovagepond/core';
 import {FAKE_PATH} from './backend_fake_faults.js';
 
-/** A body larger than this ends a fake's connection. */
+/** Maximum size of a request body; a larger one closes the connection. */
 const MAX_BODY_BYTES = 256 * 1024 * 1024;
 
-/** @returns routes that answer what none of them matches with 404 */
+/** @returns an app without routes that answers unmatched requests with 404 */
 export function makeFakeRoutes(): App {
   return new App({
     settings: {xPoweredBy: false},
@@ -34,7 +34,7 @@
 
 /**
  * @param req a request
- * @returns its whole body; rejects when it breaks off
+ * @returns its complete body; rejects when the request is aborted
  */
 export async function readAll(req: IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
@@ -49,7 +49,7 @@
 
 /**
  * @param bytes a body
- * @returns its JSON, undefined when it is none
+ * @returns the parsed JSON, or undefined when it is not valid JSON
  */
 export function parseJsonBody(bytes: Uint8Array): unknown {
   try {
@@ -60,9 +60,9 @@
 }
 
 /**
- * @param res where to answer
+ * @param res the response to write to
  * @param status HTTP status
- * @param content what to write as JSON
+ * @param content value to send as JSON
  */
 export function sendJson(
   res: ServerResponse,
@@ -80,12 +80,12 @@
 }
 
 /**
- * A POST that is answered before it takes effect, so that the one who asked
- * has the answer when connections end.
+ * Adds a POST route that is answered before it takes effect, so that the client
+ * gets the answer even if the effect closes connections.
  *
- * @param app routes to add it to
- * @param path where it is asked for
- * @param effect what it does
+ * @param app app to add the route to
+ * @param path path of the route
+ * @param effect called after the answer was sent
  */
 export function addDelayedControl(
   app: App,
@@ -98,7 +98,7 @@
   });
 }
 
-/** What the controls common to the fakes act on. */
+/** The methods of a fake that the common control routes use. */
 export interface ControlledFake<Faults> {
   setFaults(faults: Faults): void;
   silence(): void;
@@ -106,11 +106,11 @@
 }
 
 /**
- * Adds the controls that every fake has: its faults, silence and state.
+ * Adds the control routes that all fakes have: faults, silence and state.
  *
- * @param app routes to add them to
- * @param fake what they act on
- * @param schema of its faults; others are answered with 400
+ * @param app app to add the routes to
+ * @param fake the fake to control
+ * @param schema schema of its faults; invalid ones are answered with 400
  */
 export function addFakeControls<Faults>(
   app: App,
@@ -130,13 +130,13 @@
   });
 }
 
-/** A server that can be silenced. */
+/** An HTTP server whose open connections can be made unresponsive. */
 export class FakeListener {
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
   readonly #silent = new WeakSet<Socket>();
 
-  /** @param app the routes to serve */
+  /** @param app app that handles the requests */
   constructor(app: App) {
     this.#server = createServer((req, res) => {
       if (this.#silent.has(req.socket)) return;
@@ -155,7 +155,7 @@
   }
 
   /**
-   * @param port 0 takes a free one
+   * @param port 0 selects a free port
    * @param host address to bind
    */
   listen(port: number, host: string): Promise<void> {
@@ -166,7 +166,7 @@
   }
 
   /**
-   * Makes all open connections silent for good: requests on them are lost,
+   * Makes all open connections unresponsive forever: requests on them are lost,
    * nothing is written to them, and none is closed. New ones work.
    */
   silence(): void {
@@ -177,12 +177,12 @@
     }
   }
 
-  /** Cuts all open connections. */
+  /** Closes all open connections abruptly. */
   cutAll(): void {
     for (const socket of this.#sockets) socket.destroy();
   }
 
-  /** Closes the port and cuts all connections. */
+  /** Stops listening and closes all connections abruptly. */
   close(): Promise<void> {
     const closed = new Promise<void>(resolve => {
       this.#server.close(() => {
--- a/packages/lovagepond-backend/src/backend_fake_service.ts
+++ b/packages/lovagepond-backend/src/backend_fake_service.ts
@@ -1,5 +1,6 @@
 /**
- * A fake plain service behind HTTP that counts how often each call has run.
+ * A fake plain service over HTTP, with fault injection, that counts how often
+ * each call has run.
  */
 import {type ServerResponse} from 'node:http';
 import {type App, type Request, type Response} from '@tinyhttp/app';
@@ -13,37 +14,37 @@
 } from './backend_fake_http.js';
 import {TimerSet} from './backend_timer_utils.js';
 
-/** Schema of a fake service's faults, as a scenario sends them over HTTP. */
+/** Schema of the faults in the body of a control request. */
 const fakeServiceFaultsSchema = z.strictObject({
   /**
-   * Where a call goes wrong: the connection is cut before or after the run,
-   * the answer never comes, breaks off midway, or is another call's.
+   * How a call fails: the connection is cut before or after the run, or the
+   * answer is never sent, truncated, or another call's answer.
    */
   mode: z
     .enum(['cutBeforeRun', 'cutAfterRun', 'stall', 'truncate', 'cross'])
     .optional(),
   answerDelayMs: z.number().int().min(0).optional(),
-  /** How many calls the mode hits; all when left out. */
+  /** Number of calls affected by the mode; default is all. */
   requests: z.number().int().min(0).optional(),
 });
 
-/** A fake service's faults; those left out don't occur. */
+/** Active faults of a fake service; omitted ones don't occur. */
 export type FakeServiceFaults = Readonly<
   z.infer<typeof fakeServiceFaultsSchema>
 >;
 
-/** Where the fake listens. */
+/** Address of the fake service. */
 export interface FakeServiceSettings {
   readonly host: string;
-  /** 0 takes a free port. */
+  /** 0 selects a free port. */
   readonly port: number;
 }
 
-/** What the service answers a call with. */
+/** The service's answer to a call. */
 export interface FakeServiceAnswer {
   readonly requestId: string;
   readonly path: string;
-  /** How often this call's key, or id without a key, has run by now. */
+  /** Number of runs so far with this idempotency key, or id without a key. */
   readonly runs: number;
 }
 
@@ -82,7 +83,7 @@
   },
 };
 
-/** Serves calls and counts their runs. */
+/** Serves calls and counts how often each has run. */
 export class FakeServiceServer implements Role {
   readonly #settings: FakeServiceSettings;
   readonly #listener: FakeListener;
@@ -92,7 +93,7 @@
   #faultyCalls = 0;
   #ready = false;
 
-  /** @param settings address to listen on */
+  /** @param settings the address to listen on */
   constructor(settings: FakeServiceSettings) {
     this.#settings = settings;
     this.#listener = new FakeListener(this.#makeRoutes());
@@ -103,7 +104,7 @@
     return `${this.#settings.host}:${this.#listener.port}`;
   }
 
-  /** Runs of each idempotency key, or request id without a key. */
+  /** Number of runs by idempotency key, or by request id without a key. */
   get runs(): ReadonlyMap<string, number> {
     return this.#runs;
   }
@@ -132,13 +133,13 @@
     return {version: 1, role: 'fake-service', state: {runs}};
   }
 
-  /** @param faults failures to make from now on, in place of the former ones */
+  /** @param faults replaces the faults that are injected */
   setFaults(faults: FakeServiceFaults): void {
     this.#faults = faults;
     this.#faultyCalls = faults.requests ?? Infinity;
   }
 
-  /** Makes all open connections silent; new ones work. */
+  /** Makes all open connections unresponsive; new ones work. */
   silence(): void {
     this.#listener.silence();
   }
--- a/packages/lovagepond-backend/src/backend_fake_stream.ts
+++ b/packages/lovagepond-backend/src/backend_fake_stream.ts
@@ -1,6 +1,6 @@
 /**
- * One answer of a fake engine: its events as bytes, kept so that a caller that
- * lost its connection can go on from where it was.
+ * One streamed answer of a fake engine. Its events are retained, so that the
+ * answer can be resumed after a lost connection.
  */
 import {type ServerResponse} from 'node:http';
 import {type FakeJob} from './backend_fake_batch.js';
@@ -11,7 +11,7 @@
 
 const CROSSED_ID = 'another-request';
 
-/** How one answer's delivery fails. */
+/** Faults in the delivery of one answer. */
 export type FakeStreamFaults = Pick<
   FakeFaults,
   'cutAfterTokens' | 'truncateAfterTokens' | 'stallAfterTokens' | 'crossAnswers'
@@ -26,7 +26,7 @@
   };
 }
 
-/** An answer and where it goes. */
+/** An answer and the response that it is written to. */
 export class FakeStream {
   readonly job: FakeJob;
   readonly #faults: FakeStreamFaults;
@@ -39,7 +39,8 @@
 
   /**
    * @param job the request
-   * @param faults how its delivery fails; once only, a resume succeeds
+   * @param faults faults in its delivery; a cut or a stall occurs only once, so
+   *     that resuming succeeds
    */
   constructor(job: FakeJob, faults: FakeStreamFaults) {
     this.job = job;
@@ -56,9 +57,9 @@
   }
 
   /**
-   * @param res takes over as where the answer goes
-   * @param offset bytes that were already delivered
-   * @returns false when no event begins there
+   * @param res the response that gets the answer from now on
+   * @param offset number of bytes that were already delivered
+   * @returns false when no event starts at the offset
    */
   attach(res: ServerResponse, offset: number): boolean {
     let position = 0;
@@ -83,12 +84,12 @@
     return true;
   }
 
-  /** Keeps the connection from looking silent. */
+  /** Sends a comment that prevents the client's read timeout. */
   heartbeat(): void {
     if (!this.#stalled) this.#res?.write(': heartbeat\n\n');
   }
 
-  /** @param cachedTokens how much of the prompt was warm */
+  /** @param cachedTokens cached tokens of the prompt */
   start(cachedTokens: number): void {
     const {promptTokens} = this.job;
     const usage = usageOf({promptTokens, cachedTokens, answerTokens: 0});
@@ -102,7 +103,7 @@
     this.#injectFault(index + 1);
   }
 
-  /** @param usage counts for the last event */
+  /** @param usage token counts for the last event */
   finish(usage: EngineUsage): void {
     const choices = [{index: 0, delta: {}, finish_reason: 'stop'}];
     this.#push({choices, usage: usageOf(usage)});
@@ -110,7 +111,7 @@
     if (!this.#stalled) this.#close();
   }
 
-  /** Cuts the connection, as when the engine's process ends. */
+  /** Closes the connection abruptly, as a crash of the engine would. */
   cut(): void {
     const res = this.#res;
     this.#res = undefined;
--- a/packages/lovagepond-backend/src/backend_http_client.ts
+++ b/packages/lovagepond-backend/src/backend_http_client.ts
@@ -1,5 +1,6 @@
 /**
- * Connections to one backend server: a pool, and fresh ones beside it.
+ * HTTP client for one backend server, with a connection pool. A request can
+ * also be sent over a new connection outside the pool.
  */
 import {type IncomingHttpHeaders} from 'node:http';
 import {Client, Pool} from 'undici';
@@ -10,19 +11,19 @@
   LOSS,
 } from './backend_http_exchange.js';
 
-/** Bounds of the connections to one backend server. */
+/** Limits and timeouts of the connections to one backend server. */
 export interface HttpClientSettings {
   /** For example `http://127.0.0.1:8000`. */
   readonly origin: string;
   readonly maxConnections: number;
   readonly connectTimeoutMs: number;
-  /** Longest time without a byte on a connection that waits for an answer. */
+  /** Timeout without a received byte while waiting for an answer. */
   readonly silenceMs: number;
-  /** Largest answer that is read as a whole. */
+  /** Maximum size of an answer that is read into memory. */
   readonly maxWholeBytes: number;
 }
 
-/** Defaults; the origin is always set. */
+/** Default settings without the origin. */
 export const DEFAULT_HTTP_CLIENT_SETTINGS = Object.freeze({
   maxConnections: 512,
   connectTimeoutMs: 2_000,
@@ -30,13 +31,13 @@
   maxWholeBytes: 4 * 1024 * 1024,
 });
 
-/** Plain services may work on a call for long before the first byte. */
+/** Plain services may take long before they send the first byte. */
 export const DEFAULT_SERVICE_CLIENT_SETTINGS = Object.freeze({
   ...DEFAULT_HTTP_CLIENT_SETTINGS,
   silenceMs: 30_000,
 });
 
-/** A whole answer, or how it was lost. */
+/** A complete answer, or the reason why there is none. */
 export type BufferedOutcome =
   | {
       readonly kind: 'answered';
@@ -50,13 +51,13 @@
 const MAX_HEADER_BYTES = 32 * 1024;
 const IDLE_CONNECTION_MS = 4_000;
 
-/** Sends exchanges to one backend server. */
+/** Sends requests to one backend server. */
 export class HttpBackendClient {
   readonly #settings: HttpClientSettings;
   readonly #pool: Pool;
   readonly #fresh = new Set<Client>();
 
-  /** @param settings the server's origin and the bounds */
+  /** @param settings the server's origin, limits and timeouts */
   constructor(settings: HttpClientSettings) {
     this.#settings = settings;
     this.#pool = new Pool(settings.origin, {
@@ -70,9 +71,9 @@
   }
 
   /**
-   * @param request what to send
-   * @param fresh over a new connection and not one of the pool
-   * @returns the exchange, started
+   * @param request the request to send
+   * @param fresh whether to use a new connection instead of the pool
+   * @returns the started exchange
    */
   send(request: ExchangeRequest, fresh: boolean): HttpExchange {
     const exchange = new HttpExchange();
@@ -83,7 +84,7 @@
     const client = new Client(this.#settings.origin, this.#clientOptions());
     this.#fresh.add(client);
     exchange.start(client, request);
-    // Waits for the exchange's own end, then closes the connection.
+    // Closes the connection once the exchange has ended.
     void client
       .close()
       .catch(() => {})
@@ -92,12 +93,12 @@
   }
 
   /**
-   * Reads a whole answer.
+   * Sends a request and reads its complete answer.
    *
-   * @param request what to send
-   * @param fresh over a new connection and not one of the pool
-   * @param signal gives it up
-   * @returns the answer, or how it was lost; never throws
+   * @param request the request to send
+   * @param fresh whether to use a new connection instead of the pool
+   * @param signal aborts the request
+   * @returns the answer, or the reason why there is none; never throws
    */
   async sendBuffered(
     request: ExchangeRequest,
@@ -120,20 +121,20 @@
   }
 
   /**
-   * Like {@link HttpBackendClient.sendBuffered} for requests that may run twice:
-   * a loss on a pooled connection is tried once more over a fresh one. A
-   * connection that some device in between forgot stays silent for good while
-   * new ones work; the server is not to blame before a fresh one fails too.
+   * Like {@link HttpBackendClient.sendBuffered}, but retries once over a new
+   * connection when the pooled connection failed. When a device on the network
+   * path has dropped a connection's state, that connection stays silent forever
+   * while new ones work. Only a second failure is attributed to the server.
    *
-   * @param request what to send; idempotent
-   * @returns the answer, or how the last try was lost
+   * @param request the request to send; idempotent
+   * @returns the answer, or the reason why the last attempt failed
    */
   async sendIdempotent(request: ExchangeRequest): Promise<BufferedOutcome> {
     const first = await this.sendBuffered(request, false);
     return first.kind === 'lost' ? this.sendBuffered(request, true) : first;
   }
 
-  /** Ends all connections; what is in flight is lost. */
+  /** Closes all connections and aborts requests in flight. */
   async close(): Promise<void> {
     const clients = [...this.#fresh];
     await Promise.all([
--- a/packages/lovagepond-backend/src/backend_http_engine.ts
+++ b/packages/lovagepond-backend/src/backend_http_engine.ts
@@ -1,5 +1,5 @@
 /**
- * A model engine over HTTP/1.1 with server-sent events.
+ * Adapter for a model engine over HTTP/1.1 with server-sent events.
  */
 import {
   type ErrorKind,
@@ -37,13 +37,13 @@
 } from './backend_model_engine.js';
 import {startTimer} from './backend_timer_utils.js';
 
-/** Bounds of the connections to one engine. */
+/** Limits and timeouts of the connections to one engine. */
 export interface HttpEngineSettings extends HttpClientSettings {
-  /** Largest KV cache of one chat that is moved. */
+  /** Maximum size of one chat's exported KV cache. */
   readonly maxCacheBytes: number;
 }
 
-/** Default of the engine's own settings. */
+/** Default of {@link HttpEngineSettings.maxCacheBytes}. */
 export const DEFAULT_MAX_CACHE_BYTES = 64 * 1024 * 1024;
 
 const HTTP_OK = 200;
@@ -89,7 +89,7 @@
   } catch {
     // Falls through to the failure below.
   }
-  return failed('backendFailed', 'The engine sent JSON of another shape.');
+  return failed('backendFailed', 'The engine sent an invalid JSON message.');
 }
 
 function cachePath(key: CacheKey): string {
@@ -97,18 +97,18 @@
   return `${ENGINE_PATH.CACHE}?${query.toString()}`;
 }
 
-/** Speaks the protocol of docs/PROTOCOLS.md with one engine. */
+/** Client for one engine that implements the protocol of docs/PROTOCOLS.md. */
 export class HttpModelEngine implements ModelEngine {
   readonly #client: HttpBackendClient;
-  /** Apart, so that moving caches takes no connection from requests. */
+  /** Separate, so that cache transfers take no connections from requests. */
   readonly #transfers: HttpBackendClient;
   readonly #random: Random;
   readonly #runs = new Map<string, HttpEngineRun>();
   readonly #subscriptions = new Map<CacheSubscription, Unregister>();
 
   /**
-   * @param settings the engine's origin and the bounds
-   * @param random spreads reconnects
+   * @param settings the engine's origin, limits and timeouts
+   * @param random adds jitter to reconnect delays
    */
   constructor(settings: HttpEngineSettings, random: Random) {
     this.#client = new HttpBackendClient(settings);
@@ -160,7 +160,7 @@
     if (Number.isSafeInteger(tokens) && tokens > 0) {
       return {ok: true, value: {tokens, bytes: body}};
     }
-    return failed('backendFailed', 'The engine told no length of the context.');
+    return failed('backendFailed', 'The engine sent no valid context length.');
   }
 
   async importCache(
--- a/packages/lovagepond-backend/src/backend_http_exchange.ts
+++ b/packages/lovagepond-backend/src/backend_http_exchange.ts
@@ -1,29 +1,29 @@
 /**
- * One HTTP exchange with a backend server, exact about whether any byte of the
- * request may have left.
+ * One HTTP exchange with a backend server. It records whether any byte of the
+ * request may have been sent.
  */
 import {type IncomingHttpHeaders} from 'node:http';
 import {type Dispatcher} from 'undici';
 import {invariant} from '@lovagepond/core';
 
-/** How an exchange was lost. */
+/** Reasons why an exchange failed. */
 export const LOSS = {
-  /** No connection could be made. */
+  /** No connection could be established. */
   UNREACHABLE: 'unreachable',
-  /** The connection stands, but nothing came for too long. */
+  /** The connection is open, but no data arrived within the timeout. */
   SILENT: 'silent',
-  /** The connection broke. */
+  /** The connection was closed or reset. */
   BROKEN: 'broken',
-  /** This side gave the exchange up. */
+  /** This side aborted the exchange. */
   ABORTED: 'aborted',
 } as const;
 
 /** One of the values of {@link LOSS}. */
 export type Loss = (typeof LOSS)[keyof typeof LOSS];
 
-/** What an exchange yields; `complete` or `lost` is the last. */
+/** Events of an exchange; the last one is `complete` or `lost`. */
 export type ExchangeEvent =
-  /** From here bytes of the request may have reached the server. */
+  /** From now on bytes of the request may have reached the server. */
   | {readonly kind: 'dispatched'}
   | {
       readonly kind: 'head';
@@ -34,13 +34,13 @@
   | {readonly kind: 'complete'}
   | {readonly kind: 'lost'; readonly loss: Loss; readonly dispatched: boolean};
 
-/** A request as undici takes it. */
+/** A request to a backend server. */
 export interface ExchangeRequest {
   readonly method: 'GET' | 'POST' | 'PUT' | 'DELETE';
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body?: Uint8Array;
-  /** Longest time until the head, and between two chunks. */
+  /** Timeout for the response head and between two chunks, milliseconds. */
   readonly silenceMs: number;
 }
 
@@ -49,13 +49,13 @@
   'UND_ERR_BODY_TIMEOUT',
 ]);
 
-/** Answer bytes kept while the reader is busy, before the socket is paused. */
+/** Response bytes buffered for a slow reader before the socket is paused. */
 const MAX_KEPT_BYTES = 256 * 1024;
 
 /**
- * Runs one request and yields what becomes of it. Undici repeats nothing here:
- * with a pipelining of 1 it retries only requests whose bytes never left, and a
- * second start of this one breaks it off.
+ * Sends one request and yields its events. Undici never sends a request twice
+ * here: with a pipelining of 1 it retries only requests of which no byte was
+ * sent, and the exchange aborts when undici starts its request a second time.
  */
 export class HttpExchange implements Dispatcher.DispatchHandler {
   readonly #events: ExchangeEvent[] = [];
@@ -68,8 +68,8 @@
   #detached = false;
 
   /**
-   * @param dispatcher where to send it
-   * @param request what to send
+   * @param dispatcher the connection or pool to use
+   * @param request the request to send
    */
   start(dispatcher: Dispatcher, request: ExchangeRequest): void {
     const {silenceMs, body, ...rest} = request;
@@ -86,22 +86,22 @@
     }
   }
 
-  /** True once bytes of the request may have left. */
+  /** True once bytes of the request may have been sent. */
   get dispatched(): boolean {
     return this.#dispatched;
   }
 
-  /** Gives the exchange up; before its dispatch it will never be sent. */
+  /** Aborts the exchange; if not yet dispatched, it is never sent. */
   abort(): void {
     if (this.#ended) return;
     this.#aborted = true;
-    this.#controller?.abort(new Error('given up'));
+    this.#controller?.abort(new Error('exchange aborted'));
     this.#fail(LOSS.ABORTED);
   }
 
   /**
-   * Takes no more events, but lets the exchange end by itself, so that its
-   * connection can be used again.
+   * Stops collecting events but lets the exchange complete, so that its
+   * connection can be reused.
    */
   detach(): void {
     this.#detached = true;
@@ -128,11 +128,11 @@
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     // Undici calls this right before it writes the head. A second call means
-    // that it sends the request again after a lost connection: a call that may
-    // have run once would run twice. Breaking off leaves the outcome open,
-    // which is the truth.
+    // that it sends the request again after a lost connection. The server may
+    // already have run the first one, so the exchange aborts and reports an
+    // unknown outcome.
     if (this.#dispatched || this.#aborted) {
-      controller.abort(new Error('sent only once'));
+      controller.abort(new Error('request must not be sent twice'));
       this.#fail(this.#aborted ? LOSS.ABORTED : LOSS.BROKEN);
       return;
     }
@@ -159,8 +159,8 @@
       if (this.#keptBytes > MAX_KEPT_BYTES) this.abort();
       return;
     }
-    // A reader slower than the server would have the answer pile up here. The
-    // paused socket makes the server wait in its turn.
+    // Backpressure: with a reader slower than the server, the buffer would grow
+    // without limit. Pausing the socket makes the server wait.
     if (this.#keptBytes > MAX_KEPT_BYTES) controller.pause();
     this.#push({kind: 'chunk', bytes});
   }
@@ -180,7 +180,7 @@
 
   #release(bytes: number): void {
     this.#keptBytes -= bytes;
-    invariant(this.#keptBytes >= 0, 700, 'more bytes released than kept');
+    invariant(this.#keptBytes >= 0, 700, 'more bytes released than buffered');
     const paused = this.#controller?.paused === true;
     if (paused && this.#keptBytes <= MAX_KEPT_BYTES) this.#controller?.resume();
   }
--- a/packages/lovagepond-backend/src/backend_http_run.ts
+++ b/packages/lovagepond-backend/src/backend_http_run.ts
@@ -1,5 +1,5 @@
 /**
- * One run of a request at a model engine over HTTP.
+ * One run of a request on a model engine over HTTP.
  */
 import {type IncomingHttpHeaders} from 'node:http';
 import {type ErrorKind, type Failure, makeFailure} from '@lovagepond/core';
@@ -17,7 +17,7 @@
 const WHOLE_CHUNK_BYTES = 64 * 1024;
 const HTTP_OK = 200;
 
-/** Kinds for a loss after the request was dispatched: it may have run. */
+/** Error kinds for a failure after the dispatch: the request may have run. */
 const LOSS_KINDS: Readonly<Record<Loss | 'truncated', ErrorKind>> = {
   [LOSS.UNREACHABLE]: 'backendFailed',
   [LOSS.SILENT]: 'backendSilent',
@@ -26,13 +26,13 @@
   truncated: 'answerTruncated',
 };
 
-/** Kinds for a run that was ended before its dispatch: it was not run. */
+/** Error kinds for an abort before the dispatch: the request was not run. */
 const NOT_DISPATCHED: Readonly<Record<string, ErrorKind>> = {
   callerGone: 'revoked',
   deadlineExceeded: 'deadlineUnreachable',
 };
 
-/** Statuses by which an engine refuses a request before it runs it. */
+/** HTTP statuses with which an engine rejects a request without running it. */
 const REFUSALS: Readonly<Record<number, ErrorKind>> = {
   400: 'badRequest',
   404: 'notFound',
@@ -42,7 +42,7 @@
   503: 'overloaded',
 };
 
-/** How one connection's part of the run ended. */
+/** Outcome of the run on one connection. */
 type ConnectionOutcome =
   | {readonly kind: 'whole'}
   | {readonly kind: 'failed'; readonly failure: Failure}
@@ -53,7 +53,7 @@
   return {kind: 'failed', failure: makeFailure('answerTruncated')};
 }
 
-/** Runs one request; cancelled by its engine. */
+/** Runs one request, on up to two connections. */
 export class HttpEngineRun {
   readonly #client: HttpBackendClient;
   readonly #request: EngineRequest;
@@ -62,7 +62,7 @@
   readonly #assembly: AnswerAssembly | undefined;
   #exchange: HttpExchange | undefined;
   #abortKind: ErrorKind | undefined;
-  /** Bytes of the engine's events taken so far. */
+  /** Bytes of the engine's events received so far. */
   #received: number;
   /** Bytes of the answer yielded so far. */
   #offset: number;
@@ -71,8 +71,8 @@
   #concluded = false;
 
   /**
-   * @param client connections to the engine
-   * @param request what to run
+   * @param client HTTP client for the engine
+   * @param request the request to run
    */
   constructor(client: HttpBackendClient, request: EngineRequest) {
     this.#client = client;
@@ -83,13 +83,13 @@
     this.#received = this.#offset;
   }
 
-  /** True when the engine may still work on a run that nobody wants. */
+  /** True when the engine may still work on a run that was aborted. */
   get isAbandoned(): boolean {
     const unwanted = this.#abortKind !== undefined || !this.#concluded;
     return this.#dispatched && unwanted;
   }
 
-  /** @param kind what the run fails with when it has been dispatched */
+  /** @param kind error kind of the run if it has been dispatched */
   abort(kind: ErrorKind): void {
     this.#abortKind ??= kind;
     this.#exchange?.abort();
@@ -105,10 +105,11 @@
       return;
     }
     let end = yield* this.#runConnection(body, false);
-    // The connection may be at fault and not the engine: a device in between
-    // that has forgotten it leaves it silent for good. A fresh one goes on
-    // from the delivered offset. The engine knows the request by its id and
-    // refuses what it can't continue, so two generations are never spliced.
+    // The fault may be in the connection and not in the engine: when a device
+    // on the network path has dropped the connection's state, it stays silent
+    // forever. A new connection resumes from the delivered offset. The engine
+    // identifies the request by its id and rejects it when it can't continue,
+    // so that two generations are never joined.
     if (end.kind === 'lost' && this.#canResume()) {
       this.#parser.reset();
       const second = yield* this.#runConnection(body, true);
@@ -169,9 +170,10 @@
   }
 
   /**
-   * An engine that knows nothing of resuming would run the request anew and
-   * send its first bytes once more: the caller would read two generations as
-   * one answer. Only one that repeats the offset goes on with the same one.
+   * Checks that the engine resumes the same generation: it must return the
+   * requested offset. An engine without support for resuming would run the
+   * request again and send the first bytes again, and the caller would get two
+   * generations as one answer.
    */
   #confirmsOffset(headers: IncomingHttpHeaders): boolean {
     if (this.#received === 0) return true;
@@ -208,7 +210,7 @@
     const events = this.#parser.push(bytes);
     if (!events) return this.#engineFailed('An event is larger than allowed.');
     for (const event of events) {
-      // A cancelled run passes nothing on, however late its answer comes.
+      // An aborted run forwards nothing, even if its answer arrives later.
       if (this.#abortKind) return {kind: 'lost', loss: LOSS.ABORTED};
       const verdict = this.#check.inspect(event);
       if (verdict.kind === 'fail') {
@@ -262,8 +264,8 @@
   ): ConnectionOutcome {
     const text = body.toString('utf8', 0, MAX_ERROR_BYTES);
     const message = `The engine answered ${status}: ${text}`;
-    // A refusal speaks only for the connection it came on. When the request
-    // went out on another one before, it may have run there.
+    // The rejection applies only to this connection. If the request was sent on
+    // another connection before, it may have run there.
     if (isRetry) return {kind: 'lost', loss: LOSS.BROKEN};
     const kind = REFUSALS[status];
     if (kind === undefined) return this.#engineFailed(message);
--- a/packages/lovagepond-backend/src/backend_http_service.ts
+++ b/packages/lovagepond-backend/src/backend_http_service.ts
@@ -1,5 +1,5 @@
 /**
- * A plain service over HTTP/1.1.
+ * Adapter for a plain service over HTTP/1.1.
  */
 import {type ErrorKind, makeFailure} from '@lovagepond/core';
 import {
@@ -15,7 +15,7 @@
 } from './backend_plain_service.js';
 import {startTimer} from './backend_timer_utils.js';
 
-/** What is known when a call was lost before any byte of it left. */
+/** Error kinds for a failure before any byte of the call was sent. */
 const LOST_BEFORE_DISPATCH: Readonly<Record<Loss, ErrorKind>> = {
   [LOSS.UNREACHABLE]: 'unreachable',
   [LOSS.SILENT]: 'unreachable',
@@ -23,7 +23,7 @@
   [LOSS.ABORTED]: 'revoked',
 };
 
-/** What is known when it was lost after that: it may have run. */
+/** Error kinds for a failure after that: the call may have run. */
 const LOST_AFTER_DISPATCH: Readonly<Record<Loss, ErrorKind>> = {
   [LOSS.UNREACHABLE]: 'backendFailed',
   [LOSS.SILENT]: 'backendSilent',
@@ -60,11 +60,11 @@
   return chunked || headers['content-length'] !== undefined;
 }
 
-/** Calls a plain service, once each. */
+/** Client for a plain service; sends each call only once. */
 export class HttpPlainService implements PlainService {
   readonly #client: HttpBackendClient;
 
-  /** @param settings the service's origin and the bounds */
+  /** @param settings the service's origin, limits and timeouts */
   constructor(settings: HttpClientSettings) {
     this.#client = new HttpBackendClient(settings);
   }
@@ -112,9 +112,9 @@
       body: request.body,
       silenceMs: this.#client.settings.silenceMs,
     } as const;
-    // A pooled connection that the service closes in the same moment loses the
-    // call after its bytes left: it may have run, and nobody may repeat it. A
-    // fresh connection proves that the service is there before a byte leaves.
+    // If the service closes a pooled connection at the same moment, the call
+    // fails after it was sent: it may have run and must not be retried. A new
+    // connection proves that the service is up before any byte is sent.
     return this.#client.sendBuffered(exchange, request.nonRepeatable, signal);
   }
 
@@ -134,9 +134,9 @@
     }
     const echoed = outcome.headers[REQUEST_ID_HEADER];
     if (echoed !== undefined && echoed !== request.requestId) {
-      return failed('backendFailed', "The service gave another call's answer.");
+      return failed('backendFailed', "The service sent another call's answer.");
     }
-    // Without a length or chunks, an answer cut short looks like a whole one.
+    // Without a length or chunked encoding, truncation can't be detected.
     if (!isDelimited(outcome)) return failed('answerTruncated');
     return {
       kind: 'answered',
--- a/packages/lovagepond-backend/src/backend_model_engine.ts
+++ b/packages/lovagepond-backend/src/backend_model_engine.ts
@@ -1,11 +1,11 @@
 /**
- * What the system asks of a model engine, whatever its protocol.
+ * Interface of model engines, independent of the protocol.
  */
 import {type Failure, type Result, type Unregister} from '@lovagepond/core';
 
-/** One request handed to an engine. */
+/** One request for an engine. */
 export interface EngineRequest {
-  /** The engine tells this id in each event of the answer. */
+  /** The engine repeats this id in each event of the answer. */
   readonly requestId: string;
   readonly workspace: string;
   readonly chat: string;
@@ -14,18 +14,19 @@
   readonly path: string;
   readonly contentType: string;
   readonly body: Uint8Array;
-  /** The answer is wanted as server-sent events. */
+  /** Whether the answer is streamed as server-sent events. */
   readonly stream: boolean;
   /**
-   * Bytes of the answer that were already delivered. Above 0 the engine must
-   * continue the same generation; it refuses when it no longer holds it.
+   * Number of bytes of the answer that were already delivered. Above 0 the
+   * engine must resume the same generation; it rejects the request when it no
+   * longer has that generation.
    */
   readonly resumeFrom: number;
   /** Monotonic milliseconds. */
   readonly deadline: number;
 }
 
-/** Token counts as the engine reported them. */
+/** Token counts reported by the engine. */
 export interface EngineUsage {
   readonly promptTokens: number;
   readonly cachedTokens: number;
@@ -33,50 +34,51 @@
 }
 
 /**
- * What a run yields, in this order: dispatched, started, data…, then exactly
- * one of end and failed. A failure may stand at any place. A failure without
- * `dispatched` before it means that the request was not run.
+ * Events of a run, in this order: dispatched, started, data…, then exactly one
+ * of end and failed. `failed` may come at any point. Without a preceding
+ * `dispatched` it means that the request was not run.
  */
 export type EngineEvent =
-  /** The first byte is about to leave: from here it may have run. */
+  /** The first byte is about to be sent; from now on it may have run. */
   | {readonly kind: 'dispatched'}
-  /** The engine took it into its batch; how much of the prompt was warm. */
+  /** The engine added the request to its batch. */
   | {
       readonly kind: 'started';
       readonly status: number;
       readonly contentType: string;
       readonly cachedTokens: number;
     }
-  /** `offset` is the position of the first byte in the whole answer. */
+  /** `offset` is the position of the first byte in the complete answer. */
   | {
       readonly kind: 'data';
       readonly offset: number;
       readonly bytes: Uint8Array;
     }
-  /** The answer is whole; `totalBytes` counts from its very beginning. */
+  /** The answer is complete; `totalBytes` includes resumed parts. */
   | {
       readonly kind: 'end';
       readonly totalBytes: number;
       readonly usage: EngineUsage;
     }
-  /** The disposition follows from the failure's kind. */
+  /** The failure's kind determines its disposition. */
   | {readonly kind: 'failed'; readonly failure: Failure};
 
-/** Names one chat's context in an engine's cache. */
+/** Identifies one chat's context in an engine's prefix cache. */
 export interface CacheKey {
   readonly workspace: string;
   readonly chat: string;
 }
 
-/** A chat's KV cache on its way to another engine. */
+/** A chat's KV cache, exported for another engine. */
 export interface ExportedCache {
   readonly tokens: number;
   readonly bytes: Uint8Array;
 }
 
 /**
- * A change of the engine's cache. Events come late; `sequence` rises by one
- * within an incarnation. After `gap` nothing is known of chats not named since.
+ * A change of the engine's prefix cache. Events arrive with a delay; `sequence`
+ * increases by one per event within an incarnation. After a `gap` the state of
+ * a chat is unknown until a later event names it.
  */
 export type CacheEvent =
   | {
@@ -92,22 +94,22 @@
     }
   | {readonly kind: 'gap'; readonly sequence: number};
 
-/** The engine's own view of its load, some time ago. */
+/** The load that the engine reported, as of `measuredAt`. */
 export interface LoadReport {
-  /** Changes when the engine restarts: its cache and streams are gone. */
+  /** Changes when the engine restarts and loses its cache and streams. */
   readonly incarnation: string;
-  /** Prompt and answer tokens of what is in the batch. */
+  /** Prompt and answer tokens of the requests in the batch. */
   readonly runningTokens: number;
   readonly waitingTokens: number;
   readonly runningRequests: number;
   readonly capacityTokens: number;
   readonly cachedTokens: number;
-  /** Monotonic milliseconds on this process's clock at which it was true. */
+  /** Time of the measurement, monotonic milliseconds of this process. */
   readonly measuredAt: number;
   readonly models: readonly string[];
 }
 
-/** Orders an engine takes. */
+/** Actions that an engine can be ordered to take. */
 export const ORDER_ACTION = {
   LOAD_MODEL: 'loadModel',
   UNLOAD_MODEL: 'unloadModel',
@@ -117,7 +119,7 @@
 /** One of the values of {@link ORDER_ACTION}. */
 export type OrderAction = (typeof ORDER_ACTION)[keyof typeof ORDER_ACTION];
 
-/** An order. An engine that checks refuses a token below one it has seen. */
+/** An order. Engines with fencing reject a token below one already seen. */
 export interface EngineOrder {
   readonly orderId: string;
   readonly fencingToken: number;
@@ -125,25 +127,25 @@
   readonly arguments: Readonly<Record<string, string>>;
 }
 
-/** What became of an order. */
+/** The outcome of an order. */
 export interface EngineOrderOutcome {
   readonly outcome: 'done' | 'failed' | 'fenced';
   readonly message: string;
 }
 
-/** A model engine. Every call ends by itself: none waits forever. */
+/** A model engine. Every call has a timeout. */
 export interface ModelEngine {
   /**
    * Runs one request. Ending the iteration early cancels it.
    *
-   * @param request what to run
-   * @param now present time, monotonic milliseconds
+   * @param request the request to run
+   * @param now current time, monotonic milliseconds
    * @returns the events; never throws
    */
   run(request: EngineRequest, now: number): AsyncIterable<EngineEvent>;
   /**
    * Cancels a run: its iteration ends with a failure, later answers are
-   * dropped, and the engine is told.
+   * dropped, and a cancellation is sent to the engine.
    *
    * @param requestId the run's request id
    */
@@ -151,14 +153,16 @@
   exportCache(key: CacheKey): Promise<Result<ExportedCache>>;
   importCache(key: CacheKey, cache: ExportedCache): Promise<Result<boolean>>;
   /**
-   * @param listener called with each event until the registration is taken
-   *     back; survives lost connections and the engine's restart
-   * @returns takes the registration back
+   * Subscribes to cache events. The subscription survives lost connections and
+   * restarts of the engine.
+   *
+   * @param listener called with each event until the subscription is ended
+   * @returns a function that ends the subscription
    */
   subscribeCache(listener: (event: CacheEvent) => void): Unregister;
-  /** @param now present time, monotonic milliseconds */
+  /** @param now current time, monotonic milliseconds */
   loadReport(now: number): Promise<Result<LoadReport>>;
   order(order: EngineOrder): Promise<Result<EngineOrderOutcome>>;
-  /** Ends all runs and connections. */
+  /** Aborts all runs and closes all connections. */
   close(): Promise<void>;
 }
--- a/packages/lovagepond-backend/src/backend_plain_service.ts
+++ b/packages/lovagepond-backend/src/backend_plain_service.ts
@@ -1,9 +1,9 @@
 /**
- * What the system asks of a plain service beside the model engines.
+ * Interface of plain services: backend servers that are not model engines.
  */
 import {type Failure} from '@lovagepond/core';
 
-/** One call handed to a plain service. */
+/** One call to a plain service. */
 export interface ServiceRequest {
   readonly requestId: string;
   readonly workspace: string;
@@ -18,8 +18,8 @@
 }
 
 /**
- * The outcome of one call. A failure's kind says by its disposition whether
- * the service may have run the call: not run means that no byte of it left.
+ * The outcome of one call. The disposition of a failure's kind says whether the
+ * service may have run the call; `notRun` means that no byte of it was sent.
  */
 export type ServiceOutcome =
   | {
@@ -33,11 +33,11 @@
 /** A plain service. */
 export interface PlainService {
   /**
-   * Sends the call once; never repeats it by itself.
+   * Sends the call once; never retries it.
    *
    * @param request the call
-   * @param now present time, monotonic milliseconds
-   * @param signal gives the call up; before its first byte left it is not run
+   * @param now current time, monotonic milliseconds
+   * @param signal aborts the call; if no byte was sent yet, it is not run
    * @returns the outcome; never throws
    */
   call(
@@ -47,6 +47,6 @@
   ): Promise<ServiceOutcome>;
   /** @returns true when the service accepts connections */
   probe(): Promise<boolean>;
-  /** Ends all connections. */
+  /** Closes all connections. */
   close(): Promise<void>;
 }
--- a/packages/lovagepond-backend/src/backend_timer_utils.ts
+++ b/packages/lovagepond-backend/src/backend_timer_utils.ts
@@ -1,13 +1,13 @@
 /**
- * Timers for deadlines that may lie far ahead, and timers that end together.
+ * Timers for deadlines in the far future, and sets of timers.
  */
 
-/** Node fires a longer timer at once. */
+/** Maximum delay of a Node timer; Node fires a longer one at once. */
 const MAX_TIMER_MS = 2 ** 31 - 1;
 
 /**
- * @param delayMs milliseconds until the action, however many
- * @param action what to do then
+ * @param delayMs milliseconds until the action; any value
+ * @param action called after the delay
  * @returns the timer
  */
 export function startTimer(
@@ -17,13 +17,13 @@
   return setTimeout(action, Math.min(delayMs, MAX_TIMER_MS));
 }
 
-/** Timers that are still to fire. */
+/** A set of pending timers that can be stopped together. */
 export class TimerSet {
   readonly #timers = new Set<NodeJS.Timeout>();
 
   /**
    * @param delayMs milliseconds until the action
-   * @param action what to do then
+   * @param action called after the delay
    */
   start(delayMs: number, action: () => void): void {
     const timer = setTimeout(() => {
@@ -33,7 +33,7 @@
     this.#timers.add(timer);
   }
 
-  /** Ends all of them without their actions. */
+  /** Stops all pending timers without calling their actions. */
   stop(): void {
     for (const timer of this.#timers) clearTimeout(timer);
   }
