--- a/packages/lovagepond-backend/src/backend_http_run.ts
+++ b/packages/lovagepond-backend/src/backend_http_run.ts
@@ -83,7 +83,7 @@
     this.#received = this.#offset;
   }
 
-  /** True when the engine may still work on a run that was aborted. */
+  /** True when the engine may still work on an aborted or unfinished run. */
   get isAbandoned(): boolean {
     const unwanted = this.#abortKind !== undefined || !this.#concluded;
     return this.#dispatched && unwanted;
