--- a/packages/lovagepond-backend/src/backend_cache_subscription.ts
+++ b/packages/lovagepond-backend/src/backend_cache_subscription.ts
@@ -1,6 +1,6 @@
 /**
- * Follows an engine's cache events over HTTP, through lost connections and the
- * engine's restarts.
+ * Subscription to an engine's cache events over HTTP. It reconnects after lost
+ * connections and restarts of the engine.
  */
 import {type Random, type Unregister} from '@lovagepond/core';
 import {CacheSequence} from './backend_cache_sequence.js';
@@ -15,7 +15,7 @@
 const LAST_RETRY_MS = 4_000;
 const HTTP_OK = 200;
 
-/** One subscription. */
+/** One subscription to the cache events of an engine. */
 export class CacheSubscription {
   readonly #client: HttpBackendClient;
   readonly #random: Random;
@@ -27,9 +27,9 @@
   #ended = false;
 
   /**
-   * @param client connections to the engine
-   * @param random spreads the reconnects
-   * @param listener gets the events
+   * @param client HTTP client for the engine
+   * @param random adds jitter to the reconnect delay
+   * @param listener called with each event
    */
   constructor(
     client: HttpBackendClient,
@@ -41,9 +41,9 @@
     this.#listener = listener;
   }
 
-  /** @returns ends the subscription */
+  /** @returns a function that ends the subscription */
   start(): Unregister {
-    void this.#follow();
+    void this.#connect();
     return () => {
       this.#ended = true;
       clearTimeout(this.#timer);
@@ -51,12 +51,12 @@
     };
   }
 
-  /** @param incarnation what another answer of the engine told */
-  noteIncarnation(incarnation: string): void {
-    this.#tell(this.#sequence.noteIncarnation(incarnation));
+  /** @param incarnation the engine's incarnation, from another response */
+  updateIncarnation(incarnation: string): void {
+    this.#notify(this.#sequence.updateIncarnation(incarnation));
   }
 
-  async #follow(): Promise<void> {
+  async #connect(): Promise<void> {
     if (this.#ended) return;
     const {incarnation, last} = this.#sequence;
     const query = new URLSearchParams({incarnation, after: String(last)});
@@ -71,7 +71,7 @@
     );
     this.#exchange = exchange;
     await this.#read(exchange);
-    this.#retry();
+    this.#scheduleReconnect();
   }
 
   async #read(exchange: HttpExchange): Promise<void> {
@@ -83,26 +83,26 @@
       this.#retryMs = FIRST_RETRY_MS;
       const events = parser.push(event.bytes);
       if (!events) return;
-      for (const item of events) this.#take(item);
+      for (const item of events) this.#handleEvent(item);
     }
   }
 
-  #take(item: ServerSentEvent): void {
+  #handleEvent(item: ServerSentEvent): void {
     if (item.data === '') return;
     const parsed = parseEvent(item.data);
-    if (parsed) this.#tell(this.#sequence.take(parsed));
+    if (parsed) this.#notify(this.#sequence.take(parsed));
   }
 
-  #tell(events: readonly CacheEvent[]): void {
+  #notify(events: readonly CacheEvent[]): void {
     if (this.#ended) return;
     for (const event of events) this.#listener(event);
   }
 
-  #retry(): void {
+  #scheduleReconnect(): void {
     if (this.#ended) return;
     const delay = this.#retryMs * (0.5 + this.#random.next());
     this.#retryMs = Math.min(LAST_RETRY_MS, 2 * this.#retryMs);
-    this.#timer = setTimeout(() => void this.#follow(), delay);
+    this.#timer = setTimeout(() => void this.#connect(), delay);
   }
 }
 
--- a/packages/lovagepond-backend/src/backend_http_run.ts
+++ b/packages/lovagepond-backend/src/backend_http_run.ts
@@ -1,9 +1,9 @@
 /**
- * One run of a request at a model engine over HTTP.
+ * One run of a request on a model engine over HTTP.
  */
 import {type IncomingHttpHeaders} from 'node:http';
 import {type ErrorKind, type Failure, makeFailure} from '@lovagepond/core';
-import {AnswerAssembly, askToStream} from './backend_answer_assembly.js';
+import {AnswerAssembly, toStreamingRequest} from './backend_answer_assembly.js';
 import {AnswerCheck} from './backend_answer_check.js';
 import {ENGINE_HEADER} from './backend_engine_protocol.js';
 import {EventParser} from './backend_event_parser.js';
@@ -17,7 +17,7 @@
 const WHOLE_CHUNK_BYTES = 64 * 1024;
 const HTTP_OK = 200;
 
-/** Kinds for a loss after the request was dispatched: it may have run. */
+/** Error kinds for a failure after the dispatch: the request may have run. */
 const LOSS_KINDS: Readonly<Record<Loss | 'truncated', ErrorKind>> = {
   [LOSS.UNREACHABLE]: 'backendFailed',
   [LOSS.SILENT]: 'backendSilent',
@@ -26,13 +26,13 @@
   truncated: 'answerTruncated',
 };
 
-/** Kinds for a run that was ended before its dispatch: it was not run. */
+/** Error kinds for an abort before the dispatch: the request was not run. */
 const NOT_DISPATCHED: Readonly<Record<string, ErrorKind>> = {
   callerGone: 'revoked',
   deadlineExceeded: 'deadlineUnreachable',
 };
 
-/** Statuses by which an engine refuses a request before it runs it. */
+/** HTTP statuses with which an engine rejects a request without running it. */
 const REFUSALS: Readonly<Record<number, ErrorKind>> = {
   400: 'badRequest',
   404: 'notFound',
@@ -42,18 +42,18 @@
   503: 'overloaded',
 };
 
-/** How one connection's part of the run ended. */
-type PartEnd =
+/** Outcome of the run on one connection. */
+type ConnectionOutcome =
   | {readonly kind: 'whole'}
   | {readonly kind: 'failed'; readonly failure: Failure}
   | {readonly kind: 'lost'; readonly loss: Loss | 'truncated'};
 
-function refuseResume(reconnected: boolean): PartEnd {
+function refuseResume(reconnected: boolean): ConnectionOutcome {
   if (reconnected) return {kind: 'lost', loss: 'truncated'};
   return {kind: 'failed', failure: makeFailure('answerTruncated')};
 }
 
-/** Runs one request; cancelled by its engine. */
+/** Runs one request, on up to two connections. */
 export class HttpEngineRun {
   readonly #client: HttpBackendClient;
   readonly #request: EngineRequest;
@@ -61,8 +61,8 @@
   readonly #parser = new EventParser(MAX_EVENT_BYTES);
   readonly #assembly: AnswerAssembly | undefined;
   #exchange: HttpExchange | undefined;
-  #ending: ErrorKind | undefined;
-  /** Bytes of the engine's events taken so far. */
+  #abortKind: ErrorKind | undefined;
+  /** Bytes of the engine's events received so far. */
   #received: number;
   /** Bytes of the answer yielded so far. */
   #offset: number;
@@ -71,8 +71,8 @@
   #concluded = false;
 
   /**
-   * @param client connections to the engine
-   * @param request what to run
+   * @param client HTTP client for the engine
+   * @param request the request to run
    */
   constructor(client: HttpBackendClient, request: EngineRequest) {
     this.#client = client;
@@ -83,95 +83,99 @@
     this.#received = this.#offset;
   }
 
-  /** True when the engine may still work on a run that nobody wants. */
-  get givenUp(): boolean {
-    const unwanted = this.#ending !== undefined || !this.#concluded;
+  /** True when the engine may still work on an aborted or unfinished run. */
+  get isAbandoned(): boolean {
+    const unwanted = this.#abortKind !== undefined || !this.#concluded;
     return this.#dispatched && unwanted;
   }
 
-  /** @param kind what the run fails with when it has been dispatched */
+  /** @param kind error kind of the run if it has been dispatched */
   abort(kind: ErrorKind): void {
-    this.#ending ??= kind;
+    this.#abortKind ??= kind;
     this.#exchange?.abort();
   }
 
   /** @returns the run's events */
   async *events(): AsyncGenerator<EngineEvent, void> {
     const body = this.#assembly
-      ? askToStream(this.#request.body)
+      ? toStreamingRequest(this.#request.body)
       : this.#request.body;
     if (!body) {
       yield this.#failure('badRequest');
       return;
     }
-    let end = yield* this.#part(body, false);
-    // The connection may be at fault and not the engine: a device in between
-    // that has forgotten it leaves it silent for good. A fresh one goes on
-    // from the delivered offset. The engine knows the request by its id and
-    // refuses what it can't continue, so two generations are never spliced.
-    if (end.kind === 'lost' && this.#mayGoOn()) {
+    let end = yield* this.#runConnection(body, false);
+    // The fault may be in the connection and not in the engine: when a device
+    // on the network path has dropped the connection's state, it stays silent
+    // forever. A new connection resumes from the delivered offset. The engine
+    // identifies the request by its id and rejects it when it can't continue,
+    // so that two generations are never joined.
+    if (end.kind === 'lost' && this.#canResume()) {
       this.#parser.reset();
-      const second = yield* this.#part(body, true);
+      const second = yield* this.#runConnection(body, true);
       if (second.kind !== 'lost') end = second;
     }
     this.#concluded = true;
     yield* this.#conclude(end);
   }
 
-  #mayGoOn(): boolean {
-    return this.#dispatched && this.#ending === undefined;
+  #canResume(): boolean {
+    return this.#dispatched && this.#abortKind === undefined;
   }
 
-  *#conclude(end: PartEnd): Generator<EngineEvent, void> {
+  *#conclude(end: ConnectionOutcome): Generator<EngineEvent, void> {
     if (end.kind === 'whole') {
-      if (this.#assembly) yield* this.#dataOf(this.#assembly.encode());
+      if (this.#assembly) yield* this.#dataEvents(this.#assembly.encode());
       const {usage} = this.#check;
       yield {kind: 'end', totalBytes: this.#offset, usage};
     } else if (end.kind === 'failed') {
       yield {kind: 'failed', failure: end.failure};
     } else if (!this.#dispatched) {
-      yield this.#failure(NOT_DISPATCHED[this.#ending ?? ''] ?? 'unreachable');
+      yield this.#failure(
+        NOT_DISPATCHED[this.#abortKind ?? ''] ?? 'unreachable',
+      );
     } else {
-      yield this.#failure(this.#ending ?? LOSS_KINDS[end.loss]);
+      yield this.#failure(this.#abortKind ?? LOSS_KINDS[end.loss]);
     }
   }
 
-  async *#part(
+  async *#runConnection(
     body: Uint8Array,
     fresh: boolean,
-  ): AsyncGenerator<EngineEvent, PartEnd> {
-    if (this.#ending) return {kind: 'lost', loss: LOSS.ABORTED};
-    const former = this.#dispatched;
+  ): AsyncGenerator<EngineEvent, ConnectionOutcome> {
+    if (this.#abortKind) return {kind: 'lost', loss: LOSS.ABORTED};
+    const isRetry = this.#dispatched;
     const exchange = this.#send(body, fresh);
     let status = 0;
     const refusal: Buffer[] = [];
     for await (const event of exchange.events()) {
-      if (event.kind === 'dispatched' && !former) {
+      if (event.kind === 'dispatched' && !isRetry) {
         this.#dispatched = true;
         yield {kind: 'dispatched'};
       } else if (event.kind === 'head') {
         status = event.status;
-        if (!this.#agrees(event.headers)) return refuseResume(former);
+        if (!this.#confirmsOffset(event.headers)) return refuseResume(isRetry);
       } else if (event.kind === 'lost') {
         return {kind: 'lost', loss: event.loss};
       } else if (event.kind === 'chunk' && status !== HTTP_OK) {
         if (refusal.length === 0) refusal.push(event.bytes);
       } else if (event.kind === 'chunk') {
-        const end = yield* this.#take(event.bytes);
+        const end = yield* this.#processChunk(event.bytes);
         if (end?.kind === 'whole') exchange.detach();
         if (end) return end;
       }
     }
     if (status === HTTP_OK) return {kind: 'lost', loss: 'truncated'};
-    return this.#refused(status, Buffer.concat(refusal), former);
+    return this.#handleErrorStatus(status, Buffer.concat(refusal), isRetry);
   }
 
   /**
-   * An engine that knows nothing of resuming would run the request anew and
-   * send its first bytes once more: the caller would read two generations as
-   * one answer. Only one that repeats the offset goes on with the same one.
+   * Checks that the engine resumes the same generation: it must return the
+   * requested offset. An engine without support for resuming would run the
+   * request again and send the first bytes again, and the caller would get two
+   * generations as one answer.
    */
-  #agrees(headers: IncomingHttpHeaders): boolean {
+  #confirmsOffset(headers: IncomingHttpHeaders): boolean {
     if (this.#received === 0) return true;
     return headers[ENGINE_HEADER.RESUME_FROM] === String(this.#received);
   }
@@ -200,13 +204,15 @@
     return exchange;
   }
 
-  *#take(bytes: Buffer): Generator<EngineEvent, PartEnd | undefined> {
+  *#processChunk(
+    bytes: Buffer,
+  ): Generator<EngineEvent, ConnectionOutcome | undefined> {
     const events = this.#parser.push(bytes);
-    if (!events) return this.#broken('An event is larger than allowed.');
+    if (!events) return this.#engineFailed('An event is larger than allowed.');
     for (const event of events) {
-      // A cancelled run passes nothing on, however late its answer comes.
-      if (this.#ending) return {kind: 'lost', loss: LOSS.ABORTED};
-      const verdict = this.#check.judge(event);
+      // An aborted run forwards nothing, even if its answer arrives later.
+      if (this.#abortKind) return {kind: 'lost', loss: LOSS.ABORTED};
+      const verdict = this.#check.inspect(event);
       if (verdict.kind === 'fail') {
         return {kind: 'failed', failure: verdict.failure};
       }
@@ -215,11 +221,11 @@
       if (!this.#started) yield this.#start();
       this.#received += event.bytes.length;
       if (!this.#assembly) {
-        yield* this.#dataOf(event.bytes);
+        yield* this.#dataEvents(event.bytes);
         continue;
       }
       if (this.#received > MAX_WHOLE_BYTES) {
-        return this.#broken('The answer is larger than allowed.');
+        return this.#engineFailed('The answer is larger than allowed.');
       }
       this.#assembly.add(verdict.content);
     }
@@ -236,7 +242,7 @@
     };
   }
 
-  *#dataOf(bytes: Buffer): Generator<EngineEvent, void> {
+  *#dataEvents(bytes: Buffer): Generator<EngineEvent, void> {
     for (let at = 0; at < bytes.length; at += WHOLE_CHUNK_BYTES) {
       const part = bytes.subarray(at, at + WHOLE_CHUNK_BYTES);
       yield {kind: 'data', offset: this.#offset, bytes: part};
@@ -244,21 +250,25 @@
     }
   }
 
-  #broken(message: string): PartEnd {
+  #engineFailed(message: string): ConnectionOutcome {
     return {
       kind: 'failed',
       failure: makeFailure('backendFailed', {message}),
     };
   }
 
-  #refused(status: number, body: Buffer, former: boolean): PartEnd {
+  #handleErrorStatus(
+    status: number,
+    body: Buffer,
+    isRetry: boolean,
+  ): ConnectionOutcome {
     const text = body.toString('utf8', 0, MAX_ERROR_BYTES);
     const message = `The engine answered ${status}: ${text}`;
-    // A refusal speaks only for the connection it came on. When the request
-    // went out on another one before, it may have run there.
-    if (former) return {kind: 'lost', loss: LOSS.BROKEN};
+    // The rejection applies only to this connection. If the request was sent on
+    // another connection before, it may have run there.
+    if (isRetry) return {kind: 'lost', loss: LOSS.BROKEN};
     const kind = REFUSALS[status];
-    if (kind === undefined) return this.#broken(message);
+    if (kind === undefined) return this.#engineFailed(message);
     return {kind: 'failed', failure: makeFailure(kind, {message})};
   }
 
--- a/packages/lovagepond-cli/src/__tests__/unit/command_line.test.ts
+++ b/packages/lovagepond-cli/src/__tests__/unit/command_line.test.ts
@@ -13,7 +13,7 @@
     });
     program.outputHelp();
     expect(help).toMatch(/Examples:\n {2}\$ lovagepond standalone/);
-    expect(help).toMatch(/3 {2}the settings are invalid/);
+    expect(help).toMatch(/3 {2}the settings have faults/);
     for (const name of ['router', 'sidecar', 'control', 'check-settings']) {
       expect(help).toContain(name);
     }
--- a/packages/lovagepond-process/src/exit_codes_constants.ts
+++ b/packages/lovagepond-process/src/exit_codes_constants.ts
@@ -35,7 +35,7 @@
   0: 'success',
   1: 'internal error',
   2: 'the command line is invalid',
-  3: 'the settings are invalid; nothing was started',
+  3: 'the settings have faults; nothing was started',
   4: 'an address or the data folder could not be opened',
   5: 'requests were still in flight when the drain limit expired',
   6: 'a second signal stopped the process at once',
