--- a/packages/lovagepond-cli/src/command_explain.ts
+++ b/packages/lovagepond-cli/src/command_explain.ts
@@ -110,7 +110,7 @@
 ): Promise<ExitCode> {
   const builder = new RequestReportBuilder(id);
   const onLine = (line: LogLine): void => {
-    builder.add(line);
+    builder.take(line);
   };
   await readLines(inputs, onLine, showProgress);
   const report = builder.build();
@@ -128,7 +128,7 @@
 ): Promise<ExitCode> {
   const builder = new SummaryBuilder();
   const onLine = (line: LogLine): void => {
-    builder.add(line);
+    builder.take(line);
   };
   await readLines(inputs, onLine, showProgress);
   out.write(renderSummary(builder.build()));
@@ -142,7 +142,7 @@
 ): Promise<ExitCode> {
   const tracker = new ProcessStateTracker();
   const onLine = (line: LogLine): void => {
-    if (line.timeMs <= time) tracker.add(line);
+    if (line.timeMs <= time) tracker.take(line);
   };
   await readLines(inputs, onLine, showProgress);
   out.write(renderProcessStates(tracker.list()));
--- a/packages/lovagepond-cli/src/role_metrics.ts
+++ b/packages/lovagepond-cli/src/role_metrics.ts
@@ -24,7 +24,7 @@
     readonly label: string;
   };
   /** Paths of single numbers, by value of the label. */
-  readonly labelledNumbers?: {
+  readonly parts?: {
     readonly label: string;
     readonly paths: Readonly<Record<string, Path>>;
   };
@@ -35,7 +35,7 @@
     kind: 'counter',
     name: 'lovagepond_control_bytes_total',
     help: 'Control traffic of this process in bytes.',
-    labelledNumbers: {label: 'direction', paths},
+    parts: {label: 'direction', paths},
   };
 }
 
@@ -168,7 +168,7 @@
     kind: 'gauge',
     name: 'lovagepond_load_tokens',
     help: 'Estimated tokens running at the backend server and queued.',
-    labelledNumbers: {
+    parts: {
       label: 'state',
       paths: {
         running: ['gate', 'runningTokens'],
@@ -210,7 +210,7 @@
     kind: 'gauge',
     name: 'lovagepond_consensus_index',
     help: 'Consensus log indexes of this member.',
-    labelledNumbers: {
+    parts: {
       label: 'position',
       paths: {
         commit: ['consensus', 'commitIndex'],
@@ -314,7 +314,7 @@
 }
 
 function readSamples(metric: DumpMetric, {state}: StateDump): Sample[] {
-  const {path, labelledObjects, labelledNumbers} = metric;
+  const {path, labelledObjects, parts: labelledNumbers} = metric;
   if (path) return toSample(findValue(state, path), {});
   if (labelledObjects) {
     const counts = labelledObjects.paths.map(
@@ -334,8 +334,8 @@
 
 function labelNamesOf({
   labelledObjects,
-  labelledNumbers,
-}: Pick<DumpMetric, 'labelledObjects' | 'labelledNumbers'>): string[] {
+  parts: labelledNumbers,
+}: Pick<DumpMetric, 'labelledObjects' | 'parts'>): string[] {
   const label = labelledObjects?.label ?? labelledNumbers?.label;
   return label === undefined ? [] : [label];
 }
--- a/packages/lovagepond-explain/src/explain_process_state.ts
+++ b/packages/lovagepond-explain/src/explain_process_state.ts
@@ -88,7 +88,7 @@
   readonly #byProcess = new Map<string, ProcessState>();
 
   /** @param line the next log line of its process */
-  add(line: LogLine): void {
+  take(line: LogLine): void {
     const update = STATE_UPDATES.get(line.message)?.(line);
     if (!update) return;
     // A restarted process doesn't keep the state of its predecessor.
--- a/packages/lovagepond-explain/src/explain_request.ts
+++ b/packages/lovagepond-explain/src/explain_request.ts
@@ -41,8 +41,8 @@
   }
 
   /** @param line the next line */
-  add(line: LogLine): void {
-    this.#processStates.add(line);
+  take(line: LogLine): void {
+    this.#processStates.take(line);
     if (line.fields['request'] === this.#id) {
       this.#lines.push(line);
       this.#processState = this.#processStates.get(line.process);
--- a/packages/lovagepond-explain/src/explain_summary.ts
+++ b/packages/lovagepond-explain/src/explain_summary.ts
@@ -92,7 +92,7 @@
   ]);
 
   /** @param line a line; lines of one process must be in the order written */
-  add(line: LogLine): void {
+  take(line: LogLine): void {
     this.#handlers.get(line.message)?.(line);
   }
 
