--- a/packages/lovagepond-scenarios/src/__tests__/unit/safeguard_lists.test.ts
+++ b/packages/lovagepond-scenarios/src/__tests__/unit/safeguard_lists.test.ts
@@ -15,7 +15,7 @@
 );
 
 /** @returns the edits whose text doesn't stand exactly once in its file */
-function findStale(list: string): string[] {
+function findStaleEdits(list: string): string[] {
   const text = readFileSync(`scripts/${list}`, 'utf8');
   const entries = JSON.parse(text) as Safeguard[];
   return entries
@@ -32,6 +32,6 @@
   // change moves the safeguard's lines, the list keeps the old text, and the
   // proof is silently no longer tried: three entries had gone that way.
   it.each(LISTS)('%s names lines that stand in the source', list => {
-    expect(findStale(list)).toEqual([]);
+    expect(findStaleEdits(list)).toEqual([]);
   });
 });
--- a/packages/lovagepond-scenarios/src/steps/consensus_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/consensus_steps.ts
@@ -9,12 +9,12 @@
 import {type ControlHost} from '../world/consensus_group.js';
 import {type ScenarioWorld} from '../world/scenario_world.js';
 
-interface GroupNotes {
+interface ConsensusState {
   cutOff?: ControlHost;
   crashed?: ControlHost;
-  oldChange?: Proposal;
-  leaderBefore?: string;
-  termBefore?: number;
+  cutOffProposal?: Proposal;
+  initialLeader?: string;
+  initialTerm?: number;
   accepted: number;
 }
 
@@ -22,16 +22,16 @@
 const SETTLE_MS = 5_000;
 const COMMIT_MS = 200;
 
-const notes = new WeakMap<ScenarioWorld, GroupNotes>();
+const states = new WeakMap<ScenarioWorld, ConsensusState>();
 
-function notesOf(world: ScenarioWorld): GroupNotes {
-  const known = notes.get(world) ?? {accepted: 0};
-  notes.set(world, known);
-  return known;
+function stateOf(world: ScenarioWorld): ConsensusState {
+  const state = states.get(world) ?? {accepted: 0};
+  states.set(world, state);
+  return state;
 }
 
 function cutOffOf(world: ScenarioWorld): ControlHost {
-  const {cutOff} = notesOf(world);
+  const {cutOff} = stateOf(world);
   assert.ok(cutOff, 'no host is cut off');
   return cutOff;
 }
@@ -56,7 +56,7 @@
   const proposal = addPool(world, leader, name);
   world.timeline.advance(COMMIT_MS);
   assert.ok(world.consensus.isCommitted(leader, proposal), 'not accepted');
-  notesOf(world).accepted += 1;
+  stateOf(world).accepted += 1;
 }
 
 function cutOff(world: ScenarioWorld, host: ControlHost, outwards: boolean) {
@@ -66,16 +66,16 @@
     consensus.cut(other.name, host.name);
     if (outwards) consensus.cut(host.name, other.name);
   }
-  notesOf(world).cutOff = host;
+  stateOf(world).cutOff = host;
 }
 
 Given<ScenarioWorld>('the control hosts {string} agree', function (names) {
   const {timeline} = this;
   const group = this.createConsensus(names.split(', '));
   timeline.advance(SETTLE_MS);
-  const state = notesOf(this);
-  state.leaderBefore = group.leader.name;
-  state.termBefore = group.leader.core.status(timeline.now).term;
+  const state = stateOf(this);
+  state.initialLeader = group.leader.name;
+  state.initialTerm = group.leader.core.status(timeline.now).term;
 });
 
 Given<ScenarioWorld>('the pool {string} is accepted', function (name) {
@@ -111,26 +111,26 @@
 When<ScenarioWorld>(
   'the pool {string} is added at the cut-off host',
   function (name) {
-    notesOf(this).oldChange = addPool(this, cutOffOf(this), name);
+    stateOf(this).cutOffProposal = addPool(this, cutOffOf(this), name);
   },
 );
 
 When<ScenarioWorld>(
   'the pool {string} is added at the leader',
   function (name) {
-    assert.notEqual(this.consensus.leader, notesOf(this).cutOff);
+    assert.notEqual(this.consensus.leader, stateOf(this).cutOff);
     addPoolAtLeader(this, name);
   },
 );
 
-function askRead(world: ScenarioWorld, host: ControlHost): void {
+function requestRead(world: ScenarioWorld, host: ControlHost): void {
   host.core.read(READ_TOKEN);
   host.core.flush(world.timeline.now);
   host.perform();
 }
 
 When<ScenarioWorld>('a read arrives at the cut-off host', function () {
-  askRead(this, cutOffOf(this));
+  requestRead(this, cutOffOf(this));
 });
 
 When<ScenarioWorld>('the partition heals', function () {
@@ -141,11 +141,11 @@
   const other = this.consensus.hosts.find(host => host !== cutOffOf(this));
   assert.ok(other);
   other.crash();
-  notesOf(this).crashed = other;
+  stateOf(this).crashed = other;
 });
 
 When<ScenarioWorld>('the crashed host starts again', function () {
-  const {crashed} = notesOf(this);
+  const {crashed} = stateOf(this);
   assert.ok(crashed);
   crashed.start();
 });
@@ -176,7 +176,7 @@
 When<ScenarioWorld>('{word} comes back with an empty disk', function (name) {
   const host = this.consensus.host(name);
   host.crash();
-  host.emptyDisk();
+  host.replaceDisk();
   this.timeline.advance(SETTLE_MS);
   host.start();
 });
@@ -200,7 +200,11 @@
   host.start();
 });
 
-function giveVote(world: ScenarioWorld, name: string, former: string): void {
+function replaceVoter(
+  world: ScenarioWorld,
+  name: string,
+  former: string,
+): void {
   const {consensus, timeline} = world;
   const promote = {kind: 'promote', id: consensus.host(name).id} as const;
   assert.equal(consensus.changeMembers(promote).kind, 'added');
@@ -216,14 +220,14 @@
     const {id, name: address} = this.consensus.addHost(name);
     this.consensus.changeMembers({kind: 'addLearner', id, address});
     this.timeline.advance(SETTLE_MS);
-    giveVote(this, name, former);
+    replaceVoter(this, name, former);
   },
 );
 
 When<ScenarioWorld>(
   '{word} gets its vote and {word} leaves',
   function (name, former) {
-    giveVote(this, name, former);
+    replaceVoter(this, name, former);
   },
 );
 
@@ -239,10 +243,10 @@
 Then<ScenarioWorld>(
   'the change at the cut-off host was not accepted',
   function () {
-    const {oldChange} = notesOf(this);
-    assert.ok(oldChange);
+    const {cutOffProposal} = stateOf(this);
+    assert.ok(cutOffProposal);
     const host = cutOffOf(this);
-    assert.ok(!this.consensus.isCommitted(host, oldChange));
+    assert.ok(!this.consensus.isCommitted(host, cutOffProposal));
   },
 );
 
@@ -250,7 +254,7 @@
   'the cut-off host answers no read and leads no more',
   function () {
     const host = cutOffOf(this);
-    askRead(this, host);
+    requestRead(this, host);
     this.timeline.advance(SETTLE_MS);
     assert.ok(!host.answeredReads.has(READ_TOKEN), 'it answered a read');
     const {role} = host.core.status(this.timeline.now);
@@ -268,9 +272,12 @@
 
 Then<ScenarioWorld>('no control host was elected in between', function () {
   const {now} = this.timeline;
-  for (const host of this.consensus.hosts.filter(part => part.isUp)) {
+  for (const host of this.consensus.hosts.filter(host => host.isUp)) {
     const {term} = host.core.status(now);
-    assert.ok(term <= (notesOf(this).termBefore ?? 0), `${host.name}: ${term}`);
+    assert.ok(
+      term <= (stateOf(this).initialTerm ?? 0),
+      `${host.name}: ${term}`,
+    );
   }
 });
 
@@ -288,8 +295,8 @@
   function () {
     const {leader} = this.consensus;
     const {term} = leader.core.status(this.timeline.now);
-    const {leaderBefore, termBefore} = notesOf(this);
-    assert.deepEqual([leader.name, term], [leaderBefore, termBefore]);
+    const {initialLeader, initialTerm} = stateOf(this);
+    assert.deepEqual([leader.name, term], [initialLeader, initialTerm]);
   },
 );
 
@@ -298,7 +305,7 @@
 }
 
 Then<ScenarioWorld>('the leader has all accepted changes', function () {
-  assert.equal(countPools(this.consensus.leader), notesOf(this).accepted);
+  assert.equal(countPools(this.consensus.leader), stateOf(this).accepted);
 });
 
 Then<ScenarioWorld>('another change is accepted', function () {
@@ -311,6 +318,6 @@
     const counts = this.consensus.hosts
       .filter(host => host.isUp)
       .map(host => countPools(host));
-    assert.equal(Math.max(...counts), notesOf(this).accepted);
+    assert.equal(Math.max(...counts), stateOf(this).accepted);
   },
 );
--- a/packages/lovagepond-scenarios/src/steps/engine_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/engine_steps.ts
@@ -8,7 +8,7 @@
 const MS_PER_SECOND = 1_000;
 const SETTLE_MS = 10_000;
 /** The first announcements count as flaps for a while; they wear off. */
-const CALM_MS = 120_000;
+const FLAP_DECAY_MS = 120_000;
 
 Given<ScenarioWorld>(
   '{int} engines announce themselves each second',
@@ -17,7 +17,7 @@
     for (let number = 1; number <= count; number++) {
       list.start(`engine-${number}`);
     }
-    this.timeline.advance(SETTLE_MS + CALM_MS);
+    this.timeline.advance(SETTLE_MS + FLAP_DECAY_MS);
     assert.equal(list.count('ready'), count);
   },
 );
@@ -27,14 +27,14 @@
 });
 
 When<ScenarioWorld>('{word} falls silent', function (name) {
-  this.engines.silence(name);
+  this.engines.stopAnnouncing(name);
 });
 
 When<ScenarioWorld>(
   'the engines {int} to {int} fall silent',
   function (first, last) {
     for (let number = first; number <= last; number++) {
-      this.engines.silence(`engine-${number}`);
+      this.engines.stopAnnouncing(`engine-${number}`);
     }
   },
 );
@@ -104,5 +104,5 @@
 );
 
 Then<ScenarioWorld>('the mean load counts {int} engines', function (count) {
-  assert.equal(this.engines.meanServers, count);
+  assert.equal(this.engines.readyServers, count);
 });
--- a/packages/lovagepond-scenarios/src/steps/gate_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/gate_steps.ts
@@ -14,7 +14,7 @@
 /** Fills the floor, so that whatever follows is held. */
 const FILLING_TOKENS = 4_000;
 
-const revokes = new WeakMap<ScenarioWorld, Map<string, string>>();
+const revokeOutcomes = new WeakMap<ScenarioWorld, Map<string, string>>();
 
 Given<ScenarioWorld>(
   '{word} runs request {string} and holds request {string}',
@@ -59,9 +59,9 @@
 When<ScenarioWorld>('the router takes {string} back', function (attemptId) {
   const server = this.server(SERVER);
   const {outcome, actions} = server.gate.revoke(attemptId, this.timeline.now);
-  server.apply(actions);
-  const known = revokes.get(this) ?? new Map<string, string>();
-  revokes.set(this, known.set(attemptId, outcome));
+  server.perform(actions);
+  const outcomes = revokeOutcomes.get(this) ?? new Map<string, string>();
+  revokeOutcomes.set(this, outcomes.set(attemptId, outcome));
 });
 
 When<ScenarioWorld>(
@@ -80,7 +80,7 @@
   function (count, workspace, name) {
     const server = this.server(name);
     for (let index = 0; index < count; index++) {
-      const id = `${workspace}-${server.offersSeen}`;
+      const id = `${workspace}-${server.offerCount}`;
       server.offer(makeOffer(name, id, {workspace, tokens: FILLING_TOKENS}));
     }
   },
@@ -91,7 +91,7 @@
   function (name, seconds) {
     const server = this.server(name);
     const limitMs = seconds * MS_PER_SECOND;
-    server.apply(server.gate.startDraining(this.timeline.now, limitMs));
+    server.perform(server.gate.startDraining(this.timeline.now, limitMs));
   },
 );
 
@@ -105,7 +105,7 @@
 
 Then<ScenarioWorld>('{string} was answered as not run', function (attemptId) {
   const refusals = findRefusals(this.server(SERVER), attemptId);
-  const revoked = revokes.get(this)?.get(attemptId) === 'revoked';
+  const revoked = revokeOutcomes.get(this)?.get(attemptId) === 'revoked';
   assert.ok(refusals.length > 0 || revoked, 'it was not answered');
   for (const {failure} of refusals) {
     assert.equal(answerFor(failure.kind).disposition, DISPOSITION.NOT_RUN);
@@ -125,7 +125,7 @@
 Then<ScenarioWorld>(
   'the router was told that {string} was dispatched',
   function (attemptId) {
-    assert.equal(revokes.get(this)?.get(attemptId), 'dispatched');
+    assert.equal(revokeOutcomes.get(this)?.get(attemptId), 'dispatched');
   },
 );
 
@@ -151,20 +151,23 @@
   'the workspace {string} was served within the first {int} requests',
   function (workspace, count) {
     const order = [...this.server(SERVER).runs.keys()];
-    const place = order.findIndex(id => id.startsWith(workspace));
-    assert.ok(place >= 0 && place < count, `it was number ${place + 1}`);
+    const position = order.findIndex(id => id.startsWith(workspace));
+    assert.ok(
+      position >= 0 && position < count,
+      `it was number ${position + 1}`,
+    );
   },
 );
 
 Then<ScenarioWorld>(
   '{int} requests of the workspace {string} were told when to come back',
   function (count, workspace) {
-    const sentBack = this.server(SERVER).refusals.filter(
+    const refused = this.server(SERVER).refusals.filter(
       refusal =>
         refusal.attemptId.startsWith(workspace) &&
         refusal.failure.retryAfterMs > 0,
     );
-    assert.equal(sentBack.length, count);
+    assert.equal(refused.length, count);
   },
 );
 
--- a/packages/lovagepond-scenarios/src/steps/list_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/list_steps.ts
@@ -17,13 +17,13 @@
   readonly left: string;
   readonly right: string;
   /** First choice among all servers that any router knows. */
-  readonly wanted: string;
+  readonly firstOfAll: string;
 }
 
 const WORKSPACE = 'gutscheinwerk';
 const PERCENT = 100;
 
-const tables = new WeakMap<ScenarioWorld, RendezvousServer[][]>();
+const routerLists = new WeakMap<ScenarioWorld, RendezvousServer[][]>();
 const choices = new WeakMap<ScenarioWorld, Choice[]>();
 
 Given<ScenarioWorld>(
@@ -33,7 +33,7 @@
       name: `server-${first + index}`,
       slot: index,
     }));
-    tables.set(this, [...(tables.get(this) ?? []), servers]);
+    routerLists.set(this, [...(routerLists.get(this) ?? []), servers]);
   },
 );
 
@@ -52,7 +52,7 @@
 When<ScenarioWorld>(
   'both choose a first server for {int} chats',
   async function (count) {
-    const [left = [], right = []] = tables.get(this) ?? [];
+    const [left = [], right = []] = routerLists.get(this) ?? [];
     const hasher = await loadKeyHasher();
     const names = new Set([...left, ...right].map(server => server.name));
     const all = [...names].map((name, slot) => ({name, slot}));
@@ -60,24 +60,28 @@
       servers => chooseFirst(servers, hasher),
     );
     assert.ok(chooseLeft && chooseRight && chooseAny);
-    const made = Array.from({length: count}, (_, index) => {
+    const results = Array.from({length: count}, (_, index) => {
       const chat = `chat-${index}`;
       return {
         left: chooseLeft(chat),
         right: chooseRight(chat),
-        wanted: chooseAny(chat),
+        firstOfAll: chooseAny(chat),
       };
     });
-    choices.set(this, made);
+    choices.set(this, results);
   },
 );
 
 Then<ScenarioWorld>(
   /^they differ on exactly the chats that want (\S+)(?: or (\S+))?$/,
   function (first: string, second: string | undefined) {
-    for (const {left, right, wanted} of choices.get(this) ?? []) {
-      const mayDiffer = wanted === first || wanted === second;
-      assert.equal(left !== right, mayDiffer, `${left}, ${right}, ${wanted}`);
+    for (const {left, right, firstOfAll} of choices.get(this) ?? []) {
+      const mayDiffer = firstOfAll === first || firstOfAll === second;
+      assert.equal(
+        left !== right,
+        mayDiffer,
+        `${left}, ${right}, ${firstOfAll}`,
+      );
     }
   },
 );
@@ -85,9 +89,9 @@
 Then<ScenarioWorld>(
   'those are between {int} and {int} percent of the chats',
   function (low, high) {
-    const made = choices.get(this) ?? [];
-    const differing = made.filter(({left, right}) => left !== right).length;
-    const percent = (differing * PERCENT) / made.length;
+    const results = choices.get(this) ?? [];
+    const differing = results.filter(({left, right}) => left !== right).length;
+    const percent = (differing * PERCENT) / results.length;
     assert.ok(percent >= low && percent <= high, `${percent} percent`);
   },
 );
--- a/packages/lovagepond-scenarios/src/steps/load_bound_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/load_bound_steps.ts
@@ -15,18 +15,18 @@
   meanAgeMs: 300,
 };
 /** Shares of the work that count as a server's part in it. */
-const TENTH = 0.1;
-const ROUNDING = 1e-9;
+const BUSY_SHARE = 0.1;
+const ROUNDING_TOLERANCE = 1e-9;
 
 const options = new WeakMap<ScenarioWorld, PoolOptions>();
-const kiosks = new WeakMap<ScenarioWorld, string[]>();
+const kioskIdsByWorld = new WeakMap<ScenarioWorld, string[]>();
 
 Given<ScenarioWorld>(
   'a pool of {int} engines with a load bound of {float}',
   function (size, loadBound) {
     options.set(this, {...POOL, size, loadBound});
     this.createPool({...POOL, size, loadBound});
-    this.pool.startTaking();
+    this.pool.startWorkStealing();
   },
 );
 
@@ -35,19 +35,19 @@
   function (seconds) {
     const meanAgeMs = seconds * MS_PER_SECOND;
     this.createPool({...POOL, ...options.get(this), meanAgeMs});
-    this.pool.startTaking();
+    this.pool.startWorkStealing();
   },
 );
 
 When<ScenarioWorld>(
   '{int} kiosks wake within {int} second(s) for chats of {word}',
   function (count, seconds, server) {
-    const woken = kiosks.get(this) ?? [];
-    kiosks.set(this, woken);
+    const kioskIds = kioskIdsByWorld.get(this) ?? [];
+    kioskIdsByWorld.set(this, kioskIds);
     const stepMs = (seconds * MS_PER_SECOND) / count;
     for (let index = 0; index < count; index++) {
-      const id = `kiosk-${woken.length}`;
-      woken.push(id);
+      const id = `kiosk-${kioskIds.length}`;
+      kioskIds.push(id);
       this.timeline.schedule(index * stepMs, () => {
         const offer = makeOffer(server, id, {chat: id, tokens: 400});
         this.pool.send(offer, server);
@@ -61,26 +61,29 @@
 });
 
 Then<ScenarioWorld>('no engine was ever loaded beyond the bound', function () {
-  const {server, tokens, allowedTokens} = this.pool.worst;
+  const {server, tokens, allowedTokens} = this.pool.highestLoad;
   assert.ok(
-    tokens <= allowedTokens * (1 + ROUNDING),
+    tokens <= allowedTokens * (1 + ROUNDING_TOLERANCE),
     `${server} ran ${tokens} tokens where ${allowedTokens} were allowed`,
   );
 });
 
 function countRuns(pool: Pool, requestId: string): number {
-  return pool.servers.reduce((sum, part) => sum + part.runsOf(requestId), 0);
+  return pool.servers.reduce(
+    (sum, server) => sum + server.runsOf(requestId),
+    0,
+  );
 }
 
 Then<ScenarioWorld>(
   'every kiosk was answered once or told when to come back',
   function () {
-    for (const id of kiosks.get(this) ?? []) {
+    for (const id of kioskIdsByWorld.get(this) ?? []) {
       const runs = countRuns(this.pool, id);
-      const retryAfterMs = this.pool.sentBack.get(id);
+      const retryAfterMs = this.pool.refusedRequests.get(id);
       if (retryAfterMs === undefined) {
         assert.equal(runs, 1, `${id} was run ${runs} times`);
-        const done = this.pool.servers.some(part => part.completed.has(id));
+        const done = this.pool.servers.some(server => server.completed.has(id));
         assert.ok(done, `${id} got no whole answer`);
       } else {
         assert.equal(runs, 0, `${id} was refused and yet run`);
@@ -93,9 +96,9 @@
 Then<ScenarioWorld>(
   'at least {int} engines did a tenth of the work each',
   function (count) {
-    const runs = this.pool.servers.map(part => part.completed.size);
-    const total = runs.reduce((sum, part) => sum + part, 0);
-    const busy = runs.filter(part => part >= total * TENTH).length;
+    const runs = this.pool.servers.map(server => server.completed.size);
+    const total = runs.reduce((sum, count) => sum + count, 0);
+    const busy = runs.filter(count => count >= total * BUSY_SHARE).length;
     assert.ok(busy >= count, `runs by engine: ${runs.join(', ')}`);
   },
 );
@@ -103,7 +106,7 @@
 Given<ScenarioWorld>(
   '{word} has just started and has heard of no other engine',
   function (name) {
-    this.createFreshServer(name);
+    this.createServerWithoutMean(name);
   },
 );
 
--- a/packages/lovagepond-scenarios/src/steps/operator_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/operator_steps.ts
@@ -7,12 +7,12 @@
 import {type AnyChangeRequest} from '@lovagepond/control/deciders';
 import {type ScenarioWorld} from '../world/scenario_world.js';
 
-interface OperatorState {
+interface LastChange {
   readonly request: AnyChangeRequest;
   readonly answer: ChangeAnswer;
 }
 
-const operators = new WeakMap<ScenarioWorld, Map<string, OperatorState>>();
+const changesByOperator = new WeakMap<ScenarioWorld, Map<string, LastChange>>();
 
 const FAULTY_CONTENT = {
   pools: [
@@ -24,10 +24,10 @@
   ],
 };
 
-function stateOf(world: ScenarioWorld, operator: string): OperatorState {
-  const state = operators.get(world)?.get(operator);
-  assert.ok(state, `${operator} has changed nothing yet`);
-  return state;
+function lastChangeOf(world: ScenarioWorld, operator: string): LastChange {
+  const lastChange = changesByOperator.get(world)?.get(operator);
+  assert.ok(lastChange, `${operator} has changed nothing yet`);
+  return lastChange;
 }
 
 async function send(
@@ -36,8 +36,8 @@
   request: AnyChangeRequest,
 ): Promise<void> {
   const answer = await world.control.leader.change(request);
-  const known = operators.get(world) ?? new Map<string, OperatorState>();
-  operators.set(world, known.set(operator, {request, answer}));
+  const changes = changesByOperator.get(world) ?? new Map<string, LastChange>();
+  changesByOperator.set(world, changes.set(operator, {request, answer}));
 }
 
 function makeAddition(
@@ -65,7 +65,7 @@
   'the pool {string} was accepted as revision {int}',
   async function (pool, revision) {
     await send(this, 'nobody', makeAddition('nobody', pool, revision - 1));
-    assert.equal(stateOf(this, 'nobody').answer.kind, 'accepted');
+    assert.equal(lastChangeOf(this, 'nobody').answer.kind, 'accepted');
   },
 );
 
@@ -81,14 +81,14 @@
   async function (operator, pool, revision) {
     this.control.leader.losesNextAnswer = true;
     await send(this, operator, makeAddition(operator, pool, revision));
-    assert.equal(stateOf(this, operator).answer.kind, 'unknown');
+    assert.equal(lastChangeOf(this, operator).answer.kind, 'unknown');
   },
 );
 
 When<ScenarioWorld>(
   '{word} sends the same change again',
   async function (operator) {
-    await send(this, operator, stateOf(this, operator).request);
+    await send(this, operator, lastChangeOf(this, operator).request);
   },
 );
 
@@ -123,7 +123,7 @@
 Then<ScenarioWorld>(
   '{word} change was accepted as revision {int}',
   function (possessive, revision) {
-    const {answer} = stateOf(this, possessive.replace("'s", ''));
+    const {answer} = lastChangeOf(this, possessive.replace("'s", ''));
     assert.equal(answer.kind, 'accepted');
     if (answer.kind === 'accepted') assert.equal(answer.revision, revision);
   },
@@ -132,7 +132,7 @@
 Then<ScenarioWorld>(
   '{word} was told of a conflict that names {string}',
   function (operator, place) {
-    const {answer} = stateOf(this, operator);
+    const {answer} = lastChangeOf(this, operator);
     assert.equal(answer.kind, 'conflict');
     if (answer.kind !== 'conflict') return;
     const places = answer.differences.map(difference => difference.place);
@@ -143,11 +143,11 @@
 Then<ScenarioWorld>(
   '{word} was told of the faults {string}',
   function (operator, places) {
-    const {answer} = stateOf(this, operator);
+    const {answer} = lastChangeOf(this, operator);
     assert.equal(answer.kind, 'invalid');
     if (answer.kind !== 'invalid') return;
-    const told = answer.faults.map(fault => fault.place).join(', ');
-    assert.equal(told, places);
+    const faultPlaces = answer.faults.map(fault => fault.place).join(', ');
+    assert.equal(faultPlaces, places);
   },
 );
 
--- a/packages/lovagepond-scenarios/src/steps/order_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/order_steps.ts
@@ -13,12 +13,12 @@
 import {type ScenarioWorld} from '../world/scenario_world.js';
 
 /** A sidecar's fencing and what its backend server was made to load. */
-class OrderedServer {
+class FencedServer {
   fencing = new SidecarFencing();
   readonly loaded: string[] = [];
   delayed: OrderView | undefined;
 
-  deliver(order: OrderView): void {
+  deliverToServer(order: OrderView): void {
     if (this.fencing.check(order) !== ORDER_VERDICT.PASS) return;
     this.loaded.push(order.arguments['model'] ?? '');
     this.fencing.finish(order.orderId, {outcome: 'done', message: ''});
@@ -28,18 +28,22 @@
 const COMMIT_MS = 200;
 const NO_FLOOR = 0;
 
-const servers = new WeakMap<ScenarioWorld, OrderedServer>();
+const servers = new WeakMap<ScenarioWorld, FencedServer>();
 
-function serverOf(world: ScenarioWorld): OrderedServer {
-  const known = servers.get(world);
-  if (known) return known;
-  const server = new OrderedServer();
+function serverOf(world: ScenarioWorld): FencedServer {
+  const existing = servers.get(world);
+  if (existing) return existing;
+  const server = new FencedServer();
   server.fencing.learnFloor(NO_FLOOR);
   servers.set(world, server);
   return server;
 }
 
-function issue(world: ScenarioWorld, server: string, model: string): OrderView {
+function issueOrder(
+  world: ScenarioWorld,
+  server: string,
+  model: string,
+): OrderView {
   const {leader} = world.consensus;
   const orderId = `load-${model}`;
   world.consensus.propose(leader, ORDER_COMMAND, {
@@ -57,22 +61,22 @@
 When<ScenarioWorld>(
   'the leader orders {word} to load {string} and the order is delayed',
   function (server, model) {
-    serverOf(this).delayed = issue(this, server, model);
+    serverOf(this).delayed = issueOrder(this, server, model);
   },
 );
 
 /** Passes an order to the sidecar, and its outcome back to the leader. */
 function deliver(world: ScenarioWorld, order: OrderView): void {
-  serverOf(world).deliver(order);
+  serverOf(world).deliverToServer(order);
   const {orderId, fencingToken, backendServer} = order;
   const {leader} = world.consensus;
-  const end = serverOf(world).fencing.endOf(orderId);
-  if (!end) return;
+  const outcome = serverOf(world).fencing.endOf(orderId);
+  if (!outcome) return;
   world.consensus.propose(leader, ORDER_OUTCOME_COMMAND, {
     orderId,
     fencingToken,
     backendServer,
-    ...end,
+    ...outcome,
   });
   world.timeline.advance(COMMIT_MS);
 }
@@ -80,7 +84,7 @@
 When<ScenarioWorld>(
   'the leader orders {word} to load {string}',
   function (server, model) {
-    deliver(this, issue(this, server, model));
+    deliver(this, issueOrder(this, server, model));
   },
 );
 
@@ -89,8 +93,8 @@
   function (_server) {
     const server = serverOf(this);
     assert.ok(server.delayed, 'no order is delayed');
-    server.deliver(server.delayed);
-    server.deliver(server.delayed);
+    server.deliverToServer(server.delayed);
+    server.deliverToServer(server.delayed);
   },
 );
 
--- a/packages/lovagepond-scenarios/src/steps/process_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/process_steps.ts
@@ -15,7 +15,7 @@
 const START_LIMIT_MS = 60_000;
 const STEP_LIMIT_MS = 30_000;
 const POLL_MS = 50;
-const SET = 'examples/loopback';
+const SETTINGS_FOLDER = 'examples/loopback';
 const OPERATION_ID = 'pharmacy-weight';
 const QUESTION = 'Which voucher fits? ';
 const CONVERGENCE_LIMIT_SECONDS = '20';
@@ -23,7 +23,7 @@
 /** Whose answer an engine sends when it crosses answers. */
 const CROSSED_ID = 'another-request';
 const CROSSED_TEXT = fakeAnswerText(CROSSED_ID, 4);
-const SLOW = {timeout: STEP_LIMIT_MS};
+const STEP_OPTIONS = {timeout: STEP_LIMIT_MS};
 
 let fleet: Fleet | undefined;
 let revisions: number[] = [];
@@ -31,9 +31,9 @@
 let answers: ChatAnswer[] = [];
 let requestsBefore = 0;
 let exited: Promise<number | null> | undefined;
-let chats = 0;
+let chatCount = 0;
 
-function theFleet(): Fleet {
+function getFleet(): Fleet {
   assert.ok(fleet, 'no process was started');
   return fleet;
 }
@@ -41,7 +41,7 @@
 Before({tags: '@processes', timeout: START_LIMIT_MS}, async () => {
   if (fleet) return;
   fleet = new Fleet();
-  await fleet.start(SET);
+  await fleet.start(SETTINGS_FOLDER);
 });
 
 AfterAll(async () => {
@@ -49,27 +49,27 @@
 });
 
 /** Asks until it holds; the step's own limit ends it. */
-async function until(holds: () => Promise<boolean>): Promise<void> {
-  while (!(await holds())) await wait(POLL_MS);
+async function waitUntil(condition: () => Promise<boolean>): Promise<void> {
+  while (!(await condition())) await wait(POLL_MS);
 }
 
-function askThrough(router: string, maxTokens?: number): Promise<ChatAnswer> {
-  chats += 1;
-  return streamChat(theFleet().callersUrl(router), {
+function sendChat(router: string, maxTokens?: number): Promise<ChatAnswer> {
+  chatCount += 1;
+  return streamChat(getFleet().callersUrl(router), {
     workspace: 'demo',
-    chat: `process-chat-${chats}`,
-    messages: [{role: 'user', content: QUESTION.repeat(chats)}],
+    chat: `process-chat-${chatCount}`,
+    messages: [{role: 'user', content: QUESTION.repeat(chatCount)}],
     ...(maxTokens === undefined ? {} : {maxTokens}),
   });
 }
 
 function backendUrl(sidecar: string): string {
-  return theFleet().get(sidecar).settings?.['backend']?.['url'] ?? '';
+  return getFleet().get(sidecar).settings?.['backend']?.['url'] ?? '';
 }
 
 /** Tells every engine the faults of its next request. */
 async function setFaults(faults: object): Promise<void> {
-  for (const sidecar of theFleet().namesOf('sidecar')) {
+  for (const sidecar of getFleet().namesOf('sidecar')) {
     const res = await fetch(`${backendUrl(sidecar)}/fake/faults`, {
       method: 'POST',
       headers: {'content-type': 'application/json'},
@@ -98,20 +98,20 @@
 }
 
 async function stateOf(server: string): Promise<string | undefined> {
-  const listed = (await theFleet().ctl('servers', 'list')) as ListedServer[];
+  const listed = (await getFleet().ctl('servers', 'list')) as ListedServer[];
   return listed.find(view => view.server.name === server)?.server.state;
 }
 
 async function setWeight(): Promise<void> {
   const command = ['workspaces', 'set', 'pharmacy', 'weight=2'];
   const options = ['--operation-id', OPERATION_ID, '--base', '1'];
-  const told = await theFleet().ctl(...command, ...options);
-  revisions.push((told as {revision: number}).revision);
+  const output = await getFleet().ctl(...command, ...options);
+  revisions.push((output as {revision: number}).revision);
 }
 
 When(
   'an operator gives the workspace "pharmacy" the weight 2 by ctl',
-  SLOW,
+  STEP_OPTIONS,
   async () => {
     revisions = [];
     await setWeight();
@@ -120,7 +120,7 @@
 
 When(
   'the operator repeats the command with the same operation id',
-  SLOW,
+  STEP_OPTIONS,
   setWeight,
 );
 
@@ -129,14 +129,18 @@
   assert.equal(revisions[0], revisions[1]);
 });
 
-Then('ctl tells that the revision is in force everywhere', SLOW, async () => {
-  const options = ['--wait', '--limit', CONVERGENCE_LIMIT_SECONDS];
-  const told = await theFleet().ctl('convergence', ...options);
-  assert.deepEqual((told as {behind: string[]}).behind, []);
-});
+Then(
+  'ctl tells that the revision is in force everywhere',
+  STEP_OPTIONS,
+  async () => {
+    const options = ['--wait', '--limit', CONVERGENCE_LIMIT_SECONDS];
+    const output = await getFleet().ctl('convergence', ...options);
+    assert.deepEqual((output as {behind: string[]}).behind, []);
+  },
+);
 
 Then('every router and sidecar process holds that revision', async () => {
-  const all = theFleet();
+  const all = getFleet();
   const names = [...all.namesOf('router'), ...all.namesOf('sidecar')];
   for (const name of names) {
     const {state} = await all.dump(name);
@@ -157,14 +161,14 @@
 });
 
 When('a shopper asks through {word}', (router: string) => {
-  answer = askThrough(router);
+  answer = sendChat(router);
 });
 
 When('a shopper asks for a long answer through {word}', (router: string) => {
-  answer = askThrough(router, LONG_ANSWER_TOKENS);
+  answer = sendChat(router, LONG_ANSWER_TOKENS);
 });
 
-Then("the shopper's process gets the whole answer", SLOW, async () => {
+Then("the shopper's process gets the whole answer", STEP_OPTIONS, async () => {
   const got = await answer;
   assert.ok(got?.whole, `status ${got?.status}: ${got?.body}`);
   assert.equal(got.status, 200);
@@ -172,7 +176,7 @@
 
 Then(
   "the shopper's process gets its own whole answer or none",
-  SLOW,
+  STEP_OPTIONS,
   async () => {
     const got = await answer;
     assert.ok(got, 'nobody asked');
@@ -185,16 +189,16 @@
 
 When(
   'an operator drains the engine of {word} by ctl',
-  SLOW,
+  STEP_OPTIONS,
   async (sidecar: string) => {
-    await theFleet().ctl('servers', 'drain', sidecar);
+    await getFleet().ctl('servers', 'drain', sidecar);
   },
 );
 
-When('every router has heard that it is leaving', SLOW, async () => {
-  await until(async () => (await stateOf('sidecar-1')) === 'draining');
-  const all = theFleet();
-  await until(async () => {
+When('every router has heard that it is leaving', STEP_OPTIONS, async () => {
+  await waitUntil(async () => (await stateOf('sidecar-1')) === 'draining');
+  const all = getFleet();
+  await waitUntil(async () => {
     const names = [...all.namesOf('control'), ...all.namesOf('router')];
     const dumps = await Promise.all(names.map(name => all.dump(name)));
     const versions = dumps.map(({state}) => state['membershipVersion']);
@@ -205,10 +209,10 @@
 
 When(
   '{int} chats start through {word}',
-  SLOW,
+  STEP_OPTIONS,
   async (count: number, router: string) => {
-    const asked = Array.from({length: count}, () => askThrough(router));
-    answers = await Promise.all(asked);
+    const pending = Array.from({length: count}, () => sendChat(router));
+    answers = await Promise.all(pending);
   },
 );
 
@@ -222,33 +226,37 @@
 
 When(
   'an operator resumes the engine of {word} by ctl',
-  SLOW,
+  STEP_OPTIONS,
   async (sidecar: string) => {
-    await theFleet().ctl('servers', 'resume', sidecar);
+    await getFleet().ctl('servers', 'resume', sidecar);
   },
 );
 
-Then('ctl lists it as ready again', SLOW, async () => {
-  await until(async () => (await stateOf('sidecar-1')) === 'ready');
+Then('ctl lists it as ready again', STEP_OPTIONS, async () => {
+  await waitUntil(async () => (await stateOf('sidecar-1')) === 'ready');
 });
 
-When('the sidecar that serves it is told to stop', SLOW, async () => {
-  const all = theFleet();
-  let serving: string | undefined;
-  await until(async () => {
+When('the sidecar that serves it is told to stop', STEP_OPTIONS, async () => {
+  const all = getFleet();
+  let servingSidecar: string | undefined;
+  await waitUntil(async () => {
     for (const name of all.namesOf('sidecar')) {
       const {state} = await all.dump(name);
-      if ((state['gate'] as GateDump).runs === 1) serving = name;
+      if ((state['gate'] as GateDump).runs === 1) servingSidecar = name;
     }
-    return serving !== undefined;
+    return servingSidecar !== undefined;
   });
-  exited = all.get(serving ?? '').end('SIGTERM');
+  exited = all.get(servingSidecar ?? '').end('SIGTERM');
 });
 
-Then('the stopped process ended by itself with code 0', SLOW, async () => {
-  assert.equal(await exited, 0);
-});
+Then(
+  'the stopped process ended by itself with code 0',
+  STEP_OPTIONS,
+  async () => {
+    assert.equal(await exited, 0);
+  },
+);
 
-When('the process {word} is killed', SLOW, async (name: string) => {
-  await theFleet().get(name).end('SIGKILL');
+When('the process {word} is killed', STEP_OPTIONS, async (name: string) => {
+  await getFleet().get(name).end('SIGKILL');
 });
--- a/packages/lovagepond-scenarios/src/steps/redemption_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/redemption_steps.ts
@@ -8,7 +8,7 @@
 import {type ScenarioWorld} from '../world/scenario_world.js';
 
 /** By then a sidecar has given up a claim that nobody answers. */
-const CLAIM_GIVEN_UP_MS = 3_000;
+const CLAIM_ABANDONED_MS = 3_000;
 const ORDINALS = ['first', 'second', 'third'];
 
 Given<ScenarioWorld>(
@@ -38,19 +38,19 @@
     assert.ok(claimFault, `no such fault: ${fault}`);
     this.redemption.claimFault = claimFault;
     this.redemption.send(key, server);
-    this.timeline.advance(CLAIM_GIVEN_UP_MS);
+    this.timeline.advance(CLAIM_ABANDONED_MS);
     this.redemption.claimFault = 'none';
   },
 );
 
 When<ScenarioWorld>('the delayed claim arrives', function () {
-  this.redemption.deliverDelayed();
+  this.redemption.deliverDelayedClaim();
 });
 
 When<ScenarioWorld>(
   'the very same attempt arrives at {word} again',
   function (_server) {
-    this.redemption.repeatFirst();
+    this.redemption.redeliverFirst();
   },
 );
 
@@ -72,15 +72,15 @@
 Then<ScenarioWorld>(
   'the {word} sending was answered as {string}',
   function (ordinal, answer) {
-    const sending = this.redemption.sendingAt(ORDINALS.indexOf(ordinal));
-    assert.equal(sending.answer, answer);
+    const attempt = this.redemption.attemptAt(ORDINALS.indexOf(ordinal));
+    assert.equal(attempt.answer, answer);
   },
 );
 
 Then<ScenarioWorld>(
   'the {word} sending was answered as not run',
   function (ordinal) {
-    const {answer} = this.redemption.sendingAt(ORDINALS.indexOf(ordinal));
+    const {answer} = this.redemption.attemptAt(ORDINALS.indexOf(ordinal));
     const {disposition} = answerFor(parseErrorKind(answer));
     assert.equal(disposition, DISPOSITION.NOT_RUN, answer);
   },
--- a/packages/lovagepond-scenarios/src/steps/request_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/request_steps.ts
@@ -8,7 +8,7 @@
 import {type ScenarioWorld} from '../world/scenario_world.js';
 
 const MS_PER_SECOND = 1_000;
-const UNTIL_DEADLINE_MS = 31_000;
+const PAST_DEADLINE_MS = 31_000;
 const FORMER_ATTEMPT = 'request-1.1';
 /** As long as the answer, so that its pieces' offsets fit into it. */
 const OTHER_GENERATION = 'One croissant with each coffee until evening';
@@ -120,7 +120,7 @@
   '{word} is silent on every connection until the deadline',
   function (_server) {
     this.request.revokeOutcome = 'lost';
-    this.timeline.advance(UNTIL_DEADLINE_MS);
+    this.timeline.advance(PAST_DEADLINE_MS);
   },
 );
 
@@ -148,9 +148,9 @@
 );
 
 Then<ScenarioWorld>('the shopper has the whole answer once', function () {
-  const {text, answer, ended, failure} = this.request;
+  const {deliveredText, answer, ended, failure} = this.request;
   assert.equal(failure, undefined);
-  assert.equal(text, answer);
+  assert.equal(deliveredText, answer);
   assert.ok(ended, 'the answer has no end');
 });
 
@@ -161,8 +161,11 @@
 Then<ScenarioWorld>(
   'the shopper has nothing of the new generation',
   function () {
-    const {text, answer} = this.request;
-    assert.ok(answer.startsWith(text), `the shopper has "${text}"`);
+    const {deliveredText, answer} = this.request;
+    assert.ok(
+      answer.startsWith(deliveredText),
+      `the shopper has "${deliveredText}"`,
+    );
   },
 );
 
--- a/packages/lovagepond-scenarios/src/steps/revision_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/revision_steps.ts
@@ -164,7 +164,9 @@
 Then<ScenarioWorld>(
   'the router was told that its revision is stale',
   function () {
-    const kinds = this.server(SERVER).refusals.map(part => part.failure.kind);
+    const kinds = this.server(SERVER).refusals.map(
+      refusal => refusal.failure.kind,
+    );
     assert.deepEqual(kinds, ['staleRevision']);
   },
 );
--- a/packages/lovagepond-scenarios/src/world/consensus_group.ts
+++ b/packages/lovagepond-scenarios/src/world/consensus_group.ts
@@ -30,7 +30,7 @@
   keptEntries: 10,
 };
 
-type Handlers = {
+type ActionHandlers = {
   readonly [Kind in ConsensusAction['kind']]: (
     action: Extract<ConsensusAction, {kind: Kind}>,
   ) => void;
@@ -61,9 +61,9 @@
 
   saveSnapshot(snapshot: Snapshot): void {
     const {index, term} = snapshot;
-    const held = this.#state.entries;
-    const holds = held.some(e => e.index === index && e.term === term);
-    const entries = holds ? held.filter(entry => entry.index > index) : [];
+    const stored = this.#state.entries;
+    const isInLog = stored.some(e => e.index === index && e.term === term);
+    const entries = isInLog ? stored.filter(entry => entry.index > index) : [];
     this.#state = {...this.#state, snapshot, entries};
   }
 }
@@ -75,13 +75,13 @@
   /** Index to term of what this host applied. */
   readonly applied = new Map<number, number>();
   /** Snapshots that this host took over from a leader. */
-  restores = 0;
+  restoredSnapshots = 0;
   readonly answeredReads = new Set<number>();
   #disk: HostDisk;
   #core: ConsensusCore | undefined;
   readonly #group: ConsensusGroup;
   readonly #timeline: Timeline;
-  readonly #handlers: Handlers;
+  readonly #handlers: ActionHandlers;
 
   constructor(name: string, group: ConsensusGroup, timeline: Timeline) {
     this.name = name;
@@ -129,8 +129,8 @@
     this.machine = this.#createMachine();
     if (stored.snapshot) this.machine.restore(stored.snapshot.data);
     const random = new Random(this.#group.nextSeed());
-    const parts = {stored, address: this.name, timings: TIMINGS, random};
-    this.#core = new ConsensusCore(parts, this.#timeline.now);
+    const dependencies = {stored, address: this.name, timings: TIMINGS, random};
+    this.#core = new ConsensusCore(dependencies, this.#timeline.now);
   }
 
   /** The process or its host is gone; the disk stays. */
@@ -139,7 +139,7 @@
   }
 
   /** The disk is replaced by an empty one, which has another identity. */
-  emptyDisk(): void {
+  replaceDisk(): void {
     this.#disk = new HostDisk(`${this.name}-disk-2`);
   }
 
@@ -164,7 +164,7 @@
     return new ControlStateMachine(CONTROL_DEFAULTS, () => this.#timeline.now);
   }
 
-  #storeLater(id: number, store: () => void): void {
+  #scheduleWrite(id: number, store: () => void): void {
     const core = this.#core;
     this.#timeline.schedule(SYNC_MS, () => {
       // A crash loses what was not synced.
@@ -180,20 +180,20 @@
     if (entry.kind === 'command') this.machine.apply(entry.data, entry.index);
   }
 
-  #makeHandlers(): Handlers {
+  #makeHandlers(): ActionHandlers {
     return {
       send: ({address, message}) => {
         this.#group.send(this.name, address, message);
       },
       write: ({id, write}) => {
         const disk = this.#disk;
-        this.#storeLater(id, () => {
+        this.#scheduleWrite(id, () => {
           disk.write(write);
         });
       },
       saveSnapshot: ({id, snapshot}) => {
         const disk = this.#disk;
-        this.#storeLater(id, () => {
+        this.#scheduleWrite(id, () => {
           disk.saveSnapshot(snapshot);
         });
       },
@@ -201,7 +201,7 @@
         for (const entry of entries) this.#apply(entry);
       },
       restore: ({snapshot}) => {
-        this.restores += 1;
+        this.restoredSnapshots += 1;
         this.machine.restore(snapshot.data);
       },
       takeSnapshot: ({index}) => {
--- a/packages/lovagepond-scenarios/src/world/control_group.ts
+++ b/packages/lovagepond-scenarios/src/world/control_group.ts
@@ -46,8 +46,10 @@
    */
   change(req: AnyChangeRequest): Promise<ChangeAnswer> {
     const {machine} = this;
-    const parts = {log: this, machine, clock: this.#clock};
-    return new ConfigurationChanger(machine, new Proposer(parts)).change(req);
+    const dependencies = {log: this, machine, clock: this.#clock};
+    return new ConfigurationChanger(machine, new Proposer(dependencies)).change(
+      req,
+    );
   }
 
   /** @param bytes a committed command */
@@ -128,7 +130,7 @@
   leader: GroupMember;
   term = 1;
   readonly #clock: Clock;
-  readonly #away = new Set<GroupMember>();
+  readonly #stopped = new Set<GroupMember>();
 
   constructor(timeline: Timeline) {
     this.#clock = {now: () => timeline.now, wallTime: () => timeline.now};
@@ -151,21 +153,21 @@
 
   /** True while most of the members are there. */
   get hasMajority(): boolean {
-    return this.#away.size < this.members.length / 2;
+    return this.#stopped.size < this.members.length / 2;
   }
 
   /**
    * @param member a member
    * @returns true while it is stopped
    */
-  isAway(member: GroupMember): boolean {
-    return this.#away.has(member);
+  isStopped(member: GroupMember): boolean {
+    return this.#stopped.has(member);
   }
 
   /** Another member becomes leader in a new term. */
   changeLeader(): void {
     const next = this.members.find(
-      member => member !== this.leader && !this.#away.has(member),
+      member => member !== this.leader && !this.#stopped.has(member),
     );
     if (!next) throw new Error('nobody is left to lead');
     this.leader = next;
@@ -175,14 +177,14 @@
   /** @param name a member that stops; the others go on */
   stop(name: string): void {
     const member = this.member(name);
-    this.#away.add(member);
+    this.#stopped.add(member);
     if (member === this.leader) this.changeLeader();
   }
 
   /** @param name a stopped member that comes back with one snapshot */
   restart(name: string): void {
     const member = this.member(name);
-    this.#away.delete(member);
+    this.#stopped.delete(member);
     member.restart(this.leader.machine.snapshot());
   }
 
@@ -191,9 +193,9 @@
    * @returns the leader's result
    */
   commit(bytes: Uint8Array): Uint8Array {
-    const present = this.members.filter(member => !this.#away.has(member));
-    const results = present.map(member => member.apply(bytes));
-    const result = results[present.indexOf(this.leader)];
+    const running = this.members.filter(member => !this.#stopped.has(member));
+    const results = running.map(member => member.apply(bytes));
+    const result = results[running.indexOf(this.leader)];
     if (!result) throw new Error('the group has no leader');
     return result;
   }
--- a/packages/lovagepond-scenarios/src/world/engine_list.ts
+++ b/packages/lovagepond-scenarios/src/world/engine_list.ts
@@ -49,7 +49,7 @@
   }
 
   /** @param name an engine that is not heard any more */
-  silence(name: string): void {
+  stopAnnouncing(name: string): void {
     this.#find(name).isSilent = true;
   }
 
@@ -87,7 +87,7 @@
   }
 
   /** Ready engines that the mean load is taken over. */
-  get meanServers(): number {
+  get readyServers(): number {
     return this.#registry.poolMean(POOL, this.#timeline.now).readyServers;
   }
 
@@ -100,7 +100,7 @@
   #announce(name: string): void {
     const engine = this.#find(name);
     if (engine.isSilent) return;
-    const said: Announcement = {
+    const announcement: Announcement = {
       name,
       incarnation: `${name}-${engine.incarnation}`,
       pool: POOL,
@@ -114,6 +114,6 @@
       capacityTokens: 100_000,
       models: [],
     };
-    this.#registry.announce(said, engine.wanted, this.#timeline.now);
+    this.#registry.announce(announcement, engine.wanted, this.#timeline.now);
   }
 }
--- a/packages/lovagepond-scenarios/src/world/gated_server.ts
+++ b/packages/lovagepond-scenarios/src/world/gated_server.ts
@@ -24,7 +24,7 @@
 }
 
 /** A refusal as the router saw it. */
-export interface SeenRefusal {
+export interface RefusalRecord {
   readonly attemptId: string;
   readonly failure: Failure;
   readonly pointer: string;
@@ -32,7 +32,7 @@
   readonly at: number;
 }
 
-type Handlers = {
+type ActionHandlers = {
   readonly [Kind in GateAction['kind']]: (
     action: Extract<GateAction, {kind: Kind}>,
   ) => void;
@@ -47,13 +47,13 @@
   readonly gate: SidecarGate;
   /** Request id to number of runs. */
   readonly runs = new Map<string, number>();
-  readonly refusals: SeenRefusal[] = [];
+  readonly refusals: RefusalRecord[] = [];
   readonly completed = new Set<string>();
   readonly cancelled = new Set<string>();
   readonly claims: string[] = [];
   readonly releasedClaims: string[] = [];
   /** Called with each refusal. */
-  onRefuse: (refusal: SeenRefusal) => void = () => undefined;
+  onRefuse: (refusal: RefusalRecord) => void = () => undefined;
   /** Called after each dispatch. */
   onDispatch: () => void = () => undefined;
   /** Called when a run has ended well. */
@@ -67,7 +67,7 @@
   readonly #running = new Map<string, number>();
   readonly #timeline: Timeline;
   readonly #tokensPerSecond: number;
-  readonly #handlers: Handlers;
+  readonly #handlers: ActionHandlers;
 
   constructor(options: GatedServerOptions, timeline: Timeline) {
     const {name, floorTokens, tokensPerSecond, seed} = options;
@@ -83,14 +83,14 @@
     this.gate = new SidecarGate(settings, new Random(seed));
     this.#handlers = this.#makeHandlers();
     timeline.repeat(TICK_MS, () => {
-      this.apply(this.gate.tick(timeline.now));
+      this.perform(this.gate.tick(timeline.now));
     });
   }
 
   /** Tokens that the engine really runs now. */
   get runningTokens(): number {
     let tokens = 0;
-    for (const part of this.#running.values()) tokens += part;
+    for (const attemptTokens of this.#running.values()) tokens += attemptTokens;
     return tokens;
   }
 
@@ -100,7 +100,7 @@
   }
 
   /** How many different attempts have arrived. */
-  get offersSeen(): number {
+  get offerCount(): number {
     return this.#offers.size;
   }
 
@@ -112,12 +112,12 @@
   /** @param offer an attempt as it arrives from a router */
   offer(offer: Offer): void {
     this.#offers.set(offer.attemptId, offer);
-    this.apply(this.gate.offer(offer, this.#timeline.now));
+    this.perform(this.gate.offer(offer, this.#timeline.now));
   }
 
   /** @param attemptId a claim that the ledger granted */
   grant(attemptId: string): void {
-    this.apply(this.gate.claimGranted(attemptId, this.#timeline.now));
+    this.perform(this.gate.claimGranted(attemptId, this.#timeline.now));
   }
 
   /** @param attemptId a dispatched attempt that the engine has done */
@@ -127,11 +127,11 @@
     this.completed.add(offer.requestId);
     this.onComplete(offer);
     const {now} = this.#timeline;
-    this.apply(this.gate.finish(attemptId, {kind: 'done'}, now));
+    this.perform(this.gate.finish(attemptId, {kind: 'done'}, now));
   }
 
   /** @param actions what the gate wants done */
-  apply(actions: readonly GateAction[]): void {
+  perform(actions: readonly GateAction[]): void {
     for (const action of actions) {
       this.#handlers[action.kind](action as never);
     }
@@ -151,7 +151,7 @@
     return offer;
   }
 
-  #makeHandlers(): Handlers {
+  #makeHandlers(): ActionHandlers {
     return {
       accept: () => undefined,
       refuse: ({attemptId, failure, pointer}) => {
--- a/packages/lovagepond-scenarios/src/world/offer_utils.ts
+++ b/packages/lovagepond-scenarios/src/world/offer_utils.ts
@@ -6,13 +6,13 @@
 /**
  * @param server the backend server that is meant
  * @param attemptId names the attempt; its request has the same id
- * @param more what differs from the usual request
+ * @param overrides what differs from the usual request
  * @returns the attempt
  */
 export function makeOffer(
   server: string,
   attemptId: string,
-  more: Partial<Offer> = {},
+  overrides: Partial<Offer> = {},
 ): Offer {
   return {
     requestId: attemptId,
@@ -28,6 +28,6 @@
     firstChoice: '',
     handOvers: 0,
     poolMeanTokens: 0,
-    ...more,
+    ...overrides,
   };
 }
--- a/packages/lovagepond-scenarios/src/world/pool.ts
+++ b/packages/lovagepond-scenarios/src/world/pool.ts
@@ -4,12 +4,12 @@
  */
 import {Random} from '@lovagepond/core';
 import {type Offer} from '@lovagepond/sidecar';
-import {GatedServer, type SeenRefusal} from './gated_server.js';
+import {GatedServer, type RefusalRecord} from './gated_server.js';
 import {type Timeline} from './timeline.js';
 
 const SEED = 20_261_202;
 const MEAN_INTERVAL_MS = 1_000;
-const TAKE_INTERVAL_MS = 20;
+const STEAL_INTERVAL_MS = 20;
 const RESERVATION_MS = 250;
 const ROUTER_RETRY_MS = 2;
 
@@ -23,7 +23,7 @@
 }
 
 /** The highest load that an engine was seen to run, against its bound. */
-export interface WorstLoad {
+export interface HighestLoad {
   readonly server: string;
   readonly tokens: number;
   readonly allowedTokens: number;
@@ -33,14 +33,14 @@
 export class Pool {
   readonly servers: readonly GatedServer[];
   /** Requests told to come back, with the wait they were told. */
-  readonly sentBack = new Map<string, number>();
-  worst: WorstLoad = {server: '', tokens: 0, allowedTokens: Infinity};
+  readonly refusedRequests = new Map<string, number>();
+  highestLoad: HighestLoad = {server: '', tokens: 0, allowedTokens: Infinity};
   readonly #options: PoolOptions;
   readonly #timeline: Timeline;
   readonly #random = new Random(SEED);
   readonly #offers = new Map<string, {offer: Offer; tried: string[]}>();
   /** Running tokens of each server, at the last three announcements. */
-  #announced: (readonly number[])[] = [];
+  #announcedLoads: (readonly number[])[] = [];
 
   constructor(options: PoolOptions, timeline: Timeline) {
     this.#options = options;
@@ -77,9 +77,9 @@
   }
 
   /** Lets idle servers take held requests from loaded ones. */
-  startTaking(): void {
-    this.#timeline.repeat(TAKE_INTERVAL_MS, () => {
-      for (const taker of this.servers) this.#take(taker);
+  startWorkStealing(): void {
+    this.#timeline.repeat(STEAL_INTERVAL_MS, () => {
+      for (const thief of this.servers) this.#steal(thief);
     });
   }
 
@@ -99,10 +99,10 @@
     server.gate.configure({...POLICY, loadBound}, 0);
     server.gate.cache.reset();
     server.onRefuse = refusal => {
-      this.#follow(server, refusal);
+      this.#retryElsewhere(server, refusal);
     };
     server.onDispatch = () => {
-      this.#noteLoad(server);
+      this.#recordLoad(server);
     };
     return server;
   }
@@ -111,7 +111,7 @@
   #sendMean(meanAgeMs: number): void {
     const loads = this.servers.map(server => server.runningTokens);
     const meanTokens = this.meanTokens;
-    this.#announced = [...this.#announced.slice(-2), loads];
+    this.#announcedLoads = [...this.#announcedLoads.slice(-2), loads];
     this.#timeline.schedule(meanAgeMs, () => {
       this.servers.forEach((server, index) => {
         server.gate.admission.setPoolMean(
@@ -131,22 +131,23 @@
    * A server knows its own load exactly and the others' from announcements:
    * the mean to compare with is the highest that these give.
    */
-  #noteLoad(server: GatedServer): void {
+  #recordLoad(server: GatedServer): void {
     const {loadBound, floorTokens, size} = this.#options;
     const tokens = server.runningTokens;
     const own = this.servers.indexOf(server);
-    const present = this.servers.map(part => part.runningTokens);
-    const totals = [...this.#announced, present].map(loads =>
+    const currentLoads = this.servers.map(member => member.runningTokens);
+    const totals = [...this.#announcedLoads, currentLoads].map(loads =>
       loads.reduce((sum, load, index) => sum + (index === own ? 0 : load), 0),
     );
     const mean = (Math.max(...totals) + tokens) / size;
     const allowedTokens = Math.max(floorTokens, loadBound * mean);
-    const former = this.worst.tokens / this.worst.allowedTokens;
-    if (tokens / allowedTokens <= former) return;
-    this.worst = {server: server.name, tokens, allowedTokens};
+    const highestRatio =
+      this.highestLoad.tokens / this.highestLoad.allowedTokens;
+    if (tokens / allowedTokens <= highestRatio) return;
+    this.highestLoad = {server: server.name, tokens, allowedTokens};
   }
 
-  #follow(server: GatedServer, refusal: SeenRefusal): void {
+  #retryElsewhere(server: GatedServer, refusal: RefusalRecord): void {
     const {attemptId, failure, pointer} = refusal;
     const requestId = attemptId.split('/')[0] ?? '';
     const entry = this.#offers.get(requestId);
@@ -156,7 +157,7 @@
       .filter(name => !entry.tried.includes(name));
     const next = pointer || others[this.#random.below(others.length || 1)];
     if (next === undefined) {
-      this.sentBack.set(requestId, failure.retryAfterMs);
+      this.refusedRequests.set(requestId, failure.retryAfterMs);
       return;
     }
     const tried = [...entry.tried, next];
@@ -175,20 +176,20 @@
     });
   }
 
-  #take(taker: GatedServer): void {
+  #steal(thief: GatedServer): void {
     const {now} = this.#timeline;
-    const roomTokens = taker.gate.takeRoom(now);
+    const roomTokens = thief.gate.takeRoom(now);
     if (roomTokens === 0) return;
     const victim = this.#random.pick(this.servers);
-    if (victim === taker) return;
-    taker.gate.reserve(victim.name, roomTokens, now + RESERVATION_MS);
+    if (victim === thief) return;
+    thief.gate.reserve(victim.name, roomTokens, now + RESERVATION_MS);
     const {attemptIds, actions} = victim.gate.handOver(
-      taker.name,
+      thief.name,
       roomTokens,
       now,
     );
-    if (attemptIds.length === 0) taker.gate.reserve(victim.name, 0, now);
-    victim.apply(actions);
+    if (attemptIds.length === 0) thief.gate.reserve(victim.name, 0, now);
+    victim.perform(actions);
   }
 }
 
--- a/packages/lovagepond-scenarios/src/world/redemption.ts
+++ b/packages/lovagepond-scenarios/src/world/redemption.ts
@@ -23,7 +23,7 @@
 import {type Timeline} from './timeline.js';
 
 /** One sending of a call, through some router. */
-export interface Sending {
+export interface CallAttempt {
   readonly key: string;
   readonly server: string;
   readonly offer: Offer;
@@ -53,12 +53,12 @@
 
 /** Servers of the service, the ledger between them, and all sendings. */
 export class Redemption {
-  readonly sendings: Sending[] = [];
+  readonly attempts: CallAttempt[] = [];
   claimFault: ClaimFault = 'none';
   #delayed: ClaimPayload | undefined;
   readonly #servers = new Map<string, GatedServer>();
-  readonly #starts = new Map<string, number>();
-  readonly #runs = new Map<string, number>();
+  readonly #startCounts = new Map<string, number>();
+  readonly #runsBeforeRestart = new Map<string, number>();
   readonly #control: ControlGroup;
   readonly #timeline: Timeline;
 
@@ -77,10 +77,10 @@
    * @returns how often the service ran it, over all servers and restarts
    */
   runsOf(key: string): number {
-    const past = this.#runs.get(key) ?? 0;
+    const pastRuns = this.#runsBeforeRestart.get(key) ?? 0;
     return [...this.#servers.values()].reduce(
       (sum, server) => sum + this.#countRuns(server, key),
-      past,
+      pastRuns,
     );
   }
 
@@ -95,32 +95,32 @@
    * @param server where the router sends it
    */
   send(key: string, server: string): void {
-    const attemptId = `attempt-${this.sendings.length + 1}`;
+    const attemptId = `attempt-${this.attempts.length + 1}`;
     const offer = makeOffer(server, attemptId, {
       incarnation: this.#incarnationOf(server),
       tokens: TOKENS,
       nonRepeatable: true,
     });
-    this.sendings.push({key, server, offer, answer: ''});
+    this.attempts.push({key, server, offer, answer: ''});
     this.#serverOf(server).offer(offer);
   }
 
   /** The attempt sent first is delivered once more. */
-  repeatFirst(): void {
-    const {server, offer} = this.sendingAt(0);
+  redeliverFirst(): void {
+    const {server, offer} = this.attemptAt(0);
     this.#serverOf(server).offer(offer);
   }
 
   /** The caller of the attempt sent first closes its connection. */
   callerGone(): void {
-    const {server, offer} = this.sendingAt(0);
+    const {server, offer} = this.attemptAt(0);
     const {gate} = this.#serverOf(server);
     const actions = gate.callerGone(offer.attemptId, this.#timeline.now);
-    this.#serverOf(server).apply(actions);
+    this.#serverOf(server).perform(actions);
   }
 
   /** A claim that was delayed reaches the leader. */
-  deliverDelayed(): void {
+  deliverDelayedClaim(): void {
     if (!this.#delayed) throw new Error('no claim is delayed');
     this.#control.execute(CLAIM_COMMAND, this.#delayed);
   }
@@ -129,18 +129,18 @@
    * @param index 0 for the first
    * @returns the sending
    */
-  sendingAt(index: number): Sending {
-    const sending = this.sendings[index];
-    if (!sending) throw new Error(`nothing was sent ${index + 1} times`);
-    return sending;
+  attemptAt(index: number): CallAttempt {
+    const attempt = this.attempts[index];
+    if (!attempt) throw new Error(`nothing was sent ${index + 1} times`);
+    return attempt;
   }
 
   /** @param name a server whose sidecar starts, for the first time or again */
   restart(name: string): void {
     const former = this.#servers.get(name);
-    if (former) this.#keepRuns(former);
+    if (former) this.#saveRuns(former);
     former?.stall();
-    this.#starts.set(name, (this.#starts.get(name) ?? 0) + 1);
+    this.#startCounts.set(name, (this.#startCounts.get(name) ?? 0) + 1);
     const incarnation = this.#incarnationOf(name);
     this.#control.execute(INCARNATION_COMMAND, {server: name, incarnation});
     this.#servers.set(name, this.#createServer(name, incarnation));
@@ -225,17 +225,17 @@
     const lost = this.claimFault !== 'none';
     if (this.claimFault === 'nextAnswerLost') this.claimFault = 'none';
     if (lost) return undefined;
-    const nothing = {status: 0, answer: new Uint8Array(), contentType: ''};
-    return {...nothing, outcome: result.kind};
+    const emptyAnswer = {status: 0, answer: new Uint8Array(), contentType: ''};
+    return {...emptyAnswer, outcome: result.kind};
   }
 
   #deny(server: GatedServer, attemptId: string, answer: string): void {
     this.#answer(attemptId, answer);
-    server.apply(server.gate.claimDenied(attemptId, this.#timeline.now));
+    server.perform(server.gate.claimDenied(attemptId, this.#timeline.now));
   }
 
   #sendRecord(attemptId: string, outcome: RecordPayload['outcome']): boolean {
-    const {key} = this.#sendingOf(attemptId);
+    const {key} = this.#attemptOf(attemptId);
     const result = this.#control.execute<RecordPayload, RecordResult>(
       RECORD_COMMAND,
       {
@@ -252,7 +252,7 @@
   }
 
   #makeClaim(server: string, attemptId: string): ClaimPayload {
-    const {key, offer} = this.#sendingOf(attemptId);
+    const {key, offer} = this.#attemptOf(attemptId);
     const {incarnation} = offer;
     return {
       workspace: WORKSPACE,
@@ -265,15 +265,15 @@
   }
 
   #answer(attemptId: string, answer: string): void {
-    const sending = this.#sendingOf(attemptId);
-    if (sending.answer === '') sending.answer = answer;
+    const attempt = this.#attemptOf(attemptId);
+    if (attempt.answer === '') attempt.answer = answer;
   }
 
-  #sendingOf(attemptId: string): Sending {
-    const index = this.sendings.findIndex(
-      sending => sending.offer.attemptId === attemptId,
+  #attemptOf(attemptId: string): CallAttempt {
+    const index = this.attempts.findIndex(
+      attempt => attempt.offer.attemptId === attemptId,
     );
-    return this.sendingAt(index);
+    return this.attemptAt(index);
   }
 
   #serverOf(name: string): GatedServer {
@@ -283,20 +283,21 @@
   }
 
   #incarnationOf(name: string): string {
-    return `${name}-${this.#starts.get(name) ?? 1}`;
+    return `${name}-${this.#startCounts.get(name) ?? 1}`;
   }
 
   #countRuns(server: GatedServer, key: string): number {
-    return this.sendings
-      .filter(sending => sending.key === key)
+    return this.attempts
+      .filter(attempt => attempt.key === key)
       .reduce((sum, {offer}) => sum + server.runsOf(offer.requestId), 0);
   }
 
-  #keepRuns(server: GatedServer): void {
-    const keys = new Set(this.sendings.map(sending => sending.key));
+  #saveRuns(server: GatedServer): void {
+    const keys = new Set(this.attempts.map(attempt => attempt.key));
     for (const key of keys) {
-      const runs = (this.#runs.get(key) ?? 0) + this.#countRuns(server, key);
-      this.#runs.set(key, runs);
+      const runs =
+        (this.#runsBeforeRestart.get(key) ?? 0) + this.#countRuns(server, key);
+      this.#runsBeforeRestart.set(key, runs);
     }
   }
 }
--- a/packages/lovagepond-scenarios/src/world/routed_request.ts
+++ b/packages/lovagepond-scenarios/src/world/routed_request.ts
@@ -27,7 +27,7 @@
   readonly incarnation?: string;
 }
 
-type Handlers = {
+type ActionHandlers = {
   readonly [Kind in RequestAction['kind']]: (
     action: Extract<RequestAction, {kind: Kind}>,
   ) => void;
@@ -36,14 +36,14 @@
 const SERVERS = ['engine-1', 'engine-2', 'engine-3', 'engine-4'];
 const DEADLINE_MS = 30_000;
 const TICK_MS = 25;
-const PIECES = 3;
+const PIECE_COUNT = 3;
 const REQUEST_ID = 'request-1';
 
 /** What the caller sees, and what the sidecars are sent. */
 export class RoutedRequest {
   readonly offers: SentOffer[] = [];
   readonly revokes: Attempt[] = [];
-  text = '';
+  deliveredText = '';
   ended = false;
   failure: Failure | undefined;
   answer = '';
@@ -51,7 +51,7 @@
   revokeOutcome: RevokeOutcome | undefined;
   readonly #machine: RequestMachine;
   readonly #timeline: Timeline;
-  readonly #handlers: Handlers;
+  readonly #handlers: ActionHandlers;
 
   constructor(timeline: Timeline) {
     this.#timeline = timeline;
@@ -105,7 +105,7 @@
    * @param text the whole answer it is a piece of
    */
   piece(number: number, source: FrameSource = {}, text = this.answer): void {
-    const size = Math.ceil(text.length / PIECES);
+    const size = Math.ceil(text.length / PIECE_COUNT);
     const offset = (number - 1) * size;
     const data = Buffer.from(text.slice(offset, offset + size));
     const contentType = 'text/plain';
@@ -123,7 +123,7 @@
    * @returns the offset at which that piece ends
    */
   endOfPiece(number: number): number {
-    const size = Math.ceil(this.answer.length / PIECES);
+    const size = Math.ceil(this.answer.length / PIECE_COUNT);
     return Math.min(number * size, this.answer.length);
   }
 
@@ -131,7 +131,7 @@
     for (const action of actions) this.#handlers[action.kind](action as never);
   }
 
-  #makeHandlers(): Handlers {
+  #makeHandlers(): ActionHandlers {
     return {
       place: action => {
         this.#place(action.excluded, action.wanted);
@@ -147,7 +147,7 @@
       close: () => undefined,
       begin: () => undefined,
       write: ({data}) => {
-        this.text += Buffer.from(data).toString();
+        this.deliveredText += Buffer.from(data).toString();
       },
       end: () => {
         this.ended = true;
@@ -174,8 +174,8 @@
   }
 
   #place(excluded: ReadonlySet<string>, wanted: string | undefined): void {
-    const free = SERVERS.filter(name => !excluded.has(name));
-    const backendServer = wanted ?? free[0];
+    const candidates = SERVERS.filter(name => !excluded.has(name));
+    const backendServer = wanted ?? candidates[0];
     if (backendServer === undefined) {
       const failure = makeFailure('noBackendServer');
       this.receive({kind: 'notPlaced', failure});
--- a/packages/lovagepond-scenarios/src/world/scenario_world.ts
+++ b/packages/lovagepond-scenarios/src/world/scenario_world.ts
@@ -119,13 +119,13 @@
    */
   server(name: string): GatedServer {
     if (this.#pool) return this.#pool.server(name);
-    const known = this.#servers.get(name);
-    if (known) return known;
-    const server = this.createFreshServer(name);
-    const mean = {meanTokens: 0, ageMs: 0, readyServers: 6, ownTokens: 0};
-    server.gate.admission.setPoolMean(mean, this.timeline.now);
+    const existing = this.#servers.get(name);
+    if (existing) return existing;
+    const server = this.createServerWithoutMean(name);
+    const idleMean = {meanTokens: 0, ageMs: 0, readyServers: 6, ownTokens: 0};
+    server.gate.admission.setPoolMean(idleMean, this.timeline.now);
     this.timeline.repeat(1_000, () => {
-      server.gate.admission.setPoolMean(mean, this.timeline.now);
+      server.gate.admission.setPoolMean(idleMean, this.timeline.now);
     });
     return server;
   }
@@ -134,7 +134,7 @@
    * @param name a backend server's name
    * @returns that server, whose sidecar has heard nothing of its pool
    */
-  createFreshServer(name: string): GatedServer {
+  createServerWithoutMean(name: string): GatedServer {
     const options = {
       name,
       floorTokens: FLOOR_TOKENS,
--- a/packages/lovagepond-scenarios/src/world/subscribers.ts
+++ b/packages/lovagepond-scenarios/src/world/subscribers.ts
@@ -31,7 +31,7 @@
   mayServe(now: number): boolean;
 }
 
-function holdAsRouter(): RevisionHolder {
+function makeRouterHolder(): RevisionHolder {
   const revisions = new RouterRevisions(DEFAULT_ROUTER_SETTINGS);
   return {
     revision: () => revisions.configuration.revision,
@@ -45,7 +45,7 @@
   };
 }
 
-function holdAsSidecar(): RevisionHolder {
+function makeSidecarHolder(): RevisionHolder {
   const revisions = new SidecarRevisions({serveUnconfirmed: false});
   return {
     revision: () => revisions.revision,
@@ -59,10 +59,13 @@
   };
 }
 
-const HOLDERS = {router: holdAsRouter, sidecar: holdAsSidecar} as const;
+const HOLDER_FACTORIES = {
+  router: makeRouterHolder,
+  sidecar: makeSidecarHolder,
+} as const;
 
 /** What a subscriber is. */
-export type SubscriberRole = keyof typeof HOLDERS;
+export type SubscriberRole = keyof typeof HOLDER_FACTORIES;
 
 const TICK_MS = 100;
 const NETWORK_MS = 1;
@@ -75,26 +78,26 @@
   received = 0;
   /** The open connection has lost track of its other end. */
   isSilent = false;
-  #heardAt = 0;
+  #lastUpdateAt = 0;
   #member = -1;
   #close: Unregister = () => undefined;
   readonly #role: SubscriberRole;
-  readonly #fleet: Subscribers;
+  readonly #subscribers: Subscribers;
   readonly #timeline: Timeline;
 
   constructor(
     role: SubscriberRole,
     name: string,
-    fleet: Subscribers,
+    subscribers: Subscribers,
     timeline: Timeline,
   ) {
     this.name = name;
-    this.holder = HOLDERS[role]();
+    this.holder = HOLDER_FACTORIES[role]();
     this.#role = role;
-    this.#fleet = fleet;
+    this.#subscribers = subscribers;
     this.#timeline = timeline;
     timeline.repeat(TICK_MS, () => {
-      this.#watch();
+      this.#reconnectWhenSilent();
     });
   }
 
@@ -103,7 +106,7 @@
     this.#close();
     this.isSilent = false;
     this.#member = offset;
-    this.#heardAt = this.#timeline.now;
+    this.#lastUpdateAt = this.#timeline.now;
     const subscriber = {
       node: this.name,
       role: this.#role,
@@ -117,9 +120,14 @@
         if (open && !this.isSilent) this.#receive(update);
       });
     };
-    const close = this.#fleet.subscribe(offset, subscriber, receive, () => {
-      if (open) this.#heardAt = -Infinity;
-    });
+    const close = this.#subscribers.subscribe(
+      offset,
+      subscriber,
+      receive,
+      () => {
+        if (open) this.#lastUpdateAt = -Infinity;
+      },
+    );
     this.#close = () => {
       open = false;
       close();
@@ -127,7 +135,7 @@
   }
 
   #receive(update: FeedUpdate): void {
-    this.#heardAt = this.#timeline.now;
+    this.#lastUpdateAt = this.#timeline.now;
     if (update.kind !== 'configuration') return;
     const {configuration, withContent, confirmed} = update;
     if (withContent) {
@@ -137,8 +145,8 @@
     if (confirmed) this.holder.confirm(configuration.revision);
   }
 
-  #watch(): void {
-    const silentMs = this.#timeline.now - this.#heardAt;
+  #reconnectWhenSilent(): void {
+    const silentMs = this.#timeline.now - this.#lastUpdateAt;
     if (silentMs < DEFAULT_ROUTER_SETTINGS.controlSilentAfterMs) return;
     this.connect(this.#member + 1);
   }
@@ -150,7 +158,9 @@
   readonly #control: ControlGroup;
   readonly #timeline: Timeline;
   readonly #hubs: readonly SubscriptionHub[];
-  readonly #unconfirmed = new Set<ReturnType<SubscriptionHub['add']>['feed']>();
+  readonly #unconfirmedFeeds = new Set<
+    ReturnType<SubscriptionHub['add']>['feed']
+  >();
 
   constructor(control: ControlGroup, timeline: Timeline) {
     this.#control = control;
@@ -184,26 +194,26 @@
   /**
    * @param offset which member, counted round
    * @param subscriber who subscribes
-   * @param receive called with each update
-   * @param ended called when the member ends the subscription
+   * @param onUpdate called with each update
+   * @param onEnd called when the member ends the subscription
    * @returns a function that ends it
    */
   subscribe(
     offset: number,
     subscriber: Parameters<SubscriptionHub['add']>[0],
-    receive: (update: FeedUpdate) => void,
-    ended: () => void,
+    onUpdate: (update: FeedUpdate) => void,
+    onEnd: () => void,
   ): Unregister {
     const index = offset % this.#hubs.length;
     const hub = this.#hubs[index] as SubscriptionHub;
     const member = this.#control.members[index] as GroupMember;
-    if (this.#control.isAway(member)) {
-      this.#timeline.schedule(NETWORK_MS, ended);
+    if (this.#control.isStopped(member)) {
+      this.#timeline.schedule(NETWORK_MS, onEnd);
       return () => undefined;
     }
-    const sink = {isWritable: () => true, send: receive, end: ended};
+    const sink = {isWritable: () => true, send: onUpdate, end: onEnd};
     const {feed, remove} = hub.add(subscriber, sink);
-    this.#unconfirmed.add(feed);
+    this.#unconfirmedFeeds.add(feed);
     return remove;
   }
 
@@ -212,8 +222,8 @@
     if (!this.#control.hasMajority) return;
     const {machine} = this.#control.leader;
     const {revision} = machine.configuration.current.read();
-    for (const feed of this.#unconfirmed) feed.confirm(revision);
-    this.#unconfirmed.clear();
+    for (const feed of this.#unconfirmedFeeds) feed.confirm(revision);
+    this.#unconfirmedFeeds.clear();
   }
 
   #pump(): void {
@@ -221,7 +231,7 @@
     const {now} = this.#timeline;
     this.#hubs.forEach((hub, index) => {
       const member = this.#control.members[index] as GroupMember;
-      if (this.#control.isAway(member)) {
+      if (this.#control.isStopped(member)) {
         hub.endAll();
         return;
       }
--- a/scripts/fleet_processes.mjs
+++ b/scripts/fleet_processes.mjs
@@ -26,7 +26,7 @@
 const START_ORDER = ['control', 'sidecar', 'router'];
 const TOKEN = 'main-job-token';
 
-let looked = 0;
+let portsTried = 0;
 
 /** @param {number} port @returns {Promise<boolean>} */
 async function isFree(port) {
@@ -52,21 +52,21 @@
 export async function findFreePorts(count) {
   const ports = [];
   while (ports.length < count) {
-    const offset = process.pid * PORTS_PER_PROCESS + looked;
+    const offset = process.pid * PORTS_PER_PROCESS + portsTried;
     const port = FIRST_PORT + (offset % PORT_SPAN);
-    looked += 1;
+    portsTried += 1;
     if (await isFree(port)) ports.push(port);
   }
   return ports;
 }
 
 /**
- * @param {() => Promise<boolean>} holds
+ * @param {() => Promise<boolean>} condition
  * @param {string} what for the error
  * @param {number} deadline
  */
-async function waitUntil(holds, what, deadline) {
-  while (!(await holds())) {
+async function waitUntil(condition, what, deadline) {
+  while (!(await condition())) {
     if (Date.now() > deadline) throw new Error(`${what} is not ready in time`);
     await new Promise(resolve => setTimeout(resolve, READY_CHECK_MS));
   }
@@ -146,10 +146,12 @@
       texts.flatMap(text => [...text.matchAll(LOOPBACK_PORT)].map(m => m[1])),
     );
     const free = await findFreePorts(ports.size);
-    const moved = new Map([...ports].map((port, index) => [port, free[index]]));
+    const freePorts = new Map(
+      [...ports].map((port, index) => [port, free[index]]),
+    );
     files.forEach((name, index) => {
       const text = texts[index]
-        .replace(LOOPBACK_PORT, (_, port) => `127.0.0.1:${moved.get(port)}`)
+        .replace(LOOPBACK_PORT, (_, port) => `127.0.0.1:${freePorts.get(port)}`)
         .replace(
           /^dataFolder\s*=.*$/m,
           `dataFolder = ${join(this.#folder, 'data', basename(name, '.ini'))}`,
@@ -189,7 +191,7 @@
     await this.ctl('apply', '--file', join(this.#folder, 'configuration.json'));
     await this.#waitFor('sidecar', deadline);
     await this.#waitFor('router', deadline);
-    await waitUntil(() => this.#knowsAll(), 'membership', deadline);
+    await waitUntil(() => this.#hasConverged(), 'membership', deadline);
   }
 
   /**
@@ -199,7 +201,7 @@
    * @returns {Promise<boolean>} every backend server is ready, and every
    *     router has heard of it
    */
-  async #knowsAll() {
+  async #hasConverged() {
     const sidecars = await Promise.all(
       this.namesOf('sidecar').map(name => this.dump(name)),
     );
@@ -219,15 +221,15 @@
 
   /** @returns the state dump of a process */
   async dump(name) {
-    return JSON.parse(await this.#ask(name, '/dump'));
+    return JSON.parse(await this.#fetchText(name, '/dump'));
   }
 
   /** @returns {Promise<string>} the metrics of a process */
   metrics(name) {
-    return this.#ask(name, '/metrics');
+    return this.#fetchText(name, '/metrics');
   }
 
-  async #ask(name, path) {
+  async #fetchText(name, path) {
     const {address} = this.get(name).settings.platform;
     const res = await fetch(`http://${address}${path}`);
     return res.text();
@@ -299,8 +301,8 @@
 
   /** Ends what still runs, by id, and removes the folder. */
   async end() {
-    const running = [...this.#processes.values()];
-    await Promise.all(running.map(process => process.end('SIGKILL')));
+    const processes = [...this.#processes.values()];
+    await Promise.all(processes.map(process => process.end('SIGKILL')));
     rmSync(this.#folder, {recursive: true, force: true});
   }
 }
--- a/scripts/platform_program.mjs
+++ b/scripts/platform_program.mjs
@@ -58,17 +58,19 @@
  * @returns {string} the text to compile, each character a byte
  */
 function wrapText(text) {
-  const wide = /\P{ASCII}/u.exec(text);
-  if (wide)
-    throw new Error(`character ${wide[0]} at ${wide.index} is not ASCII`);
+  const nonAscii = /\P{ASCII}/u.exec(text);
+  if (nonAscii)
+    throw new Error(
+      `character ${nonAscii[0]} at ${nonAscii.index} is not ASCII`,
+    );
   return WRAPPER.join(text);
 }
 
 /** Processes that start meanwhile find the old file or the new one, whole. */
-function writeWhole(path, text) {
-  const unfinished = `${path}.${process.pid}`;
-  writeFileSync(unfinished, text);
-  renameSync(unfinished, path);
+function writeAtomically(path, text) {
+  const temporaryPath = `${path}.${process.pid}`;
+  writeFileSync(temporaryPath, text);
+  renameSync(temporaryPath, path);
 }
 
 /**
@@ -88,9 +90,9 @@
   const digest = createHash('sha256').update(wrapped).digest('hex');
   const program = `program-${digest.slice(0, DIGEST_DIGITS)}.cjs`;
   const programPath = join(folder, program);
-  if (!existsSync(programPath)) writeWhole(programPath, wrapped);
+  if (!existsSync(programPath)) writeAtomically(programPath, wrapped);
   const loaderPath = join(folder, loader);
-  writeWhole(loaderPath, makeLoader(program));
+  writeAtomically(loaderPath, makeLoader(program));
   const isCompiled = role => existsSync(`${programPath}.${role}.cache`);
   if (rehearse && !roles.every(isCompiled)) rehearse([WRITE_CACHE]);
   for (const role of roles) {
--- a/scripts/run_tests.mjs
+++ b/scripts/run_tests.mjs
@@ -52,8 +52,8 @@
 rmSync(VITEST_REPORT, {force: true});
 rmSync(CUCUMBER_REPORT, {force: true});
 
-let broken = run('node', ['scripts/build.mjs', '--bundle-only']) !== 0;
-broken = run('node', ['scripts/build_platform.mjs']) !== 0 || broken;
+let incomplete = run('node', ['scripts/build.mjs', '--bundle-only']) !== 0;
+incomplete = run('node', ['scripts/build_platform.mjs']) !== 0 || incomplete;
 const unit = run('node_modules/.bin/vitest', [
   'run',
   '--reporter=dot',
@@ -62,34 +62,36 @@
 ]);
 /** @type {Outcome[]} */
 const outcomes = existsSync(VITEST_REPORT) ? readVitest() : [];
-if (!existsSync(VITEST_REPORT)) broken = true;
+if (!existsSync(VITEST_REPORT)) incomplete = true;
 let scenarios = 0;
 if (existsSync('cucumber.mjs')) {
   scenarios = run('node', ['scripts/run_scenarios.mjs', CUCUMBER_REPORT]);
   if (existsSync(CUCUMBER_REPORT)) outcomes.push(...readCucumber());
-  else broken = true;
+  else incomplete = true;
 }
 
 const known = readKnownRed();
 const failed = outcomes.filter(outcome => !outcome.passed);
 const unexpected = failed.filter(outcome => !known.includes(outcome.name));
-const healed = known.filter(name => !failed.some(test => test.name === name));
+const passingKnownRed = known.filter(
+  name => !failed.some(test => test.name === name),
+);
 for (const {name} of failed) {
   console.log(`${known.includes(name) ? 'known red' : 'FAILED'}: ${name}`);
 }
-for (const name of healed) {
+for (const name of passingKnownRed) {
   console.log(`listed in ${KNOWN_RED} but not failing: ${name}`);
 }
 if (known.length > MAX_KNOWN_RED) console.log(`${KNOWN_RED}: over three lines`);
-if (broken) console.log('a build step or a test runner did not finish');
+if (incomplete) console.log('a build step or a test runner did not finish');
 const runnerFailed = (unit !== 0 || scenarios !== 0) && failed.length === 0;
 if (runnerFailed) console.log('a runner failed outside of its tests');
-const bad =
-  broken ||
+const hasFailed =
+  incomplete ||
   runnerFailed ||
   unexpected.length > 0 ||
-  healed.length > 0 ||
+  passingKnownRed.length > 0 ||
   known.length > MAX_KNOWN_RED;
 const passed = outcomes.length - failed.length;
 console.log(`${passed} passed, ${unexpected.length} failed`);
-process.exit(bad || outcomes.length === 0 ? 1 : 0);
+process.exit(hasFailed || outcomes.length === 0 ? 1 : 0);
--- a/scripts/test_safeguards.mjs
+++ b/scripts/test_safeguards.mjs
@@ -67,7 +67,7 @@
 }
 
 /** @param {string} text @returns {string} a pattern that matches just it */
-function quote(text) {
+function makeExactPattern(text) {
   return `^${text.replace(/[.*+?^${}()|[\]\\]/g, '\\$&')}$`;
 }
 
@@ -90,7 +90,9 @@
 
 /** @returns {boolean[]} for each scenario of that name, whether it passed */
 function runScenario(copy, name) {
-  return runScenarios(copy, ['--name', quote(name)]).map(part => part.passed);
+  return runScenarios(copy, ['--name', makeExactPattern(name)]).map(
+    scenario => scenario.passed,
+  );
 }
 
 /** @returns {boolean[]} for each unit test of that name, whether it passed */
@@ -104,20 +106,20 @@
   if (!existsSync(join(copy, REPORT))) return [];
   const report = JSON.parse(readFileSync(join(copy, REPORT), 'utf8'));
   return report.testResults
-    .flatMap(part => part.assertionResults)
+    .flatMap(result => result.assertionResults)
     .filter(test => test.status !== 'skipped' && test.status !== 'pending')
     .map(test => test.status === 'passed');
 }
 
 /** @param {Safeguard} entry @returns {boolean[]} */
-function runProof(copy, entry) {
+function runTest(copy, entry) {
   rmSync(join(copy, REPORT), {force: true});
   if (entry.scenario) return runScenario(copy, entry.scenario);
   return runUnitTest(copy, entry.testFile, entry.test);
 }
 
 /** @param {Edit} edit @returns {boolean} whether it could be made */
-function makeEdit(copy, {file, find, replace}) {
+function applyEdit(copy, {file, find, replace}) {
   const path = join(copy, file);
   const source = readFileSync(path, 'utf8');
   if (source.split(find).length !== 2) return false;
@@ -133,8 +135,8 @@
  * @param {Outcome[]} scenarios how all scenarios end without any edit
  * @returns {boolean[]} for each proof of the name, whether it passes
  */
-function findBefore(copy, entry, scenarios) {
-  if (!entry.scenario) return runProof(copy, entry);
+function findBaseline(copy, entry, scenarios) {
+  if (!entry.scenario) return runTest(copy, entry);
   return scenarios
     .filter(({name}) => name === entry.scenario)
     .map(({passed}) => passed);
@@ -145,16 +147,16 @@
  * @param {Outcome[]} scenarios how all scenarios end without any edit
  * @returns {string} empty when the proof holds
  */
-function check(copy, entry, scenarios) {
-  const before = findBefore(copy, entry, scenarios);
-  if (before.length !== 1) return `${before.length} proofs have this name`;
-  if (!before[0]) return 'fails with its safeguard in place';
-  const made = entry.edits.every(edit => makeEdit(copy, edit));
-  const after = made ? runProof(copy, entry) : [];
+function checkEntry(copy, entry, scenarios) {
+  const baseline = findBaseline(copy, entry, scenarios);
+  if (baseline.length !== 1) return `${baseline.length} proofs have this name`;
+  if (!baseline[0]) return 'fails with its safeguard in place';
+  const applied = entry.edits.every(edit => applyEdit(copy, edit));
+  const mutated = applied ? runTest(copy, entry) : [];
   for (const {file} of entry.edits) cpSync(file, join(copy, file));
-  if (!made) return 'the text to replace does not stand there exactly once';
-  if (after.length !== 1) return 'did not run without its safeguard';
-  return after[0] ? 'passes without its safeguard' : '';
+  if (!applied) return 'the text to replace does not stand there exactly once';
+  if (mutated.length !== 1) return 'did not run without its safeguard';
+  return mutated[0] ? 'passes without its safeguard' : '';
 }
 
 /** @type {Safeguard[]} */
@@ -169,7 +171,7 @@
 try {
   const scenarios = runScenarios(copy, ['--tags', 'not @processes']);
   for (const entry of entries) {
-    const problem = check(copy, entry, scenarios);
+    const problem = checkEntry(copy, entry, scenarios);
     if (problem) failed += 1;
     const verdict = problem ? `FAILED (${problem})` : 'fails as it must';
     console.log(`${entry.scenario ?? entry.test}`);
