--- a/packages/lovagepond-scenarios/features/at_most_once.feature
+++ b/packages/lovagepond-scenarios/features/at_most_once.feature
@@ -1,9 +1,9 @@
 Feature: A call that may not be repeated runs at most once
-  A redemption check is sent through one router, the answer is lost, and the
-  till sends it again through another. Before it is dispatched its key is
-  claimed in the ledger by one sidecar; a repeat gets the recorded answer, is
-  told that it is still running, or that its outcome is not known. It is never
-  dispatched again: a voucher would be redeemed twice.
+  A redemption check is sent through one router, its answer is lost, and the
+  caller sends the check again through another router. Before the dispatch one
+  sidecar claims the check's key in the ledger. A repeat gets the recorded
+  answer, or an error that the call is still running or that its outcome is
+  unknown. It is never dispatched again, as that would redeem a voucher twice.
 
   Background:
     Given three control members with control-1 as leader
@@ -14,21 +14,21 @@
     And the check "voucher-7" is sent to till-2
     And 10 seconds pass
     Then the check "voucher-7" ran 1 time at the service
-    And the second sending was answered as "inProgress"
+    And the second attempt was answered as "inProgress"
 
-  Scenario: A repeat after the end gets the recorded answer
+  Scenario: A repeat after completion gets the recorded answer
     When the check "voucher-7" is sent to till-1
     And 10 seconds pass
     And the check "voucher-7" is sent to till-2
     And 10 seconds pass
     Then the check "voucher-7" ran 1 time at the service
-    And the second sending was answered as "recorded"
+    And the second attempt was answered as "recorded"
 
-  Scenario: The dispatch is delivered twice, and once more late
+  Scenario: The same attempt is delivered twice, and a third time late
     When the check "voucher-7" is sent to till-1
-    And the very same attempt arrives at till-1 again
+    And the first attempt is delivered to till-1 again
     And 10 seconds pass
-    And the very same attempt arrives at till-1 again
+    And the first attempt is delivered to till-1 again
     And 10 seconds pass
     Then the check "voucher-7" ran 1 time at the service
 
@@ -38,7 +38,7 @@
     And the check "voucher-7" is sent to till-2
     And 10 seconds pass
     Then the check "voucher-7" ran 1 time at the service
-    And the second sending was answered as "outcomeUnknown"
+    And the second attempt was answered as "outcomeUnknown"
 
   Scenario: The ledger's answer to the claim is lost once
     When the check "voucher-7" is sent to till-1 and the ledger's first answer is lost
@@ -47,15 +47,15 @@
 
   Scenario: The ledger's answers are lost until the sidecar gives up
     When the check "voucher-7" is sent to till-1 and all of the ledger's answers are lost
-    Then the first sending was answered as not run
+    Then the first attempt was reported as not run
     And the check "voucher-7" ran 0 times at the service
     When the check "voucher-7" is sent to till-2
     And 10 seconds pass
     Then the check "voucher-7" ran 1 time at the service
 
-  Scenario: The claim itself arrives only after the call was refused
+  Scenario: The claim arrives after the call was refused
     When the check "voucher-7" is sent to till-1 and its claim is delayed
-    Then the first sending was answered as not run
+    Then the first attempt was reported as not run
     When the delayed claim arrives
     And the check "voucher-7" is sent to till-2
     And 10 seconds pass
@@ -68,9 +68,9 @@
     And the check "voucher-7" is sent to till-2
     And 10 seconds pass
     Then the check "voucher-7" ran 1 time at the service
-    And the second sending was answered as "recorded"
+    And the second attempt was answered as "recorded"
 
-  Scenario: The leader changes and the sidecar restarts, together
+  Scenario: The leader changes and the sidecar restarts
     When the check "voucher-7" is sent to till-1
     And control-1 stops
     And the sidecar of till-1 restarts
@@ -79,12 +79,12 @@
     And the check "voucher-7" is sent to till-1
     And 10 seconds pass
     Then the check "voucher-7" ran 1 time at the service
-    And the second sending was answered as "outcomeUnknown"
+    And the second attempt was answered as "outcomeUnknown"
 
-  Scenario: The till goes away while its check runs
+  Scenario: The caller disconnects while its check runs
     When the check "voucher-7" is sent to till-1
-    And the till goes away
+    And the caller of the first attempt disconnects
     And 10 seconds pass
     And the check "voucher-7" is sent to till-2
-    Then nothing that the service ran was cancelled
-    And the second sending was answered as "recorded"
+    Then the service cancelled no running call
+    And the second attempt was answered as "recorded"
--- a/packages/lovagepond-scenarios/features/load_bound.feature
+++ b/packages/lovagepond-scenarios/features/load_bound.feature
@@ -1,36 +1,37 @@
 Feature: No engine is loaded beyond a set multiple of the mean load
-  On the hour every kiosk wakes and resumes its chat. Each router sends its
-  share to where the contexts are warm, from loads that are a second old. A
-  sidecar holds what would put its engine over the bound, others with room take
-  it, and what can't be served in time is sent back at once: an engine that
-  takes everything in would slow down every shopper's answer at the same time.
+  On the hour all kiosks resume their chats at the same time. Each router sends
+  requests to engines with a warm context, based on loads that are a second old.
+  A sidecar queues requests that would exceed its engine's bound, sidecars with
+  room take over queued requests, and a request that can't be served in time is
+  refused at once. An engine that accepted everything would slow down every
+  shopper's answer at the same time.
 
-  Scenario: Every kiosk wakes on the hour, all for chats of one engine
+  Scenario: All kiosks send requests on the hour, for chats of one engine
     Given a pool of 6 engines with a load bound of 1.5
-    When 900 kiosks wake within 1 second for chats of engine-1
+    When 900 kiosks send a request within 1 second for chats of engine-1
     And 60 seconds pass
     Then no engine was ever loaded beyond the bound
-    And every kiosk was answered once or told when to come back
-    And at least 5 engines did a tenth of the work each
+    And every kiosk was answered once or refused with a retry time
+    And at least 5 engines each did a tenth of the work
 
-  Scenario: The wake comes while the mean load arrives two seconds late
+  Scenario: A burst arrives while the mean load is two seconds late
     Given a pool of 6 engines with a load bound of 1.3
     And the mean load arrives 2 seconds late
-    When 600 kiosks wake within 1 second for chats of engine-2
+    When 600 kiosks send a request within 1 second for chats of engine-2
     And 60 seconds pass
     Then no engine was ever loaded beyond the bound
-    And every kiosk was answered once or told when to come back
+    And every kiosk was answered once or refused with a retry time
 
-  Scenario: A second wake comes while the first is still being served
+  Scenario: A second burst arrives while the first is still being served
     Given a pool of 6 engines with a load bound of 1.5
-    When 600 kiosks wake within 1 second for chats of engine-3
+    When 600 kiosks send a request within 1 second for chats of engine-3
     And 3 seconds pass
-    And 600 kiosks wake within 1 second for chats of engine-3
+    And 600 kiosks send a request within 1 second for chats of engine-3
     And 60 seconds pass
     Then no engine was ever loaded beyond the bound
-    And every kiosk was answered once or told when to come back
+    And every kiosk was answered once or refused with a retry time
 
-  Scenario: The wake meets a sidecar that has not heard of its pool yet
-    Given engine-1 has just started and has heard of no other engine
-    When 40 kiosks wake at engine-1 at once
+  Scenario: A burst reaches a sidecar that has received no mean load yet
+    Given engine-1 has just started and has received no mean load
+    When 40 kiosks send a request to engine-1 at once
     Then engine-1 runs no more than its floor
--- a/packages/lovagepond-scenarios/features/partition.feature
+++ b/packages/lovagepond-scenarios/features/partition.feature
@@ -1,12 +1,12 @@
-Feature: A control host behind a silent partition still believes it is in charge
-  The leader is cut off and nobody is told: its connections stay open. It takes
-  changes in that no majority will ever hold, and might answer from a state that
-  is hours old. The others elect a new leader; the old one knows by the end of
-  its lease that it can't speak for the group, confirms nothing, and takes the
-  group's log over when it is back. What was accepted never reverts.
+Feature: A control leader behind a silent partition confirms nothing
+  The leader is cut off without an error: its connections stay open. It accepts
+  proposals that can't reach a majority, and could answer reads from a state
+  that is hours old. The other hosts elect a new leader. When its lease expires,
+  the old leader stops confirming changes and reads, and it takes over the
+  group's log after the partition heals. An accepted change never reverts.
 
   Background:
-    Given the control hosts "control-1, control-2, control-3" agree
+    Given the control hosts "control-1, control-2, control-3" form a consensus group
     And the pool "offers" is accepted
 
   Scenario: The leader is cut off for ten minutes
@@ -17,23 +17,23 @@
     And the pool "new" is added at the leader
     And 600 seconds pass
     Then the change at the cut-off host was not accepted
-    And the cut-off host answers no read and leads no more
+    And the cut-off host answers no read and is no longer leader
     When the partition heals
     And 5 seconds pass
     Then every control host has the pools "offers, new"
 
-  Scenario: The leader's messages get out, and none come in
-    When the leader hears nothing while the others hear it
+  Scenario: The leader's messages arrive but it receives none
+    When the leader receives no messages while its own still arrive
     And 10 seconds pass
     And the pool "new" is added at the leader
     And 5 seconds pass
-    Then the cut-off host answers no read and leads no more
+    Then the cut-off host answers no read and is no longer leader
     When the partition heals
     And 5 seconds pass
     Then every control host has the pools "offers, new"
 
-  Scenario: A host that was cut off comes back and disturbs nobody
-    When a host that doesn't lead is cut off silently
+  Scenario: A host that was cut off reconnects without causing an election
+    When a follower is cut off silently
     And 600 seconds pass
     And the partition heals
     And 5 seconds pass
@@ -44,7 +44,7 @@
     And another host crashes
     And the pool "old" is added at the cut-off host
     And 10 seconds pass
-    Then no control host leads
+    Then no control host is leader
     When the crashed host starts again
     And 10 seconds pass
     And the pool "new" is added at the leader
@@ -52,7 +52,7 @@
     And 5 seconds pass
     Then every control host has the pools "offers, new"
 
-  Scenario: The partition comes back as soon as it has healed
+  Scenario: The partition returns as soon as it has healed
     When the leader is cut off silently
     And 10 seconds pass
     And the pool "new" is added at the leader
@@ -81,8 +81,8 @@
     And 10 seconds pass
     And the leader orders engine-1 to load "offers-7"
     Then engine-1 loads "offers-7"
-    When the sidecar of engine-1 restarts and knows no order
+    When the sidecar of engine-1 restarts without any record of orders
     And the delayed order arrives at engine-1 twice
-    And the sidecar of engine-1 learns the floor from the leader
+    And the sidecar of engine-1 receives the fencing floor from the leader
     And the delayed order arrives at engine-1 twice
     Then engine-1 has loaded only "offers-7"
--- a/packages/lovagepond-scenarios/features/restart.feature
+++ b/packages/lovagepond-scenarios/features/restart.feature
@@ -1,36 +1,37 @@
-Feature: Processes restart after hundreds of changes have passed them by
-  A router, a sidecar or a control host comes back and remembers nothing, or
-  what was in force long ago. Taking work by that, it would serve what operators
-  have forbidden since. It takes none before control has confirmed a revision,
-  and catches up with one snapshot instead of hundreds of changes.
+Feature: Processes restart after missing hundreds of changes
+  A router, a sidecar or a control host restarts without state, or with a
+  configuration that is long out of date. If it accepted work by that state, it
+  would serve requests that operators have since forbidden. It accepts none
+  before control has confirmed a revision, and catches up from one snapshot
+  instead of hundreds of changes.
 
   Background:
     Given three control members with control-1 as leader
     And 300 changes were accepted one after the other
 
   Scenario: A router and a sidecar restart
-    When 1 router and 1 sidecar start anew
-    Then none of them takes work yet
+    When 1 router and 1 sidecar restart
+    Then none of them accepts work yet
     When 1 second passes
-    Then every router and sidecar holds revision 300 and takes work
-    And each of them was sent 1 configuration
+    Then every router and sidecar holds revision 300 and accepts work
+    And each of them received 1 configuration
 
-  Scenario: They restart while control has no majority
+  Scenario: A router and a sidecar restart while control has no majority
     When control-2 stops
     And control-3 stops
-    And 1 router and 1 sidecar start anew
+    And 1 router and 1 sidecar restart
     And 30 seconds pass
-    Then none of them takes work yet
+    Then none of them accepts work yet
     When control-2 restarts from a snapshot
     And 4 seconds pass
-    Then every router and sidecar holds revision 300 and takes work
+    Then every router and sidecar holds revision 300 and accepts work
 
-  Scenario: A sidecar restarts and an old router is the first to reach it
-    When 0 routers and 1 sidecar start anew
-    And a router hands revision 12 to every sidecar
-    Then none of them takes work yet
+  Scenario: A sidecar restarts and a router sends it an old revision first
+    When 0 routers and 1 sidecar restart
+    And a router sends revision 12 to every sidecar
+    Then none of them accepts work yet
     When 1 second passes
-    Then every router and sidecar holds revision 300 and takes work
+    Then every router and sidecar holds revision 300 and accepts work
 
   Scenario: A control host restarts
     When control-2 stops
--- a/packages/lovagepond-scenarios/src/steps/consensus_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/consensus_steps.ts
@@ -69,14 +69,17 @@
   stateOf(world).cutOff = host;
 }
 
-Given<ScenarioWorld>('the control hosts {string} agree', function (names) {
-  const {timeline} = this;
-  const group = this.createConsensus(names.split(', '));
-  timeline.advance(SETTLE_MS);
-  const state = stateOf(this);
-  state.initialLeader = group.leader.name;
-  state.initialTerm = group.leader.core.status(timeline.now).term;
-});
+Given<ScenarioWorld>(
+  'the control hosts {string} form a consensus group',
+  function (names) {
+    const {timeline} = this;
+    const group = this.createConsensus(names.split(', '));
+    timeline.advance(SETTLE_MS);
+    const state = stateOf(this);
+    state.initialLeader = group.leader.name;
+    state.initialTerm = group.leader.core.status(timeline.now).term;
+  },
+);
 
 Given<ScenarioWorld>('the pool {string} is accepted', function (name) {
   addPoolAtLeader(this, name);
@@ -93,20 +96,17 @@
 });
 
 When<ScenarioWorld>(
-  'the leader hears nothing while the others hear it',
+  'the leader receives no messages while its own still arrive',
   function () {
     cutOff(this, this.consensus.leader, false);
   },
 );
 
-When<ScenarioWorld>(
-  "a host that doesn't lead is cut off silently",
-  function () {
-    const other = this.consensus.hosts.find(host => !host.leads);
-    assert.ok(other);
-    cutOff(this, other, true);
-  },
-);
+When<ScenarioWorld>('a follower is cut off silently', function () {
+  const other = this.consensus.hosts.find(host => !host.leads);
+  assert.ok(other);
+  cutOff(this, other, true);
+});
 
 When<ScenarioWorld>(
   'the pool {string} is added at the cut-off host',
@@ -186,13 +186,16 @@
   this.consensus.changeMembers({kind: 'addLearner', id, address});
 });
 
-When<ScenarioWorld>('{word} joins and hears nothing yet', function (name) {
-  const {consensus} = this;
-  for (const other of consensus.hosts) consensus.cut(other.name, name);
-  const {id, name: address} = consensus.addHost(name);
-  consensus.changeMembers({kind: 'addLearner', id, address});
-  this.timeline.advance(SETTLE_MS);
-});
+When<ScenarioWorld>(
+  '{word} joins but receives no messages yet',
+  function (name) {
+    const {consensus} = this;
+    for (const other of consensus.hosts) consensus.cut(other.name, name);
+    const {id, name: address} = consensus.addHost(name);
+    consensus.changeMembers({kind: 'addLearner', id, address});
+    this.timeline.advance(SETTLE_MS);
+  },
+);
 
 When<ScenarioWorld>('{word} crashes and starts again at once', function (name) {
   const host = this.consensus.host(name);
@@ -215,7 +218,7 @@
 }
 
 When<ScenarioWorld>(
-  '{word} takes the place of {word}',
+  '{word} replaces {word} as a voter',
   function (name, former) {
     const {id, name: address} = this.consensus.addHost(name);
     this.consensus.changeMembers({kind: 'addLearner', id, address});
@@ -225,14 +228,14 @@
 );
 
 When<ScenarioWorld>(
-  '{word} gets its vote and {word} leaves',
+  '{word} becomes a voter and {word} is removed',
   function (name, former) {
     replaceVoter(this, name, former);
   },
 );
 
 Then<ScenarioWorld>(
-  '{word} is refused its vote as {string}',
+  'the promotion of {word} to voter is refused as {string}',
   function (name, reason) {
     const {id} = this.consensus.host(name);
     const proposal = this.consensus.changeMembers({kind: 'promote', id});
@@ -251,7 +254,7 @@
 );
 
 Then<ScenarioWorld>(
-  'the cut-off host answers no read and leads no more',
+  'the cut-off host answers no read and is no longer leader',
   function () {
     const host = cutOffOf(this);
     requestRead(this, host);
@@ -263,14 +266,14 @@
   },
 );
 
-Then<ScenarioWorld>('no control host leads', function () {
+Then<ScenarioWorld>('no control host is leader', function () {
   const {now} = this.timeline;
   const running = this.consensus.hosts.filter(host => host.isUp);
   const roles = running.map(host => host.core.status(now).role);
   assert.ok(!roles.includes(MEMBER_ROLE.LEADER), roles.join(', '));
 });
 
-Then<ScenarioWorld>('no control host was elected in between', function () {
+Then<ScenarioWorld>('no control host was elected meanwhile', function () {
   const {now} = this.timeline;
   for (const host of this.consensus.hosts.filter(host => host.isUp)) {
     const {term} = host.core.status(now);
@@ -313,7 +316,7 @@
 });
 
 Then<ScenarioWorld>(
-  'no accepted change is missing on the host that is left',
+  'no accepted change is missing on the remaining host',
   function () {
     const counts = this.consensus.hosts
       .filter(host => host.isUp)
--- a/packages/lovagepond-scenarios/src/steps/engine_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/engine_steps.ts
@@ -26,12 +26,12 @@
   this.engines.start(name);
 });
 
-When<ScenarioWorld>('{word} falls silent', function (name) {
+When<ScenarioWorld>('{word} stops announcing itself', function (name) {
   this.engines.stopAnnouncing(name);
 });
 
 When<ScenarioWorld>(
-  'the engines {int} to {int} fall silent',
+  'the engines {int} to {int} stop announcing themselves',
   function (first, last) {
     for (let number = first; number <= last; number++) {
       this.engines.stopAnnouncing(`engine-${number}`);
@@ -39,7 +39,7 @@
   },
 );
 
-When<ScenarioWorld>('{word} announces that it is leaving', function (name) {
+When<ScenarioWorld>('{word} announces that it is draining', function (name) {
   this.engines.leave(name);
 });
 
@@ -103,6 +103,9 @@
   },
 );
 
-Then<ScenarioWorld>('the mean load counts {int} engines', function (count) {
-  assert.equal(this.engines.readyServers, count);
-});
+Then<ScenarioWorld>(
+  'the mean load is taken over {int} engines',
+  function (count) {
+    assert.equal(this.engines.readyServers, count);
+  },
+);
--- a/packages/lovagepond-scenarios/src/steps/gate_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/gate_steps.ts
@@ -26,7 +26,7 @@
   },
 );
 
-Given<ScenarioWorld>('{word} has taken nothing yet', function (name) {
+Given<ScenarioWorld>('{word} has received no request yet', function (name) {
   assert.equal(this.server(name).runs.size, 0);
 });
 
@@ -42,7 +42,7 @@
 });
 
 Given<ScenarioWorld>(
-  'the workspace {string} may have {int} tokens outstanding',
+  'the workspace {string} is limited to {int} outstanding tokens',
   function (workspace, maxQueuedTokens) {
     const share = {weight: 1, priority: 5, maxQueuedTokens};
     this.server(SERVER).gate.configure(
@@ -56,7 +56,7 @@
   },
 );
 
-When<ScenarioWorld>('the router takes {string} back', function (attemptId) {
+When<ScenarioWorld>('the router revokes {string}', function (attemptId) {
   const server = this.server(SERVER);
   const {outcome, actions} = server.gate.revoke(attemptId, this.timeline.now);
   server.perform(actions);
@@ -65,7 +65,7 @@
 });
 
 When<ScenarioWorld>(
-  '{word} finishes {string} in the same instant',
+  '{word} finishes {string} at the same moment',
   function (name, attemptId) {
     this.server(name).finish(attemptId);
   },
@@ -87,7 +87,7 @@
 );
 
 When<ScenarioWorld>(
-  '{word} starts to leave with a limit of {int} second(s)',
+  '{word} starts draining with a time limit of {int} second(s)',
   function (name, seconds) {
     const server = this.server(name);
     const limitMs = seconds * MS_PER_SECOND;
@@ -95,7 +95,7 @@
   },
 );
 
-When<ScenarioWorld>('{word} is taken back into service', function (name) {
+When<ScenarioWorld>('{word} is returned to service', function (name) {
   this.server(name).gate.resume();
 });
 
@@ -103,7 +103,7 @@
   return server.refusals.filter(refusal => refusal.attemptId === attemptId);
 }
 
-Then<ScenarioWorld>('{string} was answered as not run', function (attemptId) {
+Then<ScenarioWorld>('{string} was reported as not run', function (attemptId) {
   const refusals = findRefusals(this.server(SERVER), attemptId);
   const revoked = revokeOutcomes.get(this)?.get(attemptId) === 'revoked';
   assert.ok(refusals.length > 0 || revoked, 'it was not answered');
@@ -113,7 +113,7 @@
 });
 
 Then<ScenarioWorld>(
-  '{string} was answered as not run within {int} seconds',
+  '{string} was reported as not run within {int} seconds',
   function (attemptId, seconds) {
     const [refusal] = findRefusals(this.server(SERVER), attemptId);
     assert.ok(refusal, 'it was not answered');
@@ -123,7 +123,7 @@
 );
 
 Then<ScenarioWorld>(
-  'the router was told that {string} was dispatched',
+  "the router's revoke of {string} was answered as dispatched",
   function (attemptId) {
     assert.equal(revokeOutcomes.get(this)?.get(attemptId), 'dispatched');
   },
@@ -139,11 +139,11 @@
   assert.ok(server.completed.has(id), `${id} was not completed`);
 });
 
-Then<ScenarioWorld>('{word} has nothing left to do', function (name) {
+Then<ScenarioWorld>('{word} is idle', function (name) {
   assert.ok(this.server(name).gate.idle);
 });
 
-Then<ScenarioWorld>('nothing that {word} ran was cancelled', function (name) {
+Then<ScenarioWorld>('{word} cancelled no running request', function (name) {
   assert.equal(this.server(name).cancelled.size, 0);
 });
 
@@ -160,7 +160,7 @@
 );
 
 Then<ScenarioWorld>(
-  '{int} requests of the workspace {string} were told when to come back',
+  '{int} requests of the workspace {string} were refused with a retry time',
   function (count, workspace) {
     const refused = this.server(SERVER).refusals.filter(
       refusal =>
--- a/packages/lovagepond-scenarios/src/steps/list_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/list_steps.ts
@@ -27,7 +27,7 @@
 const choices = new WeakMap<ScenarioWorld, Choice[]>();
 
 Given<ScenarioWorld>(
-  'a router that knows the servers {int} to {int}',
+  'a router that lists the servers {int} to {int}',
   function (first, last) {
     const servers = Array.from({length: last - first + 1}, (_, index) => ({
       name: `server-${first + index}`,
@@ -50,7 +50,7 @@
 }
 
 When<ScenarioWorld>(
-  'both choose a first server for {int} chats',
+  'both routers choose a first server for {int} chats',
   async function (count) {
     const [left = [], right = []] = routerLists.get(this) ?? [];
     const hasher = await loadKeyHasher();
@@ -73,7 +73,7 @@
 );
 
 Then<ScenarioWorld>(
-  /^they differ on exactly the chats that want (\S+)(?: or (\S+))?$/,
+  /^they differ on exactly the chats whose first choice is (\S+)(?: or (\S+))?$/,
   function (first: string, second: string | undefined) {
     for (const {left, right, firstOfAll} of choices.get(this) ?? []) {
       const mayDiffer = firstOfAll === first || firstOfAll === second;
@@ -87,7 +87,7 @@
 );
 
 Then<ScenarioWorld>(
-  'those are between {int} and {int} percent of the chats',
+  'the differing chats are between {int} and {int} percent of all',
   function (low, high) {
     const results = choices.get(this) ?? [];
     const differing = results.filter(({left, right}) => left !== right).length;
@@ -113,7 +113,7 @@
 );
 
 When<ScenarioWorld>(
-  '{word} is not there, and the router sends {string} to {word} again',
+  '{word} is gone, and the router sends {string} to {word} again',
   function (_gone, requestId, server) {
     const chat = 'kiosk-12';
     const offer = makeOffer(server, `${requestId}.2`, {requestId, chat});
@@ -122,7 +122,7 @@
 );
 
 Then<ScenarioWorld>(
-  '{string} was pointed from {word} to {word}',
+  '{string} was redirected from {word} to {word}',
   function (requestId, from, to) {
     const refusals = this.server(from).refusals;
     assert.equal(refusals.length, 1);
--- a/packages/lovagepond-scenarios/src/steps/load_bound_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/load_bound_steps.ts
@@ -40,7 +40,7 @@
 );
 
 When<ScenarioWorld>(
-  '{int} kiosks wake within {int} second(s) for chats of {word}',
+  '{int} kiosks send a request within {int} second(s) for chats of {word}',
   function (count, seconds, server) {
     const kioskIds = kioskIdsByWorld.get(this) ?? [];
     kioskIdsByWorld.set(this, kioskIds);
@@ -76,7 +76,7 @@
 }
 
 Then<ScenarioWorld>(
-  'every kiosk was answered once or told when to come back',
+  'every kiosk was answered once or refused with a retry time',
   function () {
     for (const id of kioskIdsByWorld.get(this) ?? []) {
       const runs = countRuns(this.pool, id);
@@ -94,7 +94,7 @@
 );
 
 Then<ScenarioWorld>(
-  'at least {int} engines did a tenth of the work each',
+  'at least {int} engines each did a tenth of the work',
   function (count) {
     const runs = this.pool.servers.map(server => server.completed.size);
     const total = runs.reduce((sum, count) => sum + count, 0);
@@ -104,14 +104,14 @@
 );
 
 Given<ScenarioWorld>(
-  '{word} has just started and has heard of no other engine',
+  '{word} has just started and has received no mean load',
   function (name) {
     this.createServerWithoutMean(name);
   },
 );
 
 When<ScenarioWorld>(
-  '{int} kiosks wake at {word} at once',
+  '{int} kiosks send a request to {word} at once',
   function (count, name) {
     for (let index = 0; index < count; index++) {
       this.server(name).offer(makeOffer(name, `kiosk-${index}`));
@@ -129,7 +129,7 @@
   assert.equal(this.server(name).runs.size, 0);
 });
 
-Then<ScenarioWorld>('nothing that any engine ran was cancelled', function () {
+Then<ScenarioWorld>('no engine cancelled a running request', function () {
   for (const {name, cancelled} of this.pool.servers) {
     assert.equal(cancelled.size, 0, name);
   }
--- a/packages/lovagepond-scenarios/src/steps/operator_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/operator_steps.ts
@@ -77,7 +77,7 @@
 );
 
 When<ScenarioWorld>(
-  '{word} adds the pool {string} on revision {int} and loses the answer',
+  '{word} adds the pool {string} on revision {int} and the answer is lost',
   async function (operator, pool, revision) {
     this.control.leader.losesNextAnswer = true;
     await send(this, operator, makeAddition(operator, pool, revision));
@@ -105,7 +105,7 @@
 );
 
 When<ScenarioWorld>(
-  '{word} replaces the configuration on revision {int} by one with faults',
+  '{word} replaces the configuration on revision {int} by an invalid one',
   async function (operator, baseRevision) {
     await send(this, operator, {
       operationId: `${operator}-replace`,
@@ -130,7 +130,7 @@
 );
 
 Then<ScenarioWorld>(
-  '{word} was told of a conflict that names {string}',
+  '{word} received a conflict that names {string}',
   function (operator, place) {
     const {answer} = lastChangeOf(this, operator);
     assert.equal(answer.kind, 'conflict');
@@ -141,7 +141,7 @@
 );
 
 Then<ScenarioWorld>(
-  '{word} was told of the faults {string}',
+  '{word} received validation errors for {string}',
   function (operator, places) {
     const {answer} = lastChangeOf(this, operator);
     assert.equal(answer.kind, 'invalid');
--- a/packages/lovagepond-scenarios/src/steps/order_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/order_steps.ts
@@ -99,14 +99,14 @@
 );
 
 When<ScenarioWorld>(
-  'the sidecar of {word} restarts and knows no order',
+  'the sidecar of {word} restarts without any record of orders',
   function (_server) {
     serverOf(this).fencing = new SidecarFencing();
   },
 );
 
 When<ScenarioWorld>(
-  'the sidecar of {word} learns the floor from the leader',
+  'the sidecar of {word} receives the fencing floor from the leader',
   function (name) {
     const {orders} = this.consensus.leader.machine;
     serverOf(this).fencing.learnFloor(orders.floorOf(name));
--- a/packages/lovagepond-scenarios/src/steps/process_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/process_steps.ts
@@ -124,13 +124,13 @@
   setWeight,
 );
 
-Then('both answers tell the same revision', () => {
+Then('both commands report the same revision', () => {
   assert.equal(revisions.length, 2);
   assert.equal(revisions[0], revisions[1]);
 });
 
 Then(
-  'ctl tells that the revision is in force everywhere',
+  'ctl reports that the revision is in force everywhere',
   STEP_OPTIONS,
   async () => {
     const options = ['--wait', '--limit', CONVERGENCE_LIMIT_SECONDS];
@@ -156,26 +156,26 @@
   },
 );
 
-Given("every engine sends another's answer once", async () => {
+Given('every engine once sends the answer to another request', async () => {
   await setFaults({crossAnswers: true});
 });
 
-When('a shopper asks through {word}', (router: string) => {
+When('a shopper sends a chat through {word}', (router: string) => {
   answer = sendChat(router);
 });
 
-When('a shopper asks for a long answer through {word}', (router: string) => {
+When('a shopper requests a long answer through {word}', (router: string) => {
   answer = sendChat(router, LONG_ANSWER_TOKENS);
 });
 
-Then("the shopper's process gets the whole answer", STEP_OPTIONS, async () => {
+Then('the shopper receives the whole answer', STEP_OPTIONS, async () => {
   const got = await answer;
   assert.ok(got?.whole, `status ${got?.status}: ${got?.body}`);
   assert.equal(got.status, 200);
 });
 
 Then(
-  "the shopper's process gets its own whole answer or none",
+  'the shopper receives their own whole answer or an error',
   STEP_OPTIONS,
   async () => {
     const got = await answer;
@@ -195,7 +195,7 @@
   },
 );
 
-When('every router has heard that it is leaving', STEP_OPTIONS, async () => {
+When('every router lists the engine as draining', STEP_OPTIONS, async () => {
   await waitUntil(async () => (await stateOf('sidecar-1')) === 'draining');
   const all = getFleet();
   await waitUntil(async () => {
@@ -217,7 +217,7 @@
 );
 
 Then(
-  'all of them are answered, and the engine of {word} got none',
+  'all chats are answered, and the engine of {word} received none',
   async (sidecar: string) => {
     for (const got of answers) assert.ok(got.whole, got.body);
     assert.equal(await countRequests(sidecar), requestsBefore);
@@ -232,31 +232,31 @@
   },
 );
 
-Then('ctl lists it as ready again', STEP_OPTIONS, async () => {
+Then('ctl lists the engine as ready again', STEP_OPTIONS, async () => {
   await waitUntil(async () => (await stateOf('sidecar-1')) === 'ready');
 });
 
-When('the sidecar that serves it is told to stop', STEP_OPTIONS, async () => {
-  const all = getFleet();
-  let servingSidecar: string | undefined;
-  await waitUntil(async () => {
-    for (const name of all.namesOf('sidecar')) {
-      const {state} = await all.dump(name);
-      if ((state['gate'] as GateDump).runs === 1) servingSidecar = name;
-    }
-    return servingSidecar !== undefined;
-  });
-  exited = all.get(servingSidecar ?? '').end('SIGTERM');
-});
-
-Then(
-  'the stopped process ended by itself with code 0',
+When(
+  'the sidecar that serves the request receives SIGTERM',
   STEP_OPTIONS,
   async () => {
-    assert.equal(await exited, 0);
+    const all = getFleet();
+    let servingSidecar: string | undefined;
+    await waitUntil(async () => {
+      for (const name of all.namesOf('sidecar')) {
+        const {state} = await all.dump(name);
+        if ((state['gate'] as GateDump).runs === 1) servingSidecar = name;
+      }
+      return servingSidecar !== undefined;
+    });
+    exited = all.get(servingSidecar ?? '').end('SIGTERM');
   },
 );
 
+Then('the stopped process exits with code 0', STEP_OPTIONS, async () => {
+  assert.equal(await exited, 0);
+});
+
 When('the process {word} is killed', STEP_OPTIONS, async (name: string) => {
   await getFleet().get(name).end('SIGKILL');
 });
--- a/packages/lovagepond-scenarios/src/steps/redemption_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/redemption_steps.ts
@@ -48,7 +48,7 @@
 });
 
 When<ScenarioWorld>(
-  'the very same attempt arrives at {word} again',
+  'the first attempt is delivered to {word} again',
   function (_server) {
     this.redemption.redeliverFirst();
   },
@@ -58,7 +58,7 @@
   this.redemption.restart(server);
 });
 
-When<ScenarioWorld>('the till goes away', function () {
+When<ScenarioWorld>('the caller of the first attempt disconnects', function () {
   this.redemption.callerGone();
 });
 
@@ -70,7 +70,7 @@
 );
 
 Then<ScenarioWorld>(
-  'the {word} sending was answered as {string}',
+  'the {word} attempt was answered as {string}',
   function (ordinal, answer) {
     const attempt = this.redemption.attemptAt(ORDINALS.indexOf(ordinal));
     assert.equal(attempt.answer, answer);
@@ -78,7 +78,7 @@
 );
 
 Then<ScenarioWorld>(
-  'the {word} sending was answered as not run',
+  'the {word} attempt was reported as not run',
   function (ordinal) {
     const {answer} = this.redemption.attemptAt(ORDINALS.indexOf(ordinal));
     const {disposition} = answerFor(parseErrorKind(answer));
@@ -86,6 +86,6 @@
   },
 );
 
-Then<ScenarioWorld>('nothing that the service ran was cancelled', function () {
+Then<ScenarioWorld>('the service cancelled no running call', function () {
   assert.equal(this.redemption.cancelled, 0);
 });
--- a/packages/lovagepond-scenarios/src/steps/request_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/request_steps.ts
@@ -13,7 +13,7 @@
 /** As long as the answer, so that its pieces' offsets fit into it. */
 const OTHER_GENERATION = 'One croissant with each coffee until evening';
 
-Given<ScenarioWorld>("a shopper's request is given to engine-1", function () {
+Given<ScenarioWorld>("a shopper's request is sent to engine-1", function () {
   const request = this.createRequest();
   assert.equal(request.lastOffer.attempt.target.backendServer, 'engine-1');
 });
@@ -22,7 +22,7 @@
   this.request.answer = text;
 });
 
-When<ScenarioWorld>('{word} says that it has started', function (server) {
+When<ScenarioWorld>('{word} reports that it has started', function (server) {
   const {request} = this;
   assert.equal(request.lastOffer.attempt.target.backendServer, server);
   request.frame({kind: 'accepted', expectedWaitMs: 0});
@@ -33,7 +33,7 @@
   for (const number of list.split(', ')) this.request.piece(Number(number));
 });
 
-When<ScenarioWorld>('the end arrives', function () {
+When<ScenarioWorld>('the end of the answer arrives', function () {
   this.request.end();
 });
 
@@ -97,14 +97,14 @@
 });
 
 When<ScenarioWorld>(
-  'the sidecar says that its server never got the request',
+  'the sidecar reports that its engine never received the request',
   function () {
     refuse(this, 'unreachable');
   },
 );
 
 When<ScenarioWorld>(
-  'the restarted sidecar refuses the attempt of its former self',
+  'the restarted sidecar refuses the attempt of its former incarnation',
   function () {
     const {attempt} = this.request.lastOffer;
     const incarnation = `${attempt.target.backendServer}-2`;
@@ -132,7 +132,7 @@
 );
 
 When<ScenarioWorld>(
-  'the sidecar says over a new connection that it took the request back',
+  'the sidecar reports over a new connection that it revoked the request',
   function () {
     this.request.revokeOutcome = 'revoked';
     this.request.answerRevoke();
@@ -140,26 +140,29 @@
 );
 
 When<ScenarioWorld>(
-  'the sidecar says over a new connection that it has dispatched the request',
+  'the sidecar reports over a new connection that it dispatched the request',
   function () {
     this.request.revokeOutcome = 'dispatched';
     this.request.answerRevoke();
   },
 );
 
-Then<ScenarioWorld>('the shopper has the whole answer once', function () {
-  const {deliveredText, answer, ended, failure} = this.request;
-  assert.equal(failure, undefined);
-  assert.equal(deliveredText, answer);
-  assert.ok(ended, 'the answer has no end');
-});
+Then<ScenarioWorld>(
+  'the shopper has received the whole answer once',
+  function () {
+    const {deliveredText, answer, ended, failure} = this.request;
+    assert.equal(failure, undefined);
+    assert.equal(deliveredText, answer);
+    assert.ok(ended, 'the answer has no end');
+  },
+);
 
-Then<ScenarioWorld>('the shopper has no whole answer', function () {
+Then<ScenarioWorld>('the shopper has not received a whole answer', function () {
   assert.ok(!this.request.ended, 'the answer looks whole');
 });
 
 Then<ScenarioWorld>(
-  'the shopper has nothing of the new generation',
+  'the shopper has received nothing of the new generation',
   function () {
     const {deliveredText, answer} = this.request;
     assert.ok(
@@ -170,7 +173,7 @@
 );
 
 Then<ScenarioWorld>(
-  'the shopper is told that the request may have run',
+  'the shopper receives an error that the request may have run',
   function () {
     const {failure, ended} = this.request;
     assert.ok(failure, 'the shopper was told nothing');
@@ -180,14 +183,14 @@
   },
 );
 
-Then<ScenarioWorld>('no other server is given the request', function () {
+Then<ScenarioWorld>('no other server receives the request', function () {
   const servers = this.request.offers.map(
     offer => offer.attempt.target.backendServer,
   );
   assert.deepEqual([...new Set(servers)], ['engine-1']);
 });
 
-Then<ScenarioWorld>('{word} is given the request again', function (server) {
+Then<ScenarioWorld>('{word} receives the request again', function (server) {
   const {offers} = this.request;
   assert.ok(offers.length > 1, 'the request was sent once');
   const {attempt} = this.request.lastOffer;
@@ -203,14 +206,14 @@
 }
 
 Then<ScenarioWorld>(
-  'the request goes on from the end of piece {int} over a new connection',
+  'the request resumes after piece {int} over a new connection',
   function (piece) {
     checkResume(this, piece);
   },
 );
 
 Then<ScenarioWorld>(
-  'the request goes on from its beginning over a new connection',
+  'the request resumes from its beginning over a new connection',
   function () {
     checkResume(this, 0);
   },
--- a/packages/lovagepond-scenarios/src/steps/revision_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/revision_steps.ts
@@ -52,7 +52,7 @@
 );
 
 When<ScenarioWorld>(
-  '{int} router(s) and {int} sidecar(s) start anew',
+  '{int} router(s) and {int} sidecar(s) restart',
   function (routers, sidecars) {
     const fleet = this.createSubscribers();
     fleet.add('router', routers);
@@ -81,7 +81,7 @@
 );
 
 When<ScenarioWorld>(
-  'a router hands revision {int} to every sidecar',
+  'a router sends revision {int} to every sidecar',
   function (revision) {
     for (const {holder} of this.subscribers.nodes) {
       holder.install(makeConfiguration(revision));
@@ -94,7 +94,7 @@
 });
 
 Then<ScenarioWorld>(
-  'every router and sidecar holds revision {int} and takes work',
+  'every router and sidecar holds revision {int} and accepts work',
   function (revision) {
     const {now} = this.timeline;
     for (const {name, holder} of this.subscribers.nodes) {
@@ -104,14 +104,14 @@
   },
 );
 
-Then<ScenarioWorld>('none of them takes work yet', function () {
+Then<ScenarioWorld>('none of them accepts work yet', function () {
   for (const {name, holder} of this.subscribers.nodes) {
     assert.ok(!holder.mayServe(this.timeline.now), `${name} takes work`);
   }
 });
 
 Then<ScenarioWorld>(
-  'each of them was sent {int} configuration',
+  'each of them received {int} configuration',
   function (count) {
     for (const {name, received} of this.subscribers.nodes) {
       assert.equal(received, count, name);
@@ -129,7 +129,7 @@
 );
 
 Given<ScenarioWorld>(
-  'engine-1 works with revision {int} and a router with revision {int}',
+  'engine-1 uses revision {int} and the router uses revision {int}',
   function (sidecar, router) {
     assert.notEqual(sidecar, EMPTY_CONFIGURATION.revision);
     this.server(SERVER).gate.configure(DEFAULT_GATE_POLICY, sidecar);
@@ -146,23 +146,17 @@
   },
 );
 
-When<ScenarioWorld>(
-  'the router takes over the revision of engine-1',
-  function () {
-    routerRevisions.set(this, sidecarRevisions.get(this) ?? 0);
-  },
-);
+When<ScenarioWorld>('the router adopts the revision of engine-1', function () {
+  routerRevisions.set(this, sidecarRevisions.get(this) ?? 0);
+});
 
-When<ScenarioWorld>(
-  'engine-1 takes over the revision of the router',
-  function () {
-    const revision = routerRevisions.get(this) ?? 0;
-    this.server(SERVER).gate.configure(DEFAULT_GATE_POLICY, revision);
-  },
-);
+When<ScenarioWorld>('engine-1 adopts the revision of the router', function () {
+  const revision = routerRevisions.get(this) ?? 0;
+  this.server(SERVER).gate.configure(DEFAULT_GATE_POLICY, revision);
+});
 
 Then<ScenarioWorld>(
-  'the router was told that its revision is stale',
+  'the router was refused for its stale revision',
   function () {
     const kinds = this.server(SERVER).refusals.map(
       refusal => refusal.failure.kind,
