--- a/packages/lovagepond-scenarios/features/differing_lists.feature
+++ b/packages/lovagepond-scenarios/features/differing_lists.feature
@@ -9,14 +9,14 @@
     Given a router that lists the servers 1 to 8
     And a router that lists the servers 1 to 7
     When both routers choose a first server for 20000 chats
-    Then they differ on exactly the chats whose first choice is server-8
+    Then they differ on exactly the chats with first choice server-8
     And the differing chats are between 10 and 15 percent of all
 
   Scenario: Each router's list lacks another server
     Given a router that lists the servers 1 to 7
     And a router that lists the servers 2 to 8
     When both routers choose a first server for 20000 chats
-    Then they differ on exactly the chats whose first choice is server-1 or server-8
+    Then they differ on exactly the chats with first choice server-1 or server-8
 
   Scenario: A chat that was served elsewhere is found with one redirect
     Given the chat "kiosk-12" was last served at engine-5
--- a/packages/lovagepond-scenarios/src/steps/consensus_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/consensus_steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of control hosts that agree, are cut off, and are lost.
+ * Steps of control hosts in a consensus group that are cut off or lost.
  */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -55,7 +55,7 @@
   const {leader} = world.consensus;
   const proposal = addPool(world, leader, name);
   world.timeline.advance(COMMIT_MS);
-  assert.ok(world.consensus.isCommitted(leader, proposal), 'not accepted');
+  assert.ok(world.consensus.isCommitted(leader, proposal), 'not committed');
   stateOf(world).accepted += 1;
 }
 
@@ -262,7 +262,7 @@
     assert.ok(!host.answeredReads.has(READ_TOKEN), 'it answered a read');
     const {role} = host.core.status(this.timeline.now);
     assert.notEqual(role, MEMBER_ROLE.LEADER);
-    assert.ok(!host.leads, 'it believes in its lease');
+    assert.ok(!host.leads, 'it still has a valid lease');
   },
 );
 
--- a/packages/lovagepond-scenarios/src/steps/engine_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/engine_steps.ts
@@ -7,7 +7,7 @@
 
 const MS_PER_SECOND = 1_000;
 const SETTLE_MS = 10_000;
-/** The first announcements count as flaps for a while; they wear off. */
+/** The first announcements count as flaps until this time has passed. */
 const FLAP_DECAY_MS = 120_000;
 
 Given<ScenarioWorld>(
--- a/packages/lovagepond-scenarios/src/steps/gate_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/gate_steps.ts
@@ -11,7 +11,7 @@
 
 const MS_PER_SECOND = 1_000;
 const SERVER = 'engine-1';
-/** Fills the floor, so that whatever follows is held. */
+/** Uses up the floor, so that later requests are held. */
 const FILLING_TOKENS = 4_000;
 
 const revokeOutcomes = new WeakMap<ScenarioWorld, Map<string, string>>();
@@ -106,7 +106,7 @@
 Then<ScenarioWorld>('{string} was reported as not run', function (attemptId) {
   const refusals = findRefusals(this.server(SERVER), attemptId);
   const revoked = revokeOutcomes.get(this)?.get(attemptId) === 'revoked';
-  assert.ok(refusals.length > 0 || revoked, 'it was not answered');
+  assert.ok(refusals.length > 0 || revoked, 'no refusal, and not revoked');
   for (const {failure} of refusals) {
     assert.equal(answerFor(failure.kind).disposition, DISPOSITION.NOT_RUN);
   }
@@ -116,9 +116,9 @@
   '{string} was reported as not run within {int} seconds',
   function (attemptId, seconds) {
     const [refusal] = findRefusals(this.server(SERVER), attemptId);
-    assert.ok(refusal, 'it was not answered');
+    assert.ok(refusal, 'it was not refused');
     assert.ok(refusal.at <= seconds * MS_PER_SECOND, `after ${refusal.at} ms`);
-    assert.ok(refusal.failure.retryAfterMs > 0, 'it names no time to return');
+    assert.ok(refusal.failure.retryAfterMs > 0, 'it has no retry time');
   },
 );
 
@@ -154,7 +154,7 @@
     const position = order.findIndex(id => id.startsWith(workspace));
     assert.ok(
       position >= 0 && position < count,
-      `it was number ${position + 1}`,
+      `it was request ${position + 1}`,
     );
   },
 );
--- a/packages/lovagepond-scenarios/src/steps/list_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/list_steps.ts
@@ -16,7 +16,7 @@
 interface Choice {
   readonly left: string;
   readonly right: string;
-  /** First choice among all servers that any router knows. */
+  /** First choice among all servers that either router lists. */
   readonly firstOfAll: string;
 }
 
@@ -73,7 +73,7 @@
 );
 
 Then<ScenarioWorld>(
-  /^they differ on exactly the chats whose first choice is (\S+)(?: or (\S+))?$/,
+  /^they differ on exactly the chats with first choice (\S+)(?: or (\S+))?$/,
   function (first: string, second: string | undefined) {
     for (const {left, right, firstOfAll} of choices.get(this) ?? []) {
       const mayDiffer = firstOfAll === first || firstOfAll === second;
--- a/packages/lovagepond-scenarios/src/steps/load_bound_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/load_bound_steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of the hourly wake: pools, waves of kiosks, and the load bound.
+ * Steps of the hourly burst: pools, requests of kiosks, and the load bound.
  */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -14,7 +14,7 @@
   floorTokens: 4_000,
   meanAgeMs: 300,
 };
-/** Shares of the work that count as a server's part in it. */
+/** Share of the requests from which an engine counts as busy. */
 const BUSY_SHARE = 0.1;
 const ROUNDING_TOLERANCE = 1e-9;
 
@@ -84,10 +84,10 @@
       if (retryAfterMs === undefined) {
         assert.equal(runs, 1, `${id} was run ${runs} times`);
         const done = this.pool.servers.some(server => server.completed.has(id));
-        assert.ok(done, `${id} got no whole answer`);
+        assert.ok(done, `no engine completed ${id}`);
       } else {
-        assert.equal(runs, 0, `${id} was refused and yet run`);
-        assert.ok(retryAfterMs > 0, `${id} was not told when to come back`);
+        assert.equal(runs, 0, `${id} was refused but ran`);
+        assert.ok(retryAfterMs > 0, `${id} was refused without a retry time`);
       }
     }
   },
--- a/packages/lovagepond-scenarios/src/steps/operator_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/operator_steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of operators who change the configuration at control.
+ * Steps in which operators change the configuration at control.
  */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -26,7 +26,7 @@
 
 function lastChangeOf(world: ScenarioWorld, operator: string): LastChange {
   const lastChange = changesByOperator.get(world)?.get(operator);
-  assert.ok(lastChange, `${operator} has changed nothing yet`);
+  assert.ok(lastChange, `${operator} has sent no change`);
   return lastChange;
 }
 
--- a/packages/lovagepond-scenarios/src/steps/order_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/order_steps.ts
@@ -1,6 +1,6 @@
 /**
  * Steps of orders with fencing tokens, from the leader to a sidecar whose
- * backend server checks nothing itself.
+ * backend server does no checks of its own.
  */
 import assert from 'node:assert/strict';
 import {Then, When} from '@cucumber/cucumber';
@@ -12,7 +12,7 @@
 import {ORDER_VERDICT, SidecarFencing} from '@lovagepond/sidecar';
 import {type ScenarioWorld} from '../world/scenario_world.js';
 
-/** A sidecar's fencing and what its backend server was made to load. */
+/** A sidecar's fencing and the models that its backend server loaded. */
 class FencedServer {
   fencing = new SidecarFencing();
   readonly loaded: string[] = [];
@@ -65,7 +65,7 @@
   },
 );
 
-/** Passes an order to the sidecar, and its outcome back to the leader. */
+/** Delivers an order to the sidecar and its outcome to the leader. */
 function deliver(world: ScenarioWorld, order: OrderView): void {
   serverOf(world).deliverToServer(order);
   const {orderId, fencingToken, backendServer} = order;
--- a/packages/lovagepond-scenarios/src/steps/process_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/process_steps.ts
@@ -1,6 +1,6 @@
 /**
- * Steps over real processes, which are started once for all of these scenarios
- * and ended by their ids.
+ * Steps with real processes, which are started once for all of these scenarios
+ * and stopped by their process ids.
  */
 import assert from 'node:assert/strict';
 import {setTimeout as wait} from 'node:timers/promises';
@@ -20,7 +20,7 @@
 const QUESTION = 'Which voucher fits? ';
 const CONVERGENCE_LIMIT_SECONDS = '20';
 const LONG_ANSWER_TOKENS = 120;
-/** Whose answer an engine sends when it crosses answers. */
+/** Request whose answer a fake engine sends with `crossAnswers`. */
 const CROSSED_ID = 'another-request';
 const CROSSED_TEXT = fakeAnswerText(CROSSED_ID, 4);
 const STEP_OPTIONS = {timeout: STEP_LIMIT_MS};
@@ -34,7 +34,7 @@
 let chatCount = 0;
 
 function getFleet(): Fleet {
-  assert.ok(fleet, 'no process was started');
+  assert.ok(fleet, 'no fleet was started');
   return fleet;
 }
 
@@ -48,7 +48,7 @@
   await fleet?.end();
 });
 
-/** Asks until it holds; the step's own limit ends it. */
+/** Polls until the condition holds or the step times out. */
 async function waitUntil(condition: () => Promise<boolean>): Promise<void> {
   while (!(await condition())) await wait(POLL_MS);
 }
@@ -67,7 +67,7 @@
   return getFleet().get(sidecar).settings?.['backend']?.['url'] ?? '';
 }
 
-/** Tells every engine the faults of its next request. */
+/** Injects faults into the next request of every engine. */
 async function setFaults(faults: object): Promise<void> {
   for (const sidecar of getFleet().namesOf('sidecar')) {
     const res = await fetch(`${backendUrl(sidecar)}/fake/faults`, {
@@ -179,7 +179,7 @@
   STEP_OPTIONS,
   async () => {
     const got = await answer;
-    assert.ok(got, 'nobody asked');
+    assert.ok(got, 'no chat was sent');
     assert.ok(!got.body.includes(CROSSED_ID), got.body);
     assert.ok(!got.text.startsWith(CROSSED_TEXT), got.text);
     if (got.whole) assert.equal(got.status, 200);
--- a/packages/lovagepond-scenarios/src/steps/redemption_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/redemption_steps.ts
@@ -7,7 +7,7 @@
 import {type ClaimFault} from '../world/redemption.js';
 import {type ScenarioWorld} from '../world/scenario_world.js';
 
-/** By then a sidecar has given up a claim that nobody answers. */
+/** After this time a sidecar has given up a claim without an answer. */
 const CLAIM_ABANDONED_MS = 3_000;
 const ORDINALS = ['first', 'second', 'third'];
 
--- a/packages/lovagepond-scenarios/src/steps/request_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/request_steps.ts
@@ -10,7 +10,7 @@
 const MS_PER_SECOND = 1_000;
 const PAST_DEADLINE_MS = 31_000;
 const FORMER_ATTEMPT = 'request-1.1';
-/** As long as the answer, so that its pieces' offsets fit into it. */
+/** As long as the answer, so that the offsets of its pieces match. */
 const OTHER_GENERATION = 'One croissant with each coffee until evening';
 
 Given<ScenarioWorld>("a shopper's request is sent to engine-1", function () {
@@ -153,7 +153,7 @@
     const {deliveredText, answer, ended, failure} = this.request;
     assert.equal(failure, undefined);
     assert.equal(deliveredText, answer);
-    assert.ok(ended, 'the answer has no end');
+    assert.ok(ended, 'the end of the answer did not arrive');
   },
 );
 
@@ -176,7 +176,7 @@
   'the shopper receives an error that the request may have run',
   function () {
     const {failure, ended} = this.request;
-    assert.ok(failure, 'the shopper was told nothing');
+    assert.ok(failure, 'the shopper received no error');
     const {disposition} = answerFor(failure.kind);
     assert.equal(disposition, DISPOSITION.MAY_HAVE_RUN, failure.kind);
     assert.ok(!ended, 'the answer looks whole');
--- a/packages/lovagepond-scenarios/src/steps/revision_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/revision_steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of routers and sidecars that hold a revision of the configuration.
+ * Steps of the configuration revisions that routers and sidecars hold.
  */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -13,7 +13,7 @@
 import {type ScenarioWorld} from '../world/scenario_world.js';
 
 const SETTLE_MS = 2_000;
-/** One in so many connections goes silent. */
+/** Every third connection goes silent. */
 const THIRD = 3;
 const SERVER = 'engine-1';
 
@@ -99,14 +99,14 @@
     const {now} = this.timeline;
     for (const {name, holder} of this.subscribers.nodes) {
       assert.equal(holder.revision(), revision, name);
-      assert.ok(holder.mayServe(now), `${name} takes no work`);
+      assert.ok(holder.mayServe(now), `${name} accepts no work`);
     }
   },
 );
 
 Then<ScenarioWorld>('none of them accepts work yet', function () {
   for (const {name, holder} of this.subscribers.nodes) {
-    assert.ok(!holder.mayServe(this.timeline.now), `${name} takes work`);
+    assert.ok(!holder.mayServe(this.timeline.now), `${name} accepts work`);
   }
 });
 
--- a/packages/lovagepond-scenarios/src/world/consensus_group.ts
+++ b/packages/lovagepond-scenarios/src/world/consensus_group.ts
@@ -1,6 +1,6 @@
 /**
- * Control hosts with the real consensus core and state machine, over a network
- * of one millisecond that can be cut in each direction, and disks in memory.
+ * Control hosts with the real consensus core and state machine, in-memory disks
+ * and a network with 1 ms latency that can be cut in each direction.
  */
 import {
   type ConsensusAction,
@@ -23,7 +23,7 @@
 const TICK_MS = 20;
 const NETWORK_MS = 1;
 const SYNC_MS = 1;
-/** Small, so that a host that was away needs a snapshot. */
+/** Small limits, so that a host that missed entries needs a snapshot. */
 const TIMINGS = {
   ...DEFAULT_CONSENSUS_TIMINGS,
   snapshotEveryEntries: 100,
@@ -36,7 +36,7 @@
   ) => void;
 };
 
-/** What a host's disk holds; it survives the host's crash. */
+/** A host's disk, which survives a crash of the host. */
 class HostDisk {
   #state: StoredState;
 
@@ -72,9 +72,9 @@
 export class ControlHost {
   readonly name: string;
   machine: ControlStateMachine;
-  /** Index to term of what this host applied. */
+  /** Index to term of the entries that this host applied. */
   readonly applied = new Map<number, number>();
-  /** Snapshots that this host took over from a leader. */
+  /** Number of snapshots that this host restored from a leader. */
   restoredSnapshots = 0;
   readonly answeredReads = new Set<number>();
   #disk: HostDisk;
@@ -96,7 +96,7 @@
     });
   }
 
-  /** Identity of the host's disk. */
+  /** Member id, which belongs to the host's disk. */
   get id(): string {
     return this.#disk.state.id;
   }
@@ -108,22 +108,22 @@
 
   /** The running core. */
   get core(): ConsensusCore {
-    if (!this.#core) throw new Error(`${this.name} is down`);
+    if (!this.#core) throw new Error(`${this.name} is not running`);
     return this.#core;
   }
 
-  /** True when the host leads and no other can. */
+  /** True while the host holds a valid leader lease. */
   get leads(): boolean {
     return this.#core?.status(this.#timeline.now).leaseValid ?? false;
   }
 
-  /** Names of the pools that this host has applied. */
+  /** Names of the pools in this host's applied configuration. */
   get pools(): string {
     const {content} = this.machine.configuration.current.read();
     return content.pools.map(pool => pool.name).join(', ');
   }
 
-  /** Starts the process on what the disk holds. */
+  /** Starts the process from the state on the disk. */
   start(): void {
     const stored = this.#disk.state;
     this.machine = this.#createMachine();
@@ -133,23 +133,23 @@
     this.#core = new ConsensusCore(dependencies, this.#timeline.now);
   }
 
-  /** The process or its host is gone; the disk stays. */
+  /** Stops the process at once; the disk is kept. */
   crash(): void {
     this.#core = undefined;
   }
 
-  /** The disk is replaced by an empty one, which has another identity. */
+  /** Replaces the disk by an empty one with another member id. */
   replaceDisk(): void {
     this.#disk = new HostDisk(`${this.name}-disk-2`);
   }
 
-  /** @param message a message that arrived */
+  /** @param message a message from another host */
   receive(message: ConsensusMessage): void {
     this.#core?.receive(message, this.#timeline.now);
     this.perform();
   }
 
-  /** Carries out what the core wants done. */
+  /** Carries out the core's pending actions. */
   perform(): void {
     for (;;) {
       const actions = this.#core?.takeActions() ?? [];
@@ -167,7 +167,7 @@
   #scheduleWrite(id: number, store: () => void): void {
     const core = this.#core;
     this.#timeline.schedule(SYNC_MS, () => {
-      // A crash loses what was not synced.
+      // A crash discards writes that were not synced.
       if (this.#core !== core) return;
       store();
       this.#core?.stored(id, this.#timeline.now);
@@ -221,7 +221,7 @@
 export class ConsensusGroup {
   readonly hosts: ControlHost[];
   readonly #timeline: Timeline;
-  /** `from to` pairs over which nothing gets through. */
+  /** `from to` pairs between which messages are dropped. */
   readonly #cuts = new Set<string>();
   #seed = 100;
 
@@ -230,7 +230,7 @@
     this.hosts = names.map(name => new ControlHost(name, this, timeline));
     for (const host of this.hosts) host.start();
     const [first] = this.hosts;
-    invariant(first, 801, 'a group has a host');
+    invariant(first, 801, 'a consensus group needs at least one host');
     first.core.bootstrap(
       this.hosts.map((host): Member => ({
         id: host.id,
@@ -240,18 +240,18 @@
     );
   }
 
-  /** @returns a seed that no other start of a host had */
+  /** @returns a seed that no earlier start of a host used */
   nextSeed(): number {
     this.#seed += 1;
     return this.#seed;
   }
 
-  /** The host that leads now. */
+  /** The host that holds the leader lease. */
   get leader(): ControlHost {
     const leading = this.hosts.filter(host => host.leads);
-    if (leading.length > 1) throw new Error('two hosts hold a lease');
+    if (leading.length > 1) throw new Error('two hosts hold a leader lease');
     const [leader] = leading;
-    if (!leader) throw new Error('no host leads');
+    if (!leader) throw new Error('no host holds a leader lease');
     return leader;
   }
 
@@ -265,7 +265,7 @@
     return found;
   }
 
-  /** @param name a further host with an empty disk; it joins nothing yet */
+  /** @param name a new host with an empty disk, not yet a member */
   addHost(name: string): ControlHost {
     const host = new ControlHost(name, this, this.#timeline);
     host.start();
@@ -273,12 +273,12 @@
     return host;
   }
 
-  /** Cuts one direction between two hosts; nobody is told. */
+  /** Drops messages from one host to another, without an error. */
   cut(from: string, to: string): void {
     this.#cuts.add(`${from} ${to}`);
   }
 
-  /** Everything gets through again. */
+  /** Removes all cuts. */
   heal(): void {
     this.#cuts.clear();
   }
@@ -291,10 +291,10 @@
   }
 
   /**
-   * @param host where an operator or a process asks
+   * @param host the host that receives the proposal
    * @param command the command
    * @param payload its payload
-   * @returns where it stands in that host's log, when it took it
+   * @returns its index and term in that host's log, or why it was refused
    */
   propose<Payload>(
     host: ControlHost,
@@ -312,8 +312,8 @@
   }
 
   /**
-   * @param change one change of the members, at the leader
-   * @returns where it stands, or why it was refused
+   * @param change one membership change, proposed at the leader
+   * @returns its index and term in the log, or why it was refused
    */
   changeMembers(change: MemberChange): Proposal {
     const {leader} = this;
@@ -324,9 +324,9 @@
   }
 
   /**
-   * @param host where it was proposed
-   * @param proposal where it stands
-   * @returns true when that host knows that it is committed
+   * @param host the host that received the proposal
+   * @param proposal the proposal's index and term
+   * @returns true when that host has applied the proposal
    */
   isCommitted(host: ControlHost, proposal: Proposal): boolean {
     if (proposal.kind !== 'added') return false;
--- a/packages/lovagepond-scenarios/src/world/control_group.ts
+++ b/packages/lovagepond-scenarios/src/world/control_group.ts
@@ -1,6 +1,6 @@
 /**
- * Three control members with their real state machines over one agreed log.
- * The log itself is a fake: what consensus proves elsewhere holds here.
+ * Three control members with their real state machines over a fake replicated
+ * log, which behaves as the consensus tests require of the real one.
  */
 import {type ChangeOutcome, type ConsensusNode} from '@lovagepond/consensus';
 import {type ChangeAnswer, CONTROL_DEFAULTS} from '@lovagepond/control';
@@ -22,13 +22,13 @@
 type ProposeOutcome = Awaited<ReturnType<ConsensusNode['propose']>>;
 type ReadOutcome = Awaited<ReturnType<ConsensusNode['readBarrier']>>;
 
-/** One member: its state, and the part of the log that it offers. */
+/** One member: its state machine and its interface to the fake log. */
 export class GroupMember implements ReplicatedLog {
   readonly name: string;
   machine: ControlStateMachine;
-  /** Entries that this member applied one by one since its last start. */
+  /** Number of log entries that this member applied since its last start. */
   replayed = 0;
-  /** The next answer to an operator gets lost, after the commit. */
+  /** True when the next answer to an operator is lost after the commit. */
   losesNextAnswer = false;
   readonly #group: ControlGroup;
   readonly #clock: Clock;
@@ -58,7 +58,7 @@
     return this.machine.apply(bytes, 0);
   }
 
-  /** @param snapshot the leader's state, which replaces all of this one's */
+  /** @param snapshot the leader's state, which replaces this member's state */
   restart(snapshot: Uint8Array): void {
     this.machine = this.#createMachine();
     this.machine.restore(snapshot);
@@ -124,7 +124,7 @@
   }
 }
 
-/** The members, and who leads. */
+/** The members and their current leader. */
 export class ControlGroup {
   readonly members: readonly GroupMember[];
   leader: GroupMember;
@@ -151,37 +151,37 @@
     return found;
   }
 
-  /** True while most of the members are there. */
+  /** True while a majority of the members runs. */
   get hasMajority(): boolean {
     return this.#stopped.size < this.members.length / 2;
   }
 
   /**
    * @param member a member
-   * @returns true while it is stopped
+   * @returns true while the member is stopped
    */
   isStopped(member: GroupMember): boolean {
     return this.#stopped.has(member);
   }
 
-  /** Another member becomes leader in a new term. */
+  /** Makes another running member the leader in a new term. */
   changeLeader(): void {
     const next = this.members.find(
       member => member !== this.leader && !this.#stopped.has(member),
     );
-    if (!next) throw new Error('nobody is left to lead');
+    if (!next) throw new Error('no other control member is running');
     this.leader = next;
     this.term += 1;
   }
 
-  /** @param name a member that stops; the others go on */
+  /** @param name the member to stop; a stopped leader is replaced */
   stop(name: string): void {
     const member = this.member(name);
     this.#stopped.add(member);
     if (member === this.leader) this.changeLeader();
   }
 
-  /** @param name a stopped member that comes back with one snapshot */
+  /** @param name a stopped member to restart from the leader's snapshot */
   restart(name: string): void {
     const member = this.member(name);
     this.#stopped.delete(member);
@@ -196,12 +196,12 @@
     const running = this.members.filter(member => !this.#stopped.has(member));
     const results = running.map(member => member.apply(bytes));
     const result = results[running.indexOf(this.leader)];
-    if (!result) throw new Error('the group has no leader');
+    if (!result) throw new Error('the leader is not running');
     return result;
   }
 
   /**
-   * Proposes at the leader and commits at once.
+   * Proposes a command at the leader and commits it immediately.
    *
    * @param command the command
    * @param payload its payload
--- a/packages/lovagepond-scenarios/src/world/engine_list.ts
+++ b/packages/lovagepond-scenarios/src/world/engine_list.ts
@@ -23,7 +23,7 @@
   isSilent: boolean;
 }
 
-/** The engines and the list that the routers are fed from. */
+/** The engines and the membership list that routers receive. */
 export class EngineList {
   readonly #engines = new Map<string, Engine>();
   readonly #log = new MembershipLog();
@@ -41,25 +41,25 @@
     });
   }
 
-  /** @param name an engine that announces itself from now on */
+  /** @param name an engine to start; it announces itself from now on */
   start(name: string): void {
     const engine = {incarnation: 1, isSilent: false} as const;
     this.#engines.set(name, {...engine, state: 'ready', wanted: 'ready'});
     this.#announce(name);
   }
 
-  /** @param name an engine that is not heard any more */
+  /** @param name an engine whose announcements stop arriving */
   stopAnnouncing(name: string): void {
     this.#find(name).isSilent = true;
   }
 
-  /** @param name an engine whose sidecar starts anew */
+  /** @param name an engine whose sidecar restarts */
   restart(name: string): void {
     this.#find(name).incarnation += 1;
     this.#announce(name);
   }
 
-  /** @param name an engine that says that it is leaving */
+  /** @param name an engine that announces itself as draining */
   leave(name: string): void {
     this.#find(name).state = 'draining';
   }
@@ -71,7 +71,7 @@
 
   /**
    * @param name an engine
-   * @returns its state in the list; undefined when it isn't there
+   * @returns its state in the list; undefined if it is not listed
    */
   stateOf(name: string): string | undefined {
     return this.#log.get(name)?.state;
@@ -79,14 +79,14 @@
 
   /**
    * @param state a state
-   * @returns how many engines the list has in it
+   * @returns number of listed engines in that state
    */
   count(state: string): number {
     return [...this.#log.servers()].filter(server => server.state === state)
       .length;
   }
 
-  /** Ready engines that the mean load is taken over. */
+  /** Number of ready engines in the mean load. */
   get readyServers(): number {
     return this.#registry.poolMean(POOL, this.#timeline.now).readyServers;
   }
--- a/packages/lovagepond-scenarios/src/world/gated_server.ts
+++ b/packages/lovagepond-scenarios/src/world/gated_server.ts
@@ -1,6 +1,6 @@
 /**
- * One backend server behind the sidecar's real gate, with an engine that only
- * counts: what runs, how often each request was run, what came of it.
+ * One backend server behind the sidecar's real gate, with a fake engine that
+ * records what it runs, how often it ran each request, and the outcomes.
  */
 import {type Failure, Random} from '@lovagepond/core';
 import {
@@ -12,23 +12,23 @@
 } from '@lovagepond/sidecar';
 import {type Timeline} from './timeline.js';
 
-/** What is fixed about one server of a scenario. */
+/** Fixed properties of one server of a scenario. */
 export interface GatedServerOptions {
   readonly name: string;
-  /** Named after the server when left out. */
+  /** Derived from the name by default. */
   readonly incarnation?: string;
   readonly floorTokens: number;
-  /** Prompt and answer tokens that one request gets done in a second. */
+  /** Prompt and answer tokens of one request processed per second. */
   readonly tokensPerSecond: number;
   readonly seed: number;
 }
 
-/** A refusal as the router saw it. */
+/** A refusal as sent to the router. */
 export interface RefusalRecord {
   readonly attemptId: string;
   readonly failure: Failure;
   readonly pointer: string;
-  /** When, in virtual milliseconds. */
+  /** Virtual time of the refusal, milliseconds. */
   readonly at: number;
 }
 
@@ -41,7 +41,7 @@
 const MS_PER_SECOND = 1_000;
 const TICK_MS = 50;
 
-/** A gate, its engine, and a record of both. */
+/** A gate, its fake engine, and a record of both. */
 export class GatedServer {
   readonly name: string;
   readonly gate: SidecarGate;
@@ -56,9 +56,9 @@
   onRefuse: (refusal: RefusalRecord) => void = () => undefined;
   /** Called after each dispatch. */
   onDispatch: () => void = () => undefined;
-  /** Called when a run has ended well. */
+  /** Called when a run has completed. */
   onComplete: (offer: Offer) => void = () => undefined;
-  /** Called when the gate wants a claim; grants by default. */
+  /** Called when the gate requests a claim; grants it by default. */
   onClaim: (offer: Offer) => void = offer => {
     this.grant(offer.attemptId);
   };
@@ -87,40 +87,40 @@
     });
   }
 
-  /** Tokens that the engine really runs now. */
+  /** Total tokens of the running attempts. */
   get runningTokens(): number {
     let tokens = 0;
     for (const attemptTokens of this.#running.values()) tokens += attemptTokens;
     return tokens;
   }
 
-  /** Attempts that the engine runs now. */
+  /** Ids of the running attempts. */
   get runningAttempts(): readonly string[] {
     return [...this.#running.keys()];
   }
 
-  /** How many different attempts have arrived. */
+  /** Number of distinct attempts that arrived. */
   get offerCount(): number {
     return this.#offers.size;
   }
 
-  /** Nothing that runs now or later ends any more. */
+  /** Makes the engine hang: no current or later run completes. */
   stall(): void {
     this.#stalled = true;
   }
 
-  /** @param offer an attempt as it arrives from a router */
+  /** @param offer an attempt that arrives from a router */
   offer(offer: Offer): void {
     this.#offers.set(offer.attemptId, offer);
     this.perform(this.gate.offer(offer, this.#timeline.now));
   }
 
-  /** @param attemptId a claim that the ledger granted */
+  /** @param attemptId the attempt whose claim the ledger granted */
   grant(attemptId: string): void {
     this.perform(this.gate.claimGranted(attemptId, this.#timeline.now));
   }
 
-  /** @param attemptId a dispatched attempt that the engine has done */
+  /** @param attemptId a dispatched attempt that the engine completed */
   finish(attemptId: string): void {
     if (!this.#running.delete(attemptId)) return;
     const offer = this.#offerOf(attemptId);
@@ -130,7 +130,7 @@
     this.perform(this.gate.finish(attemptId, {kind: 'done'}, now));
   }
 
-  /** @param actions what the gate wants done */
+  /** @param actions actions of the gate to carry out */
   perform(actions: readonly GateAction[]): void {
     for (const action of actions) {
       this.#handlers[action.kind](action as never);
@@ -138,8 +138,8 @@
   }
 
   /**
-   * @param requestId a request
-   * @returns how often this server ran it
+   * @param requestId id of a request
+   * @returns number of times this server ran the request
    */
   runsOf(requestId: string): number {
     return this.runs.get(requestId) ?? 0;
@@ -147,7 +147,7 @@
 
   #offerOf(attemptId: string): Offer {
     const offer = this.#offers.get(attemptId);
-    if (!offer) throw new Error(`${this.name} never saw ${attemptId}`);
+    if (!offer) throw new Error(`${this.name} never received ${attemptId}`);
     return offer;
   }
 
--- a/packages/lovagepond-scenarios/src/world/offer_utils.ts
+++ b/packages/lovagepond-scenarios/src/world/offer_utils.ts
@@ -1,12 +1,12 @@
 /**
- * Attempts as routers send them, with only what a scenario tells.
+ * Attempts as routers send them, with defaults for most fields.
  */
 import {type Offer} from '@lovagepond/sidecar';
 
 /**
- * @param server the backend server that is meant
- * @param attemptId names the attempt; its request has the same id
- * @param overrides what differs from the usual request
+ * @param server the target backend server
+ * @param attemptId id of the attempt, also the id of its request
+ * @param overrides fields that differ from the defaults
  * @returns the attempt
  */
 export function makeOffer(
--- a/packages/lovagepond-scenarios/src/world/pool.ts
+++ b/packages/lovagepond-scenarios/src/world/pool.ts
@@ -1,6 +1,6 @@
 /**
- * A pool of gated servers, with the pool's mean as control sends it: once a
- * second, and as old as a scenario wants.
+ * A pool of gated servers that receive the pool's mean load once a second, as
+ * control sends it, with a configurable age.
  */
 import {Random} from '@lovagepond/core';
 import {type Offer} from '@lovagepond/sidecar';
@@ -13,7 +13,7 @@
 const RESERVATION_MS = 250;
 const ROUTER_RETRY_MS = 2;
 
-/** What is fixed about a pool. */
+/** Fixed properties of a pool. */
 export interface PoolOptions {
   readonly size: number;
   readonly loadBound: number;
@@ -22,24 +22,24 @@
   readonly meanAgeMs: number;
 }
 
-/** The highest load that an engine was seen to run, against its bound. */
+/** The highest load of any engine relative to its bound. */
 export interface HighestLoad {
   readonly server: string;
   readonly tokens: number;
   readonly allowedTokens: number;
 }
 
-/** Servers, control's mean, and routers that try the next server. */
+/** Servers, control's mean load, and routers that retry elsewhere. */
 export class Pool {
   readonly servers: readonly GatedServer[];
-  /** Requests told to come back, with the wait they were told. */
+  /** Request id to retry time in ms, of requests refused by all servers. */
   readonly refusedRequests = new Map<string, number>();
   highestLoad: HighestLoad = {server: '', tokens: 0, allowedTokens: Infinity};
   readonly #options: PoolOptions;
   readonly #timeline: Timeline;
   readonly #random = new Random(SEED);
   readonly #offers = new Map<string, {offer: Offer; tried: string[]}>();
-  /** Running tokens of each server, at the last three announcements. */
+  /** Running tokens of each server at the last three announcements. */
   #announcedLoads: (readonly number[])[] = [];
 
   constructor(options: PoolOptions, timeline: Timeline) {
@@ -65,25 +65,25 @@
   }
 
   /**
-   * Sends one request as a router does: to its server, then where a refusal
-   * points, then to the others, and back to the caller when all refuse.
+   * Sends one request as a router does: to its server, then to the server named
+   * by a refusal, then to the others. When all refuse, the caller is refused.
    *
    * @param offer the first attempt
-   * @param server where it goes first
+   * @param server the first target
    */
   send(offer: Offer, server: string): void {
     this.#offers.set(offer.requestId, {offer, tried: [server]});
     this.server(server).offer(offer);
   }
 
-  /** Lets idle servers take held requests from loaded ones. */
+  /** Makes servers with room take held requests from other servers. */
   startWorkStealing(): void {
     this.#timeline.repeat(STEAL_INTERVAL_MS, () => {
       for (const thief of this.servers) this.#steal(thief);
     });
   }
 
-  /** True mean of the running tokens, this moment. */
+  /** Current mean of the running tokens, without any delay. */
   get meanTokens(): number {
     const total = this.servers.reduce(
       (sum, server) => sum + server.runningTokens,
@@ -107,7 +107,7 @@
     return server;
   }
 
-  /** Sends the mean of this moment, to arrive when it is of the given age. */
+  /** Sends the current mean, which arrives after `meanAgeMs`. */
   #sendMean(meanAgeMs: number): void {
     const loads = this.servers.map(server => server.runningTokens);
     const meanTokens = this.meanTokens;
@@ -128,8 +128,8 @@
   }
 
   /**
-   * A server knows its own load exactly and the others' from announcements:
-   * the mean to compare with is the highest that these give.
+   * Compares the load with the highest mean that the server may have used: it
+   * has its own current load, and the other loads from announcements.
    */
   #recordLoad(server: GatedServer): void {
     const {loadBound, floorTokens, size} = this.#options;
--- a/packages/lovagepond-scenarios/src/world/redemption.ts
+++ b/packages/lovagepond-scenarios/src/world/redemption.ts
@@ -1,5 +1,5 @@
 /**
- * Calls that may not be repeated: gated servers whose claims go to the ledger
+ * Calls that may not be repeated: gated servers that claim keys in the ledger
  * of a control group, and one service that counts its runs.
  */
 import {
@@ -22,16 +22,16 @@
 import {makeOffer} from './offer_utils.js';
 import {type Timeline} from './timeline.js';
 
-/** One sending of a call, through some router. */
+/** One attempt of a call, sent through any router. */
 export interface CallAttempt {
   readonly key: string;
   readonly server: string;
   readonly offer: Offer;
-  /** The ledger's or the gate's last word to the caller; empty so far. */
+  /** First answer of the ledger or the gate to the caller; empty until then. */
   answer: string;
 }
 
-/** What happens to claims on their way. */
+/** Fault injected between a sidecar and the ledger. */
 export type ClaimFault = 'none' | 'nextAnswerLost' | 'answersLost' | 'delayed';
 
 type ClaimHandlers = {
@@ -51,7 +51,7 @@
   retryMs: 200,
 };
 
-/** Servers of the service, the ledger between them, and all sendings. */
+/** Servers of the service, the ledger that they share, and all attempts. */
 export class Redemption {
   readonly attempts: CallAttempt[] = [];
   claimFault: ClaimFault = 'none';
@@ -74,7 +74,7 @@
 
   /**
    * @param key the idempotency key
-   * @returns how often the service ran it, over all servers and restarts
+   * @returns number of runs of the call on all servers, across restarts
    */
   runsOf(key: string): number {
     const pastRuns = this.#runsBeforeRestart.get(key) ?? 0;
@@ -84,7 +84,7 @@
     );
   }
 
-  /** Attempts that any running server was told to cancel. */
+  /** Number of attempts that the gates of the current servers cancelled. */
   get cancelled(): number {
     const servers = [...this.#servers.values()];
     return servers.reduce((sum, server) => sum + server.cancelled.size, 0);
@@ -92,7 +92,7 @@
 
   /**
    * @param key the idempotency key
-   * @param server where the router sends it
+   * @param server the target backend server
    */
   send(key: string, server: string): void {
     const attemptId = `attempt-${this.attempts.length + 1}`;
@@ -105,13 +105,13 @@
     this.#serverOf(server).offer(offer);
   }
 
-  /** The attempt sent first is delivered once more. */
+  /** Delivers the first attempt once more. */
   redeliverFirst(): void {
     const {server, offer} = this.attemptAt(0);
     this.#serverOf(server).offer(offer);
   }
 
-  /** The caller of the attempt sent first closes its connection. */
+  /** Closes the connection of the caller of the first attempt. */
   callerGone(): void {
     const {server, offer} = this.attemptAt(0);
     const {gate} = this.#serverOf(server);
@@ -119,7 +119,7 @@
     this.#serverOf(server).perform(actions);
   }
 
-  /** A claim that was delayed reaches the leader. */
+  /** Delivers the delayed claim to the leader. */
   deliverDelayedClaim(): void {
     if (!this.#delayed) throw new Error('no claim is delayed');
     this.#control.execute(CLAIM_COMMAND, this.#delayed);
@@ -127,15 +127,15 @@
 
   /**
    * @param index 0 for the first
-   * @returns the sending
+   * @returns the attempt
    */
   attemptAt(index: number): CallAttempt {
     const attempt = this.attempts[index];
-    if (!attempt) throw new Error(`nothing was sent ${index + 1} times`);
+    if (!attempt) throw new Error(`there is no attempt ${index + 1}`);
     return attempt;
   }
 
-  /** @param name a server whose sidecar starts, for the first time or again */
+  /** @param name the server whose sidecar is started or restarted */
   restart(name: string): void {
     const former = this.#servers.get(name);
     if (former) this.#saveRuns(former);
@@ -162,7 +162,7 @@
     return server;
   }
 
-  /** Connects the gate's claims with the ledger by the real decider. */
+  /** Connects the gate to the ledger through the real claim logic. */
   #connectClaims(server: GatedServer): void {
     const claims = new SidecarClaims(CLAIM_SETTINGS);
     const perform = (actions: readonly ClaimAction[]): void => {
@@ -211,7 +211,7 @@
     handlers[action.kind](action as never);
   }
 
-  /** @returns the ledger's answer; undefined when none arrives */
+  /** @returns the ledger's answer; undefined if it is lost or delayed */
   #sendClaim(server: GatedServer, attemptId: string): ClaimAnswer | undefined {
     const claim = this.#makeClaim(server.name, attemptId);
     if (this.claimFault === 'delayed') {
--- a/packages/lovagepond-scenarios/src/world/routed_request.ts
+++ b/packages/lovagepond-scenarios/src/world/routed_request.ts
@@ -1,6 +1,6 @@
 /**
- * One caller's request in a router's real state machine. The scenario plays
- * the sidecars: it says which frames arrive.
+ * One caller's request in a router's real state machine. The scenario replaces
+ * the sidecars: its steps inject the frames.
  */
 import {type Failure, makeFailure} from '@lovagepond/core';
 import {
@@ -14,14 +14,14 @@
 } from '@lovagepond/router';
 import {type Timeline} from './timeline.js';
 
-/** One sending of an attempt. */
+/** One offer of an attempt to a sidecar. */
 export interface SentOffer {
   readonly attempt: Attempt;
   readonly resumeFrom: number;
   readonly freshConnection: boolean;
 }
 
-/** Names another attempt or incarnation than the open one. */
+/** Attempt and incarnation of a frame; those of the open attempt if unset. */
 export interface FrameSource {
   readonly attemptId?: string;
   readonly incarnation?: string;
@@ -39,7 +39,7 @@
 const PIECE_COUNT = 3;
 const REQUEST_ID = 'request-1';
 
-/** What the caller sees, and what the sidecars are sent. */
+/** Records what the caller receives and what the sidecars are sent. */
 export class RoutedRequest {
   readonly offers: SentOffer[] = [];
   readonly revokes: Attempt[] = [];
@@ -47,7 +47,7 @@
   ended = false;
   failure: Failure | undefined;
   answer = '';
-  /** What a sidecar answers to a take-back; undefined leaves it open. */
+  /** The sidecars' answer to a revoke; undefined for no answer. */
   revokeOutcome: RevokeOutcome | undefined;
   readonly #machine: RequestMachine;
   readonly #timeline: Timeline;
@@ -75,14 +75,14 @@
     return last;
   }
 
-  /** @param event what happened, now */
+  /** @param event an event at the current time */
   receive(event: RequestEvent): void {
     this.#perform(this.#machine.receive(event, this.#timeline.now));
   }
 
   /**
-   * @param body what the frame says
-   * @param source whom it comes from; the open attempt by default
+   * @param body content of the frame
+   * @param source its sender; the open attempt by default
    */
   frame(body: FrameBody, source: FrameSource = {}): void {
     const {attempt} = this.lastOffer;
@@ -101,8 +101,8 @@
 
   /**
    * @param number 1 to 3
-   * @param source whom it comes from; the open attempt by default
-   * @param text the whole answer it is a piece of
+   * @param source its sender; the open attempt by default
+   * @param text the whole answer that is split into pieces
    */
   piece(number: number, source: FrameSource = {}, text = this.answer): void {
     const size = Math.ceil(text.length / PIECE_COUNT);
@@ -112,7 +112,7 @@
     this.frame({kind: 'chunk', offset, data, status: 200, contentType}, source);
   }
 
-  /** The end of the whole answer arrives. */
+  /** Injects the end frame of the whole answer. */
   end(): void {
     const totalBytes = Buffer.byteLength(this.answer);
     this.frame({kind: 'end', totalBytes, status: 200, contentType: ''});
@@ -120,7 +120,7 @@
 
   /**
    * @param number 0 to 3
-   * @returns the offset at which that piece ends
+   * @returns the end offset of that piece
    */
   endOfPiece(number: number): number {
     const size = Math.ceil(this.answer.length / PIECE_COUNT);
@@ -161,10 +161,10 @@
     };
   }
 
-  /** Answers a take-back as the scenario said, if it did. */
+  /** Answers the last revoke with `revokeOutcome`, if it is set. */
   answerRevoke(): void {
     const last = this.revokes.at(-1);
-    if (!last) throw new Error('nothing was taken back');
+    if (!last) throw new Error('no attempt was revoked');
     this.#answerRevoke(last.attemptId);
   }
 
--- a/packages/lovagepond-scenarios/src/world/scenario_world.ts
+++ b/packages/lovagepond-scenarios/src/world/scenario_world.ts
@@ -1,5 +1,5 @@
 /**
- * What the steps of one scenario share.
+ * State that the steps of one scenario share.
  */
 import {setWorldConstructor, World} from '@cucumber/cucumber';
 import {ConsensusGroup} from './consensus_group.js';
@@ -15,7 +15,7 @@
 const FLOOR_TOKENS = 4_000;
 const SEED = 7;
 
-/** One scenario's virtual time and whatever its steps have set up. */
+/** Virtual time of one scenario and the test doubles that its steps create. */
 export class ScenarioWorld extends World {
   readonly timeline = new Timeline();
   readonly #servers = new Map<string, GatedServer>();
@@ -27,21 +27,21 @@
   #subscribers: Subscribers | undefined;
   #engines: EngineList | undefined;
 
-  /** The pool that an earlier step set up. */
+  /** The pool that an earlier step created. */
   get pool(): Pool {
-    if (!this.#pool) throw new Error('the scenario has no pool yet');
+    if (!this.#pool) throw new Error('no step created a pool');
     return this.#pool;
   }
 
-  /** The caller's request that an earlier step made. */
+  /** The caller's request that an earlier step created. */
   get request(): RoutedRequest {
-    if (!this.#request) throw new Error('the scenario has no request yet');
+    if (!this.#request) throw new Error('no step created a request');
     return this.#request;
   }
 
   /** The control members that an earlier step started. */
   get control(): ControlGroup {
-    if (!this.#control) throw new Error('the scenario has no control yet');
+    if (!this.#control) throw new Error('no step started control members');
     return this.#control;
   }
 
@@ -51,15 +51,15 @@
     return this.#control;
   }
 
-  /** The control hosts that agree by real consensus. */
+  /** The control hosts, which run the real consensus core. */
   get consensus(): ConsensusGroup {
-    if (!this.#consensus) throw new Error('the scenario has no hosts yet');
+    if (!this.#consensus) throw new Error('no step started control hosts');
     return this.#consensus;
   }
 
   /**
    * @param names the hosts' names
-   * @returns the hosts, just started
+   * @returns the started hosts
    */
   createConsensus(names: readonly string[]): ConsensusGroup {
     this.#consensus = new ConsensusGroup(names, this.timeline);
@@ -68,23 +68,23 @@
 
   /** Routers and sidecars that subscribe to control. */
   get subscribers(): Subscribers {
-    if (!this.#subscribers) throw new Error('nobody is subscribed yet');
+    if (!this.#subscribers) throw new Error('no step added subscribers');
     return this.#subscribers;
   }
 
-  /** @returns the subscribers, none so far */
+  /** @returns an empty set of subscribers */
   createSubscribers(): Subscribers {
     this.#subscribers = new Subscribers(this.control, this.timeline);
     return this.#subscribers;
   }
 
-  /** Engines that announce themselves. */
+  /** Engines that announce themselves to control. */
   get engines(): EngineList {
-    if (!this.#engines) throw new Error('no engine announces itself yet');
+    if (!this.#engines) throw new Error('no step started engines');
     return this.#engines;
   }
 
-  /** @returns the engines, none so far */
+  /** @returns an empty list of engines */
   createEngines(): EngineList {
     this.#engines = new EngineList(this.timeline);
     return this.#engines;
@@ -92,30 +92,30 @@
 
   /** The service whose calls may not be repeated. */
   get redemption(): Redemption {
-    if (!this.#redemption) throw new Error('the scenario has no service yet');
+    if (!this.#redemption) throw new Error('no step started the service');
     return this.#redemption;
   }
 
-  /** @param servers names of the servers that it runs at */
+  /** @param servers names of the backend servers that run the service */
   createRedemption(servers: readonly string[]): void {
     this.#redemption = new Redemption(servers, this.control, this.timeline);
   }
 
-  /** @returns a caller's request, already given to the first server */
+  /** @returns a caller's request, already sent to the first server */
   createRequest(): RoutedRequest {
     this.#request = new RoutedRequest(this.timeline);
     return this.#request;
   }
 
-  /** @param options what is fixed about the pool */
+  /** @param options size, load bound and timing of the pool */
   createPool(options: PoolOptions): void {
     this.#pool = new Pool(options, this.timeline);
   }
 
   /**
    * @param name a backend server's name
-   * @returns that server, of the pool if there is one; else made alone when it
-   *     is named first
+   * @returns the pool's server of that name; without a pool, a server of its
+   *     own, created on first use
    */
   server(name: string): GatedServer {
     if (this.#pool) return this.#pool.server(name);
@@ -132,7 +132,7 @@
 
   /**
    * @param name a backend server's name
-   * @returns that server, whose sidecar has heard nothing of its pool
+   * @returns a new server whose sidecar has received no mean of its pool
    */
   createServerWithoutMean(name: string): GatedServer {
     const options = {
--- a/packages/lovagepond-scenarios/src/world/subscribers.ts
+++ b/packages/lovagepond-scenarios/src/world/subscribers.ts
@@ -1,7 +1,7 @@
 /**
- * Routers and sidecars that hold a configuration by their real deciders, and
- * subscribe to control members by the real feeds. Connections are fakes: one
- * can go silent, or end when its member stops.
+ * Routers and sidecars with their real configuration state, subscribed to
+ * control members through the real feeds. Connections are fakes, which can go
+ * silent or end when their member stops.
  */
 import {
   type Configuration,
@@ -23,7 +23,7 @@
 import {type ControlGroup, type GroupMember} from './control_group.js';
 import {type Timeline} from './timeline.js';
 
-/** What a router or a sidecar does with configurations. */
+/** Configuration state of a router or a sidecar. */
 interface RevisionHolder {
   revision(): number;
   install(configuration: Configuration): void;
@@ -64,7 +64,7 @@
   sidecar: makeSidecarHolder,
 } as const;
 
-/** What a subscriber is. */
+/** Role of a subscriber. */
 export type SubscriberRole = keyof typeof HOLDER_FACTORIES;
 
 const TICK_MS = 100;
@@ -74,9 +74,9 @@
 export class SubscribedNode {
   readonly name: string;
   readonly holder: RevisionHolder;
-  /** Configurations with content that arrived. */
+  /** Number of received updates that carried a whole configuration. */
   received = 0;
-  /** The open connection has lost track of its other end. */
+  /** True when the open connection delivers nothing, without an error. */
   isSilent = false;
   #lastUpdateAt = 0;
   #member = -1;
@@ -101,7 +101,7 @@
     });
   }
 
-  /** @param offset which member is asked first */
+  /** @param offset index of the member to subscribe to, modulo their number */
   connect(offset: number): void {
     this.#close();
     this.isSilent = false;
@@ -152,7 +152,7 @@
   }
 }
 
-/** All subscribers, and the hubs of the members. */
+/** All subscribers, and the subscription hub of each control member. */
 export class Subscribers {
   readonly nodes: SubscribedNode[] = [];
   readonly #control: ControlGroup;
@@ -175,9 +175,9 @@
   }
 
   /**
-   * @param role what they are
-   * @param count how many of them start now
-   * @returns the new nodes, spread over the members
+   * @param role role of the new nodes
+   * @param count number of nodes to start
+   * @returns the new nodes, subscribed to the members in turn
    */
   add(role: SubscriberRole, count: number): readonly SubscribedNode[] {
     const added = Array.from({length: count}, (_, index) => {
@@ -192,11 +192,11 @@
   }
 
   /**
-   * @param offset which member, counted round
-   * @param subscriber who subscribes
+   * @param offset index of the member, modulo their number
+   * @param subscriber the subscribing node
    * @param onUpdate called with each update
    * @param onEnd called when the member ends the subscription
-   * @returns a function that ends it
+   * @returns a function that ends the subscription
    */
   subscribe(
     offset: number,
@@ -217,7 +217,7 @@
     return remove;
   }
 
-  /** A majority is asked; a round that fails is repeated. */
+  /** Confirms the revision while a majority runs; the next tick retries. */
   #confirm(): void {
     if (!this.#control.hasMajority) return;
     const {machine} = this.#control.leader;
--- a/packages/lovagepond-scenarios/src/world/timeline.ts
+++ b/packages/lovagepond-scenarios/src/world/timeline.ts
@@ -1,6 +1,6 @@
 /**
- * Virtual time: events run in the order of their times, and those of one time
- * in the order in which they were scheduled.
+ * Virtual time: events run in the order of their times, and events of the same
+ * time in the order in which they were scheduled.
  */
 
 interface TimelineEvent {
@@ -9,20 +9,20 @@
   readonly run: () => void;
 }
 
-/** The present time of one scenario, in milliseconds from 0. */
+/** Clock and event queue of one scenario; time starts at 0 milliseconds. */
 export class Timeline {
   #now = 0;
   #order = 0;
   readonly #events: TimelineEvent[] = [];
 
-  /** Present time, milliseconds. */
+  /** Current virtual time, milliseconds. */
   get now(): number {
     return this.#now;
   }
 
   /**
    * @param delayMs milliseconds from now
-   * @param run what happens then
+   * @param run called at that time
    */
   schedule(delayMs: number, run: () => void): void {
     const at = this.#now + delayMs;
@@ -33,7 +33,7 @@
 
   /**
    * @param intervalMs milliseconds between two runs
-   * @param run what happens each time, for the rest of the scenario
+   * @param run called each time, until the scenario ends
    */
   repeat(intervalMs: number, run: () => void): void {
     this.schedule(intervalMs, () => {
@@ -42,7 +42,7 @@
     });
   }
 
-  /** @param durationMs milliseconds to let pass */
+  /** @param durationMs milliseconds by which the time advances */
   advance(durationMs: number): void {
     const until = this.#now + durationMs;
     for (;;) {
