--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -1,8 +1,8 @@
 import js from '@eslint/js';
 import tseslint from 'typescript-eslint';
 
-// The Google TypeScript Style Guide's rules that a linter can check. Layout is
-// left to prettier.
+// Rules of the Google TypeScript Style Guide that a linter can check. Prettier
+// formats the code.
 export default tseslint.config(
   {ignores: ['dist/', 'target/', 'reports/', 'packages/*/src/generated/']},
   js.configs.recommended,
@@ -63,7 +63,7 @@
     },
   },
   {
-    // The main entry of undici makes gateways start later: see http_client.ts.
+    // The main entry of undici slows down gateway starts: see http_client.ts.
     files: ['packages/lovagepond-gateway/src/*.ts'],
     rules: {
       '@typescript-eslint/no-restricted-imports': [
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -1,6 +1,6 @@
 // Bundles the program to dist/lovagepond.cjs and, unless --bundle-only is
-// given, makes the single executable dist/lovagepond from it and sends one
-// chat through it.
+// given, builds the single executable application dist/lovagepond from it and
+// checks it with one chat.
 import {execFileSync} from 'node:child_process';
 import {chmodSync, copyFileSync, mkdirSync, writeFileSync} from 'node:fs';
 import {build} from 'esbuild';
@@ -30,7 +30,7 @@
   });
 }
 
-/** Makes the single executable out of the bundle and this node. */
+/** Builds the single executable from the bundle and the running node. */
 function makeBinary() {
   const config = {
     main: BUNDLE,
@@ -50,7 +50,7 @@
   );
 }
 
-/** Runs the binary itself through one chat; a failure fails the build. */
+/** Runs the binary's self-check with one chat; a failure fails the build. */
 function checkBinary() {
   execFileSync(BINARY, ['standalone', '--self-check'], {
     stdio: 'inherit',
--- a/scripts/build_platform.mjs
+++ b/scripts/build_platform.mjs
@@ -1,4 +1,4 @@
-// Bundles the program as the platform runs it: target/lovagepond.cjs.
+// Bundles the program that the platform runs: target/lovagepond.cjs.
 import {execFileSync} from 'node:child_process';
 import {rmSync, writeFileSync} from 'node:fs';
 import {build} from 'esbuild';
@@ -9,10 +9,10 @@
 const REHEARSAL_LIMIT_MS = 60_000;
 
 /**
- * Without a rehearsal, on a host without free ports, the program still runs: it
- * starts more slowly.
+ * Runs the processes once to fill their code caches. A failed rehearsal, for
+ * example on a host without free ports, only makes the program start slower.
  *
- * @param {readonly string[]} args arguments of the processes to be rehearsed
+ * @param {readonly string[]} args arguments for the rehearsed processes
  */
 function rehearse(args) {
   try {
@@ -21,7 +21,7 @@
       timeout: REHEARSAL_LIMIT_MS,
     });
   } catch (err) {
-    console.error(`no rehearsal: ${err.message}`);
+    console.error(`rehearsal failed: ${err.message}`);
   }
 }
 
@@ -33,7 +33,7 @@
 const {outputFiles} = await build({
   ...BUNDLE_OPTIONS,
   sourcemap: false,
-  // Not in the text, which must be ASCII.
+  // Kept out of the program text, which must be ASCII.
   legalComments: 'external',
   outfile: 'target/lovagepond.cjs',
   minifyWhitespace: true,
--- a/scripts/bundle_options.mjs
+++ b/scripts/bundle_options.mjs
@@ -1,6 +1,6 @@
-// How the bundles that run from the source tree are made.
+// Common esbuild options of the bundles that run from the source tree.
 
-/** Options for esbuild, beside the entry point and the file to write. */
+/** esbuild options without the entry point and the output file. */
 export const BUNDLE_OPTIONS = Object.freeze({
   bundle: true,
   platform: 'node',
--- a/scripts/fleet_processes.d.mts
+++ b/scripts/fleet_processes.d.mts
@@ -1,20 +1,20 @@
 /** One process of a fleet. */
 export interface FleetProcess {
   readonly name: string;
-  /** What it has written to both of its outputs. */
+  /** Everything written to stdout and stderr so far. */
   readonly output: string;
-  /** The settings file as parsed; none for a stand-in. */
+  /** The parsed settings file; undefined for a fake backend server. */
   readonly settings?: Readonly<
     Record<string, Readonly<Record<string, string>>>
   >;
-  /** Path of that file. */
+  /** Path of the settings file. */
   readonly file?: string;
-  /** It has not ended yet. */
+  /** True until the process exits. */
   readonly running: boolean;
-  /** Its exit code, once it has ended. */
+  /** Resolves with the exit code; null when a signal ended the process. */
   readonly exited: Promise<number | null>;
   signal(signal: NodeJS.Signals): void;
-  /** Resolves once the process has written the text. */
+  /** Resolves when the output contains the text. */
   printed(text: string): Promise<void>;
   end(signal: NodeJS.Signals): Promise<number | null>;
 }
@@ -30,22 +30,22 @@
     name: string,
   ): Promise<{role: string; state: Readonly<Record<string, unknown>>}>;
   metrics(name: string): Promise<string>;
-  /** Starts an ended process again; `waits` until it is ready by default. */
+  /** Restarts an exited process; by default `waits` until it is ready. */
   restart(name: string, options?: {readonly waits?: boolean}): Promise<void>;
   outputs(): string[];
   end(): Promise<void>;
 }
 
-/** What a caller asks. */
+/** One chat request of a caller. */
 export interface ChatQuestion {
   readonly workspace: string;
   readonly chat: string;
   readonly messages: readonly {role: string; content: string}[];
-  /** Length of the answer; the engine's own default without it. */
+  /** Maximum length of the answer; by default chosen by the engine. */
   readonly maxTokens?: number;
 }
 
-/** What a caller gets. */
+/** The answer to a chat request. */
 export interface ChatAnswer {
   readonly status: number;
   readonly text: string;
--- a/scripts/fleet_processes.mjs
+++ b/scripts/fleet_processes.mjs
@@ -1,5 +1,5 @@
-// Starts the processes of a set of settings files (examples/*) on free
-// loopback ports, with stand-ins for the backend servers, and ends them by id.
+// Starts the processes of a set of settings files (examples/*) on free loopback
+// ports, with fake backend servers, and stops them by process id.
 import {spawn} from 'node:child_process';
 import {once} from 'node:events';
 import {
@@ -43,8 +43,8 @@
 }
 
 /**
- * Ports below the range from which the system takes those of outgoing
- * connections: one of that range may be in use again a moment later.
+ * Finds free ports below the system's range for outgoing connections, as a free
+ * port of that range may be in use again a moment later.
  *
  * @param {number} count
  * @returns {Promise<number[]>}
@@ -62,7 +62,7 @@
 
 /**
  * @param {() => Promise<boolean>} condition
- * @param {string} what for the error
+ * @param {string} what subject of the error message
  * @param {number} deadline
  */
 async function waitUntil(condition, what, deadline) {
@@ -80,7 +80,7 @@
   );
 }
 
-/** One process and its settings. */
+/** One process with its settings and output. */
 class FleetProcess {
   constructor(name, args, {file, settings} = {}) {
     this.name = name;
@@ -100,7 +100,7 @@
     }
   }
 
-  /** @returns {boolean} it has not ended yet */
+  /** @returns {boolean} whether the process has not exited yet */
   get running() {
     const {exitCode, signalCode} = this.child;
     return exitCode === null && signalCode === null;
@@ -111,12 +111,12 @@
     this.child.kill(signal);
   }
 
-  /** @param {string} text @returns resolves once the process has written it */
+  /** @param {string} text @returns resolves when the output has the text */
   async printed(text) {
     while (!this.output.includes(text)) {
       await Promise.race([once(this.child.stdout, 'data'), this.exited]);
       if (this.child.exitCode !== null) {
-        throw new Error(`${this.name} ended: ${this.output}`);
+        throw new Error(`${this.name} exited early: ${this.output}`);
       }
     }
   }
@@ -167,8 +167,8 @@
   }
 
   /**
-   * Starts every process, puts the set's configuration in force and waits
-   * until all are ready.
+   * Starts every process, applies the set's configuration and waits until all
+   * processes are ready.
    */
   async start(set) {
     const entries = await this.prepare(set);
@@ -195,11 +195,11 @@
   }
 
   /**
-   * A router may be ready while it still learns of backend servers; a chat
-   * would then find its context cold after the next one has joined.
+   * A router may be ready before it lists every backend server. When another
+   * server joins, chats are placed anew and find their context cold.
    *
-   * @returns {Promise<boolean>} every backend server is ready, and every
-   *     router has heard of it
+   * @returns {Promise<boolean>} whether all sidecars list their peers, and
+   *     control and all routers have the same membership version
    */
   async #hasConverged() {
     const sidecars = await Promise.all(
@@ -249,7 +249,7 @@
     await Promise.all(waiting);
   }
 
-  /** @returns {string[]} names of the processes of a role */
+  /** @returns {string[]} names of the processes with a role */
   namesOf(role) {
     return [...this.#processes.values()]
       .filter(({settings}) => settings?.process.role === role)
@@ -261,12 +261,12 @@
     return this.#processes.get(name);
   }
 
-  /** @returns {string} base URL of a router towards callers */
+  /** @returns {string} base URL of a router for callers */
   callersUrl(name) {
     return `http://${this.get(name).settings.callers.listen}`;
   }
 
-  /** Runs one `ctl` command; it is told every control member, dead or not. */
+  /** Runs one `ctl` command with every control member, running or not. */
   async ctl(...args) {
     const urls = this.namesOf('control')
       .map(name => this.get(name).settings.administration.listen)
@@ -283,7 +283,7 @@
     return JSON.parse(process.output);
   }
 
-  /** Starts a process that has ended again, and waits until it is ready. */
+  /** Restarts an exited process and by default waits until it is ready. */
   async restart(name, {waits = true} = {}) {
     const {args, file, settings} = this.get(name);
     this.#run(name, args, {file, settings});
@@ -292,14 +292,14 @@
     await waitUntil(() => isOk(url), name, Date.now() + READY_LIMIT_MS);
   }
 
-  /** @returns {string[]} what each process has written */
+  /** @returns {string[]} the output of each process */
   outputs() {
     return [...this.#processes.values()].map(
       ({name, output}) => `--- ${name}\n${output}`,
     );
   }
 
-  /** Ends what still runs, by id, and removes the folder. */
+  /** Stops all processes by their ids and removes the folder. */
   async end() {
     const processes = [...this.#processes.values()];
     await Promise.all(processes.map(process => process.end('SIGKILL')));
--- a/scripts/generate_protocol.mjs
+++ b/scripts/generate_protocol.mjs
@@ -27,8 +27,8 @@
   stdio: 'inherit',
 });
 
-// The declarations name the "long" package even though --force-number keeps
-// it out of every field: a bare type stands in for it.
+// The declarations import the "long" package although no field uses it with
+// --force-number. An empty type replaces the import.
 const types = `${OUT}/lovagepond.d.ts`;
 const text = readFileSync(types, 'utf8');
 writeFileSync(
--- a/scripts/measure.mjs
+++ b/scripts/measure.mjs
@@ -1,11 +1,11 @@
-// Bundles the measures and runs them: `npm run measure -- [name ...]`.
+// Bundles the measurements and runs them: `npm run measure -- [name ...]`.
 import {execFileSync} from 'node:child_process';
 import {build} from 'esbuild';
 import {BUNDLE_OPTIONS} from './bundle_options.mjs';
 
 const PRODUCT = 'packages/lovagepond-measure/src/measure_main.ts';
 
-/** Measures of the program as the platform runs it, each a program. */
+/** Measurements of the bundle that the platform runs; name to entry point. */
 const PLATFORM = {start: 'platform/src/start_measure.ts'};
 
 /** @param {string} entry @param {readonly string[]} args */
--- a/scripts/platform_program.d.mts
+++ b/scripts/platform_program.d.mts
@@ -1,4 +1,4 @@
-/** See platform_program.mjs. */
+/** Writes a bundled program and its code caches; see platform_program.mjs. */
 export function writeProgram(program: {
   readonly folder: string;
   readonly loader: string;
--- a/scripts/platform_program.mjs
+++ b/scripts/platform_program.mjs
@@ -1,37 +1,37 @@
-// Writes a bundled program so that each role starts with the code that V8
-// compiled from it beforehand: compiling it anew is a third of a start.
+// Writes a bundled program together with a V8 code cache for each role, as
+// compiling the program takes a third of its start time.
 //
-// V8 believes compiled code without looking: of its source it compares nothing
-// but the length, and of the code itself no checksum. Code of another program of
-// the same length runs in its place, and of 60 files with one bit turned 4 ended
-// the process by a segmentation fault, 9 by a trap and 1 never. So compiled code
-// stands under the name of the text that it was made from, appears whole or not
-// at all, and is never written again.
+// V8 hardly validates a code cache: it compares only the length of the source
+// and no checksum of the code. It would run the cache of another program of the
+// same length. Of 60 cache files with one flipped bit 4 caused a segmentation
+// fault, 9 a trap and 1 a process that never ended. So the name of a cache file
+// holds the digest of its source text, and the file is renamed into place once
+// it is complete and never overwritten.
 import {execFileSync} from 'node:child_process';
 import {createHash} from 'node:crypto';
 import {existsSync, mkdirSync, renameSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
 
-/** Hexadecimal digits of the text's digest in the files' names. */
+/** Number of hexadecimal digits of the text's digest in file names. */
 const DIGEST_DIGITS = 16;
 
-/** How the program ends when it isn't told its settings file. */
+/** Exit code of the program when it gets no settings file. */
 const USAGE_EXIT_CODE = 2;
 
-/** Second argument of a process that leaves its compiled code as it ends. */
+/** Second argument: the process writes its code cache when it exits. */
 const WRITE_CACHE = '--write-cache';
 
-/** What CommonJS puts around a module, part of the text that is compiled. */
+/** The CommonJS module wrapper, which is part of the compiled text. */
 const WRAPPER = [
   '(function (exports, require, module, __filename, __dirname) {',
   '\n});',
 ];
 
 /**
- * The text is read as Latin-1, which V8 takes as it is: from UTF-8, or with a
- * wrapper put around it at the start, each start copies some megabytes.
+ * The loader reads the text as Latin-1, which V8 uses without a copy. Decoding
+ * UTF-8 or adding the wrapper would copy some megabytes at each start.
  *
- * @param {string} program the file name of the program's text
+ * @param {string} program file name of the program's text
  */
 function makeLoader(program) {
   return `'use strict';
@@ -55,7 +55,7 @@
 
 /**
  * @param {string} text a CommonJS module
- * @returns {string} the text to compile, each character a byte
+ * @returns {string} the wrapped ASCII text to compile
  */
 function wrapText(text) {
   const nonAscii = /\P{ASCII}/u.exec(text);
@@ -66,7 +66,7 @@
   return WRAPPER.join(text);
 }
 
-/** Processes that start meanwhile find the old file or the new one, whole. */
+/** A process that starts meanwhile reads either the old or the new file. */
 function writeAtomically(path, text) {
   const temporaryPath = `${path}.${process.pid}`;
   writeFileSync(temporaryPath, text);
@@ -75,14 +75,14 @@
 
 /**
  * @param {object} program
- * @param {string} program.folder where the files go
+ * @param {string} program.folder output folder
  * @param {string} program.loader name of the file that starts the program
  * @param {string} program.text the program as one CommonJS module
- * @param {readonly string[]} program.roles first arguments, for each of which
- *     compiled code is kept apart; alone they print the usage and end
- * @param {(args: readonly string[]) => void} [program.rehearse] runs both roles as
- *     in production with the arguments given, by which each leaves its compiled
- *     code as it ends
+ * @param {readonly string[]} program.roles first arguments, each with a code
+ *     cache of its own; a role without further arguments prints the usage
+ * @param {(args: readonly string[]) => void} [program.rehearse] runs both
+ *     roles as in production with the given arguments, which make each process
+ *     write its code cache when it exits
  */
 export function writeProgram({folder, loader, text, roles, rehearse}) {
   mkdirSync(folder, {recursive: true});
--- a/scripts/run_scenarios.mjs
+++ b/scripts/run_scenarios.mjs
@@ -1,4 +1,4 @@
-// Bundles the steps and runs the scenarios, with a JSON report when asked:
+// Bundles the steps and runs the scenarios, optionally with a JSON report:
 // run_scenarios.mjs [REPORT.json] [--name TEXT]
 import {spawnSync} from 'node:child_process';
 import {build} from 'esbuild';
--- a/scripts/run_tests.mjs
+++ b/scripts/run_tests.mjs
@@ -1,6 +1,6 @@
-// Builds the bundle, runs the unit tests and the scenarios, and ends with one
-// plain line "N passed, N failed" counted from the runners' JSON reports.
-// Tests listed in KNOWN-RED.txt may fail; one that passes must leave the list.
+// Builds the bundles, runs the unit tests and the scenarios, and prints as its
+// last line "N passed, N failed", counted from the runners' JSON reports. Tests
+// listed in KNOWN-RED.txt may fail; a listed test that passes fails the run.
 import {spawnSync} from 'node:child_process';
 import {existsSync, mkdirSync, readFileSync, rmSync} from 'node:fs';
 
@@ -83,9 +83,9 @@
   console.log(`listed in ${KNOWN_RED} but not failing: ${name}`);
 }
 if (known.length > MAX_KNOWN_RED) console.log(`${KNOWN_RED}: over three lines`);
-if (incomplete) console.log('a build step or a test runner did not finish');
+if (incomplete) console.log('a build failed or a test runner wrote no report');
 const runnerFailed = (unit !== 0 || scenarios !== 0) && failed.length === 0;
-if (runnerFailed) console.log('a runner failed outside of its tests');
+if (runnerFailed) console.log('a test runner failed although no test did');
 const hasFailed =
   incomplete ||
   runnerFailed ||
--- a/scripts/test_safeguards.mjs
+++ b/scripts/test_safeguards.mjs
@@ -1,7 +1,7 @@
-// Shows that each listed proof fails without its safeguard: applies the small
-// edits of the lists one at a time to a scratch copy, runs just the named
-// scenario or unit test there, and demands that it runs and fails. Arguments
-// keep to the proofs whose names hold one of them.
+// Mutation check: applies the edits of each list entry, which remove one
+// safeguard, to a scratch copy, runs only the named scenario or unit test
+// there, and requires that it runs and fails. Arguments select entries whose
+// test name contains one of them.
 import {spawnSync} from 'node:child_process';
 import {
   cpSync,
@@ -30,14 +30,14 @@
 /** @typedef {{file: string, find: string, replace: string}} Edit */
 
 /**
- * One entry names either `scenario`, or `test` with its `testFile`; its edits
- * are made together, as some safeguards stand in two places.
+ * An entry names either `scenario`, or `test` with its `testFile`. Its edits
+ * are applied together, as some safeguards are in two places.
  *
  * @typedef {{edits: Edit[], scenario?: string, test?: string,
  *   testFile?: string}} Safeguard
  */
 
-/** Links the libraries, and the project's own packages to their copies. */
+/** Links the dependencies, and the project's packages to their copies. */
 function linkModules(copy) {
   const modules = join(copy, 'node_modules');
   mkdirSync(join(modules, SCOPE), {recursive: true});
@@ -66,7 +66,7 @@
   return copy;
 }
 
-/** @param {string} text @returns {string} a pattern that matches just it */
+/** @param {string} text @returns {string} a pattern for exactly this text */
 function makeExactPattern(text) {
   return `^${text.replace(/[.*+?^${}()|[\]\\]/g, '\\$&')}$`;
 }
@@ -88,14 +88,14 @@
     }));
 }
 
-/** @returns {boolean[]} for each scenario of that name, whether it passed */
+/** @returns {boolean[]} for each scenario with the name, whether it passed */
 function runScenario(copy, name) {
   return runScenarios(copy, ['--name', makeExactPattern(name)]).map(
     scenario => scenario.passed,
   );
 }
 
-/** @returns {boolean[]} for each unit test of that name, whether it passed */
+/** @returns {boolean[]} for each unit test with the name, whether it passed */
 function runUnitTest(copy, file, name) {
   const args = ['run', file, '-t', name, '--reporter=json'];
   const vitest = join(copy, 'node_modules/.bin/vitest');
@@ -118,7 +118,7 @@
   return runUnitTest(copy, entry.testFile, entry.test);
 }
 
-/** @param {Edit} edit @returns {boolean} whether it could be made */
+/** @param {Edit} edit @returns {boolean} whether its text occurs once */
 function applyEdit(copy, {file, find, replace}) {
   const path = join(copy, file);
   const source = readFileSync(path, 'utf8');
@@ -132,8 +132,8 @@
 
 /**
  * @param {Safeguard} entry
- * @param {Outcome[]} scenarios how all scenarios end without any edit
- * @returns {boolean[]} for each proof of the name, whether it passes
+ * @param {Outcome[]} scenarios results of all scenarios without edits
+ * @returns {boolean[]} for each test with the name, whether it passes
  */
 function findBaseline(copy, entry, scenarios) {
   if (!entry.scenario) return runTest(copy, entry);
@@ -144,17 +144,17 @@
 
 /**
  * @param {Safeguard} entry
- * @param {Outcome[]} scenarios how all scenarios end without any edit
- * @returns {string} empty when the proof holds
+ * @param {Outcome[]} scenarios results of all scenarios without edits
+ * @returns {string} the problem; empty if the test detects the mutation
  */
 function checkEntry(copy, entry, scenarios) {
   const baseline = findBaseline(copy, entry, scenarios);
-  if (baseline.length !== 1) return `${baseline.length} proofs have this name`;
+  if (baseline.length !== 1) return `${baseline.length} tests have this name`;
   if (!baseline[0]) return 'fails with its safeguard in place';
   const applied = entry.edits.every(edit => applyEdit(copy, edit));
   const mutated = applied ? runTest(copy, entry) : [];
   for (const {file} of entry.edits) cpSync(file, join(copy, file));
-  if (!applied) return 'the text to replace does not stand there exactly once';
+  if (!applied) return 'the text to replace does not occur exactly once';
   if (mutated.length !== 1) return 'did not run without its safeguard';
   return mutated[0] ? 'passes without its safeguard' : '';
 }
--- a/vitest.config.ts
+++ b/vitest.config.ts
@@ -1,6 +1,6 @@
 import {defineConfig} from 'vitest/config';
 
-// Node 20: forks keep native handles of one test file out of the next.
+// Forks isolate the native handles of test files from each other on Node 20.
 export default defineConfig({
   test: {
     include: [
