--- a/packages/lovagepond-scenarios/features/second_host.feature
+++ b/packages/lovagepond-scenarios/features/second_host.feature
@@ -1,9 +1,9 @@
 Feature: A second host can be lost right after a repair
   A control host's disk is lost, a new host replaces it, and at once another
-  host is lost for good. If the new host counted as a voter before it held them,
-  an accepted change or a granted claim would be lost. So it becomes a voter
-  only after it has caught up, and a host with an emptied disk never votes under
-  its former identity.
+  host is lost for good. If the new host were a voter before it held the whole
+  log, an accepted change or a granted claim could be lost. So it becomes a
+  voter only after it has caught up, and a host with an emptied disk never votes
+  under its former identity.
 
   Background:
     Given the control hosts "control-1, control-2, control-3" form a consensus group
