--- a/packages/lovagepond-scenarios/src/steps/gate_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/gate_steps.ts
@@ -11,10 +11,10 @@
 
 const MS_PER_SECOND = 1_000;
 const SERVER = 'engine-1';
-/** Fills the floor, so that whatever follows is held. */
+/** Uses up the floor, so that later requests are held. */
 const FILLING_TOKENS = 4_000;
 
-const revokes = new WeakMap<ScenarioWorld, Map<string, string>>();
+const revokeOutcomes = new WeakMap<ScenarioWorld, Map<string, string>>();
 
 Given<ScenarioWorld>(
   '{word} runs request {string} and holds request {string}',
@@ -26,7 +26,7 @@
   },
 );
 
-Given<ScenarioWorld>('{word} has taken nothing yet', function (name) {
+Given<ScenarioWorld>('{word} has received no request yet', function (name) {
   assert.equal(this.server(name).runs.size, 0);
 });
 
@@ -42,7 +42,7 @@
 });
 
 Given<ScenarioWorld>(
-  'the workspace {string} may have {int} tokens outstanding',
+  'the workspace {string} is limited to {int} outstanding tokens',
   function (workspace, maxQueuedTokens) {
     const share = {weight: 1, priority: 5, maxQueuedTokens};
     this.server(SERVER).gate.configure(
@@ -56,16 +56,16 @@
   },
 );
 
-When<ScenarioWorld>('the router takes {string} back', function (attemptId) {
+When<ScenarioWorld>('the router revokes {string}', function (attemptId) {
   const server = this.server(SERVER);
   const {outcome, actions} = server.gate.revoke(attemptId, this.timeline.now);
-  server.apply(actions);
-  const known = revokes.get(this) ?? new Map<string, string>();
-  revokes.set(this, known.set(attemptId, outcome));
+  server.perform(actions);
+  const outcomes = revokeOutcomes.get(this) ?? new Map<string, string>();
+  revokeOutcomes.set(this, outcomes.set(attemptId, outcome));
 });
 
 When<ScenarioWorld>(
-  '{word} finishes {string} in the same instant',
+  '{word} finishes {string} at the same moment',
   function (name, attemptId) {
     this.server(name).finish(attemptId);
   },
@@ -80,22 +80,22 @@
   function (count, workspace, name) {
     const server = this.server(name);
     for (let index = 0; index < count; index++) {
-      const id = `${workspace}-${server.offersSeen}`;
+      const id = `${workspace}-${server.offerCount}`;
       server.offer(makeOffer(name, id, {workspace, tokens: FILLING_TOKENS}));
     }
   },
 );
 
 When<ScenarioWorld>(
-  '{word} starts to leave with a limit of {int} second(s)',
+  '{word} starts draining with a time limit of {int} second(s)',
   function (name, seconds) {
     const server = this.server(name);
     const limitMs = seconds * MS_PER_SECOND;
-    server.apply(server.gate.startDraining(this.timeline.now, limitMs));
+    server.perform(server.gate.startDraining(this.timeline.now, limitMs));
   },
 );
 
-When<ScenarioWorld>('{word} is taken back into service', function (name) {
+When<ScenarioWorld>('{word} is returned to service', function (name) {
   this.server(name).gate.resume();
 });
 
@@ -103,29 +103,29 @@
   return server.refusals.filter(refusal => refusal.attemptId === attemptId);
 }
 
-Then<ScenarioWorld>('{string} was answered as not run', function (attemptId) {
+Then<ScenarioWorld>('{string} was reported as not run', function (attemptId) {
   const refusals = findRefusals(this.server(SERVER), attemptId);
-  const revoked = revokes.get(this)?.get(attemptId) === 'revoked';
-  assert.ok(refusals.length > 0 || revoked, 'it was not answered');
+  const revoked = revokeOutcomes.get(this)?.get(attemptId) === 'revoked';
+  assert.ok(refusals.length > 0 || revoked, 'no refusal, and not revoked');
   for (const {failure} of refusals) {
     assert.equal(answerFor(failure.kind).disposition, DISPOSITION.NOT_RUN);
   }
 });
 
 Then<ScenarioWorld>(
-  '{string} was answered as not run within {int} seconds',
+  '{string} was reported as not run within {int} seconds',
   function (attemptId, seconds) {
     const [refusal] = findRefusals(this.server(SERVER), attemptId);
-    assert.ok(refusal, 'it was not answered');
+    assert.ok(refusal, 'it was not refused');
     assert.ok(refusal.at <= seconds * MS_PER_SECOND, `after ${refusal.at} ms`);
-    assert.ok(refusal.failure.retryAfterMs > 0, 'it names no time to return');
+    assert.ok(refusal.failure.retryAfterMs > 0, 'it has no retry time');
   },
 );
 
 Then<ScenarioWorld>(
-  'the router was told that {string} was dispatched',
+  "the router's revoke of {string} was answered as dispatched",
   function (attemptId) {
-    assert.equal(revokes.get(this)?.get(attemptId), 'dispatched');
+    assert.equal(revokeOutcomes.get(this)?.get(attemptId), 'dispatched');
   },
 );
 
@@ -139,11 +139,11 @@
   assert.ok(server.completed.has(id), `${id} was not completed`);
 });
 
-Then<ScenarioWorld>('{word} has nothing left to do', function (name) {
+Then<ScenarioWorld>('{word} is idle', function (name) {
   assert.ok(this.server(name).gate.idle);
 });
 
-Then<ScenarioWorld>('nothing that {word} ran was cancelled', function (name) {
+Then<ScenarioWorld>('{word} cancelled no running request', function (name) {
   assert.equal(this.server(name).cancelled.size, 0);
 });
 
@@ -151,20 +151,23 @@
   'the workspace {string} was served within the first {int} requests',
   function (workspace, count) {
     const order = [...this.server(SERVER).runs.keys()];
-    const place = order.findIndex(id => id.startsWith(workspace));
-    assert.ok(place >= 0 && place < count, `it was number ${place + 1}`);
+    const position = order.findIndex(id => id.startsWith(workspace));
+    assert.ok(
+      position >= 0 && position < count,
+      `it was request ${position + 1}`,
+    );
   },
 );
 
 Then<ScenarioWorld>(
-  '{int} requests of the workspace {string} were told when to come back',
+  '{int} requests of the workspace {string} were refused with a retry time',
   function (count, workspace) {
-    const sentBack = this.server(SERVER).refusals.filter(
+    const refused = this.server(SERVER).refusals.filter(
       refusal =>
         refusal.attemptId.startsWith(workspace) &&
         refusal.failure.retryAfterMs > 0,
     );
-    assert.equal(sentBack.length, count);
+    assert.equal(refused.length, count);
   },
 );
 
--- a/packages/lovagepond-scenarios/src/steps/list_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/list_steps.ts
@@ -16,24 +16,24 @@
 interface Choice {
   readonly left: string;
   readonly right: string;
-  /** First choice among all servers that any router knows. */
-  readonly wanted: string;
+  /** First choice among all servers that either router lists. */
+  readonly firstOfAll: string;
 }
 
 const WORKSPACE = 'gutscheinwerk';
 const PERCENT = 100;
 
-const tables = new WeakMap<ScenarioWorld, RendezvousServer[][]>();
+const routerLists = new WeakMap<ScenarioWorld, RendezvousServer[][]>();
 const choices = new WeakMap<ScenarioWorld, Choice[]>();
 
 Given<ScenarioWorld>(
-  'a router that knows the servers {int} to {int}',
+  'a router that lists the servers {int} to {int}',
   function (first, last) {
     const servers = Array.from({length: last - first + 1}, (_, index) => ({
       name: `server-${first + index}`,
       slot: index,
     }));
-    tables.set(this, [...(tables.get(this) ?? []), servers]);
+    routerLists.set(this, [...(routerLists.get(this) ?? []), servers]);
   },
 );
 
@@ -50,9 +50,9 @@
 }
 
 When<ScenarioWorld>(
-  'both choose a first server for {int} chats',
+  'both routers choose a first server for {int} chats',
   async function (count) {
-    const [left = [], right = []] = tables.get(this) ?? [];
+    const [left = [], right = []] = routerLists.get(this) ?? [];
     const hasher = await loadKeyHasher();
     const names = new Set([...left, ...right].map(server => server.name));
     const all = [...names].map((name, slot) => ({name, slot}));
@@ -60,34 +60,38 @@
       servers => chooseFirst(servers, hasher),
     );
     assert.ok(chooseLeft && chooseRight && chooseAny);
-    const made = Array.from({length: count}, (_, index) => {
+    const results = Array.from({length: count}, (_, index) => {
       const chat = `chat-${index}`;
       return {
         left: chooseLeft(chat),
         right: chooseRight(chat),
-        wanted: chooseAny(chat),
+        firstOfAll: chooseAny(chat),
       };
     });
-    choices.set(this, made);
+    choices.set(this, results);
   },
 );
 
 Then<ScenarioWorld>(
   /^they differ on exactly the chats that want (\S+)(?: or (\S+))?$/,
   function (first: string, second: string | undefined) {
-    for (const {left, right, wanted} of choices.get(this) ?? []) {
-      const mayDiffer = wanted === first || wanted === second;
-      assert.equal(left !== right, mayDiffer, `${left}, ${right}, ${wanted}`);
+    for (const {left, right, firstOfAll} of choices.get(this) ?? []) {
+      const mayDiffer = firstOfAll === first || firstOfAll === second;
+      assert.equal(
+        left !== right,
+        mayDiffer,
+        `${left}, ${right}, ${firstOfAll}`,
+      );
     }
   },
 );
 
 Then<ScenarioWorld>(
-  'those are between {int} and {int} percent of the chats',
+  'the differing chats are between {int} and {int} percent of all',
   function (low, high) {
-    const made = choices.get(this) ?? [];
-    const differing = made.filter(({left, right}) => left !== right).length;
-    const percent = (differing * PERCENT) / made.length;
+    const results = choices.get(this) ?? [];
+    const differing = results.filter(({left, right}) => left !== right).length;
+    const percent = (differing * PERCENT) / results.length;
     assert.ok(percent >= low && percent <= high, `${percent} percent`);
   },
 );
@@ -109,7 +113,7 @@
 );
 
 When<ScenarioWorld>(
-  '{word} is not there, and the router sends {string} to {word} again',
+  '{word} is gone, and the router sends {string} to {word} again',
   function (_gone, requestId, server) {
     const chat = 'kiosk-12';
     const offer = makeOffer(server, `${requestId}.2`, {requestId, chat});
@@ -118,7 +122,7 @@
 );
 
 Then<ScenarioWorld>(
-  '{string} was pointed from {word} to {word}',
+  '{string} was redirected from {word} to {word}',
   function (requestId, from, to) {
     const refusals = this.server(from).refusals;
     assert.equal(refusals.length, 1);
--- a/packages/lovagepond-scenarios/src/steps/redemption_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/redemption_steps.ts
@@ -7,8 +7,8 @@
 import {type ClaimFault} from '../world/redemption.js';
 import {type ScenarioWorld} from '../world/scenario_world.js';
 
-/** By then a sidecar has given up a claim that nobody answers. */
-const CLAIM_GIVEN_UP_MS = 3_000;
+/** After this time a sidecar has given up a claim without an answer. */
+const CLAIM_ABANDONED_MS = 3_000;
 const ORDINALS = ['first', 'second', 'third'];
 
 Given<ScenarioWorld>(
@@ -38,19 +38,19 @@
     assert.ok(claimFault, `no such fault: ${fault}`);
     this.redemption.claimFault = claimFault;
     this.redemption.send(key, server);
-    this.timeline.advance(CLAIM_GIVEN_UP_MS);
+    this.timeline.advance(CLAIM_ABANDONED_MS);
     this.redemption.claimFault = 'none';
   },
 );
 
 When<ScenarioWorld>('the delayed claim arrives', function () {
-  this.redemption.deliverDelayed();
+  this.redemption.deliverDelayedClaim();
 });
 
 When<ScenarioWorld>(
-  'the very same attempt arrives at {word} again',
+  'the first attempt is delivered to {word} again',
   function (_server) {
-    this.redemption.repeatFirst();
+    this.redemption.redeliverFirst();
   },
 );
 
@@ -58,7 +58,7 @@
   this.redemption.restart(server);
 });
 
-When<ScenarioWorld>('the till goes away', function () {
+When<ScenarioWorld>('the caller of the first attempt disconnects', function () {
   this.redemption.callerGone();
 });
 
@@ -70,22 +70,22 @@
 );
 
 Then<ScenarioWorld>(
-  'the {word} sending was answered as {string}',
+  'the {word} attempt was answered as {string}',
   function (ordinal, answer) {
-    const sending = this.redemption.sendingAt(ORDINALS.indexOf(ordinal));
-    assert.equal(sending.answer, answer);
+    const attempt = this.redemption.attemptAt(ORDINALS.indexOf(ordinal));
+    assert.equal(attempt.answer, answer);
   },
 );
 
 Then<ScenarioWorld>(
-  'the {word} sending was answered as not run',
+  'the {word} attempt was reported as not run',
   function (ordinal) {
-    const {answer} = this.redemption.sendingAt(ORDINALS.indexOf(ordinal));
+    const {answer} = this.redemption.attemptAt(ORDINALS.indexOf(ordinal));
     const {disposition} = answerFor(parseErrorKind(answer));
     assert.equal(disposition, DISPOSITION.NOT_RUN, answer);
   },
 );
 
-Then<ScenarioWorld>('nothing that the service ran was cancelled', function () {
+Then<ScenarioWorld>('the service cancelled no running call', function () {
   assert.equal(this.redemption.cancelled, 0);
 });
--- a/packages/lovagepond-scenarios/src/world/offer_utils.ts
+++ b/packages/lovagepond-scenarios/src/world/offer_utils.ts
@@ -1,18 +1,18 @@
 /**
- * Attempts as routers send them, with only what a scenario tells.
+ * Attempts as routers send them, with defaults for most fields.
  */
 import {type Offer} from '@lovagepond/sidecar';
 
 /**
- * @param server the backend server that is meant
- * @param attemptId names the attempt; its request has the same id
- * @param more what differs from the usual request
+ * @param server the target backend server
+ * @param attemptId id of the attempt, also the id of its request
+ * @param overrides fields that differ from the defaults
  * @returns the attempt
  */
 export function makeOffer(
   server: string,
   attemptId: string,
-  more: Partial<Offer> = {},
+  overrides: Partial<Offer> = {},
 ): Offer {
   return {
     requestId: attemptId,
@@ -28,6 +28,6 @@
     firstChoice: '',
     handOvers: 0,
     poolMeanTokens: 0,
-    ...more,
+    ...overrides,
   };
 }
--- a/packages/lovagepond-scenarios/src/world/pool.ts
+++ b/packages/lovagepond-scenarios/src/world/pool.ts
@@ -1,19 +1,19 @@
 /**
- * A pool of gated servers, with the pool's mean as control sends it: once a
- * second, and as old as a scenario wants.
+ * A pool of gated servers that receive the pool's mean load once a second, as
+ * control sends it, with a configurable age.
  */
 import {Random} from '@lovagepond/core';
 import {type Offer} from '@lovagepond/sidecar';
-import {GatedServer, type SeenRefusal} from './gated_server.js';
+import {GatedServer, type RefusalRecord} from './gated_server.js';
 import {type Timeline} from './timeline.js';
 
 const SEED = 20_261_202;
 const MEAN_INTERVAL_MS = 1_000;
-const TAKE_INTERVAL_MS = 20;
+const STEAL_INTERVAL_MS = 20;
 const RESERVATION_MS = 250;
 const ROUTER_RETRY_MS = 2;
 
-/** What is fixed about a pool. */
+/** Fixed properties of a pool. */
 export interface PoolOptions {
   readonly size: number;
   readonly loadBound: number;
@@ -22,25 +22,25 @@
   readonly meanAgeMs: number;
 }
 
-/** The highest load that an engine was seen to run, against its bound. */
-export interface WorstLoad {
+/** The highest load of any engine relative to its bound. */
+export interface HighestLoad {
   readonly server: string;
   readonly tokens: number;
   readonly allowedTokens: number;
 }
 
-/** Servers, control's mean, and routers that try the next server. */
+/** Servers, control's mean load, and routers that retry elsewhere. */
 export class Pool {
   readonly servers: readonly GatedServer[];
-  /** Requests told to come back, with the wait they were told. */
-  readonly sentBack = new Map<string, number>();
-  worst: WorstLoad = {server: '', tokens: 0, allowedTokens: Infinity};
+  /** Request id to retry time in ms, of requests refused by all servers. */
+  readonly refusedRequests = new Map<string, number>();
+  highestLoad: HighestLoad = {server: '', tokens: 0, allowedTokens: Infinity};
   readonly #options: PoolOptions;
   readonly #timeline: Timeline;
   readonly #random = new Random(SEED);
   readonly #offers = new Map<string, {offer: Offer; tried: string[]}>();
-  /** Running tokens of each server, at the last three announcements. */
-  #announced: (readonly number[])[] = [];
+  /** Running tokens of each server at the last three announcements. */
+  #announcedLoads: (readonly number[])[] = [];
 
   constructor(options: PoolOptions, timeline: Timeline) {
     this.#options = options;
@@ -65,25 +65,25 @@
   }
 
   /**
-   * Sends one request as a router does: to its server, then where a refusal
-   * points, then to the others, and back to the caller when all refuse.
+   * Sends one request as a router does: to its server, then to the server named
+   * by a refusal, then to the others. When all refuse, the caller is refused.
    *
    * @param offer the first attempt
-   * @param server where it goes first
+   * @param server the first target
    */
   send(offer: Offer, server: string): void {
     this.#offers.set(offer.requestId, {offer, tried: [server]});
     this.server(server).offer(offer);
   }
 
-  /** Lets idle servers take held requests from loaded ones. */
-  startTaking(): void {
-    this.#timeline.repeat(TAKE_INTERVAL_MS, () => {
-      for (const taker of this.servers) this.#take(taker);
+  /** Makes servers with room take held requests from other servers. */
+  startWorkStealing(): void {
+    this.#timeline.repeat(STEAL_INTERVAL_MS, () => {
+      for (const thief of this.servers) this.#steal(thief);
     });
   }
 
-  /** True mean of the running tokens, this moment. */
+  /** Current mean of the running tokens, without any delay. */
   get meanTokens(): number {
     const total = this.servers.reduce(
       (sum, server) => sum + server.runningTokens,
@@ -99,19 +99,19 @@
     server.gate.configure({...POLICY, loadBound}, 0);
     server.gate.cache.reset();
     server.onRefuse = refusal => {
-      this.#follow(server, refusal);
+      this.#retryElsewhere(server, refusal);
     };
     server.onDispatch = () => {
-      this.#noteLoad(server);
+      this.#recordLoad(server);
     };
     return server;
   }
 
-  /** Sends the mean of this moment, to arrive when it is of the given age. */
+  /** Sends the current mean, which arrives after `meanAgeMs`. */
   #sendMean(meanAgeMs: number): void {
     const loads = this.servers.map(server => server.runningTokens);
     const meanTokens = this.meanTokens;
-    this.#announced = [...this.#announced.slice(-2), loads];
+    this.#announcedLoads = [...this.#announcedLoads.slice(-2), loads];
     this.#timeline.schedule(meanAgeMs, () => {
       this.servers.forEach((server, index) => {
         server.gate.admission.setPoolMean(
@@ -128,25 +128,26 @@
   }
 
   /**
-   * A server knows its own load exactly and the others' from announcements:
-   * the mean to compare with is the highest that these give.
+   * Compares the load with the highest mean that the server may have used: it
+   * has its own current load, and the other loads from announcements.
    */
-  #noteLoad(server: GatedServer): void {
+  #recordLoad(server: GatedServer): void {
     const {loadBound, floorTokens, size} = this.#options;
     const tokens = server.runningTokens;
     const own = this.servers.indexOf(server);
-    const present = this.servers.map(part => part.runningTokens);
-    const totals = [...this.#announced, present].map(loads =>
+    const currentLoads = this.servers.map(member => member.runningTokens);
+    const totals = [...this.#announcedLoads, currentLoads].map(loads =>
       loads.reduce((sum, load, index) => sum + (index === own ? 0 : load), 0),
     );
     const mean = (Math.max(...totals) + tokens) / size;
     const allowedTokens = Math.max(floorTokens, loadBound * mean);
-    const former = this.worst.tokens / this.worst.allowedTokens;
-    if (tokens / allowedTokens <= former) return;
-    this.worst = {server: server.name, tokens, allowedTokens};
+    const highestRatio =
+      this.highestLoad.tokens / this.highestLoad.allowedTokens;
+    if (tokens / allowedTokens <= highestRatio) return;
+    this.highestLoad = {server: server.name, tokens, allowedTokens};
   }
 
-  #follow(server: GatedServer, refusal: SeenRefusal): void {
+  #retryElsewhere(server: GatedServer, refusal: RefusalRecord): void {
     const {attemptId, failure, pointer} = refusal;
     const requestId = attemptId.split('/')[0] ?? '';
     const entry = this.#offers.get(requestId);
@@ -156,7 +157,7 @@
       .filter(name => !entry.tried.includes(name));
     const next = pointer || others[this.#random.below(others.length || 1)];
     if (next === undefined) {
-      this.sentBack.set(requestId, failure.retryAfterMs);
+      this.refusedRequests.set(requestId, failure.retryAfterMs);
       return;
     }
     const tried = [...entry.tried, next];
@@ -175,20 +176,20 @@
     });
   }
 
-  #take(taker: GatedServer): void {
+  #steal(thief: GatedServer): void {
     const {now} = this.#timeline;
-    const roomTokens = taker.gate.roomForTake(now);
+    const roomTokens = thief.gate.roomForTake(now);
     if (roomTokens === 0) return;
     const victim = this.#random.pick(this.servers);
-    if (victim === taker) return;
-    taker.gate.reserve(victim.name, roomTokens, now + RESERVATION_MS);
+    if (victim === thief) return;
+    thief.gate.reserve(victim.name, roomTokens, now + RESERVATION_MS);
     const {attemptIds, actions} = victim.gate.handOver(
-      taker.name,
+      thief.name,
       roomTokens,
       now,
     );
-    if (attemptIds.length === 0) taker.gate.reserve(victim.name, 0, now);
-    victim.apply(actions);
+    if (attemptIds.length === 0) thief.gate.reserve(victim.name, 0, now);
+    victim.perform(actions);
   }
 }
 
--- a/packages/lovagepond-scenarios/src/world/routed_request.ts
+++ b/packages/lovagepond-scenarios/src/world/routed_request.ts
@@ -1,6 +1,6 @@
 /**
- * One caller's request in a router's real state machine. The scenario plays
- * the sidecars: it says which frames arrive.
+ * One caller's request in a router's real state machine. The scenario replaces
+ * the sidecars: its steps inject the frames.
  */
 import {type Failure, makeFailure} from '@lovagepond/core';
 import {
@@ -14,20 +14,20 @@
 } from '@lovagepond/router';
 import {type Timeline} from './timeline.js';
 
-/** One sending of an attempt. */
+/** One offer of an attempt to a sidecar. */
 export interface SentOffer {
   readonly attempt: Attempt;
   readonly resumeFrom: number;
   readonly freshConnection: boolean;
 }
 
-/** Names another attempt or incarnation than the open one. */
+/** Attempt and incarnation of a frame; those of the open attempt if unset. */
 export interface FrameSource {
   readonly attemptId?: string;
   readonly incarnation?: string;
 }
 
-type Handlers = {
+type ActionHandlers = {
   readonly [Kind in RequestAction['kind']]: (
     action: Extract<RequestAction, {kind: Kind}>,
   ) => void;
@@ -36,22 +36,22 @@
 const SERVERS = ['engine-1', 'engine-2', 'engine-3', 'engine-4'];
 const DEADLINE_MS = 30_000;
 const TICK_MS = 25;
-const PIECES = 3;
+const PIECE_COUNT = 3;
 const REQUEST_ID = 'request-1';
 
-/** What the caller sees, and what the sidecars are sent. */
+/** Records what the caller receives and what the sidecars are sent. */
 export class RoutedRequest {
   readonly offers: SentOffer[] = [];
   readonly revokes: Attempt[] = [];
-  text = '';
+  deliveredText = '';
   ended = false;
   failure: Failure | undefined;
   answer = '';
-  /** What a sidecar answers to a take-back; undefined leaves it open. */
+  /** The sidecars' answer to a revoke; undefined for no answer. */
   revokeOutcome: RevokeOutcome | undefined;
   readonly #machine: RequestMachine;
   readonly #timeline: Timeline;
-  readonly #handlers: Handlers;
+  readonly #handlers: ActionHandlers;
 
   constructor(timeline: Timeline) {
     this.#timeline = timeline;
@@ -75,14 +75,14 @@
     return last;
   }
 
-  /** @param event what happened, now */
+  /** @param event an event at the current time */
   receive(event: RequestEvent): void {
     this.#perform(this.#machine.receive(event, this.#timeline.now));
   }
 
   /**
-   * @param body what the frame says
-   * @param source whom it comes from; the open attempt by default
+   * @param body content of the frame
+   * @param source its sender; the open attempt by default
    */
   frame(body: FrameBody, source: FrameSource = {}): void {
     const {attempt} = this.lastOffer;
@@ -101,18 +101,18 @@
 
   /**
    * @param number 1 to 3
-   * @param source whom it comes from; the open attempt by default
-   * @param text the whole answer it is a piece of
+   * @param source its sender; the open attempt by default
+   * @param text the whole answer that is split into pieces
    */
   piece(number: number, source: FrameSource = {}, text = this.answer): void {
-    const size = Math.ceil(text.length / PIECES);
+    const size = Math.ceil(text.length / PIECE_COUNT);
     const offset = (number - 1) * size;
     const data = Buffer.from(text.slice(offset, offset + size));
     const contentType = 'text/plain';
     this.frame({kind: 'chunk', offset, data, status: 200, contentType}, source);
   }
 
-  /** The end of the whole answer arrives. */
+  /** Injects the end frame of the whole answer. */
   end(): void {
     const totalBytes = Buffer.byteLength(this.answer);
     this.frame({kind: 'end', totalBytes, status: 200, contentType: ''});
@@ -120,10 +120,10 @@
 
   /**
    * @param number 0 to 3
-   * @returns the offset at which that piece ends
+   * @returns the end offset of that piece
    */
   endOfPiece(number: number): number {
-    const size = Math.ceil(this.answer.length / PIECES);
+    const size = Math.ceil(this.answer.length / PIECE_COUNT);
     return Math.min(number * size, this.answer.length);
   }
 
@@ -131,7 +131,7 @@
     for (const action of actions) this.#handlers[action.kind](action as never);
   }
 
-  #makeHandlers(): Handlers {
+  #makeHandlers(): ActionHandlers {
     return {
       place: action => {
         this.#place(action.excluded, action.preferred);
@@ -147,7 +147,7 @@
       close: () => undefined,
       begin: () => undefined,
       write: ({data}) => {
-        this.text += Buffer.from(data).toString();
+        this.deliveredText += Buffer.from(data).toString();
       },
       end: () => {
         this.ended = true;
@@ -161,10 +161,10 @@
     };
   }
 
-  /** Answers a take-back as the scenario said, if it did. */
+  /** Answers the last revoke with `revokeOutcome`, if it is set. */
   answerRevoke(): void {
     const last = this.revokes.at(-1);
-    if (!last) throw new Error('nothing was taken back');
+    if (!last) throw new Error('no attempt was revoked');
     this.#answerRevoke(last.attemptId);
   }
 
@@ -174,8 +174,8 @@
   }
 
   #place(excluded: ReadonlySet<string>, wanted: string | undefined): void {
-    const free = SERVERS.filter(name => !excluded.has(name));
-    const backendServer = wanted ?? free[0];
+    const candidates = SERVERS.filter(name => !excluded.has(name));
+    const backendServer = wanted ?? candidates[0];
     if (backendServer === undefined) {
       const failure = makeFailure('noBackendServer');
       this.receive({kind: 'notPlaced', failure});
--- a/packages/lovagepond-scenarios/src/world/subscribers.ts
+++ b/packages/lovagepond-scenarios/src/world/subscribers.ts
@@ -1,7 +1,7 @@
 /**
- * Routers and sidecars that hold a configuration by their real deciders, and
- * subscribe to control members by the real feeds. Connections are fakes: one
- * can go silent, or end when its member stops.
+ * Routers and sidecars with their real configuration state, subscribed to
+ * control members through the real feeds. Connections are fakes, which can go
+ * silent or end when their member stops.
  */
 import {
   type Configuration,
@@ -23,7 +23,7 @@
 import {type ControlGroup, type GroupMember} from './control_group.js';
 import {type Timeline} from './timeline.js';
 
-/** What a router or a sidecar does with configurations. */
+/** Configuration state of a router or a sidecar. */
 interface RevisionHolder {
   revision(): number;
   install(configuration: Configuration): void;
@@ -31,7 +31,7 @@
   mayServe(now: number): boolean;
 }
 
-function holdAsRouter(): RevisionHolder {
+function makeRouterHolder(): RevisionHolder {
   const revisions = new RouterRevisions(DEFAULT_ROUTER_SETTINGS);
   return {
     revision: () => revisions.configuration.revision,
@@ -45,7 +45,7 @@
   };
 }
 
-function holdAsSidecar(): RevisionHolder {
+function makeSidecarHolder(): RevisionHolder {
   const revisions = new SidecarRevisions({serveUnconfirmed: false});
   return {
     revision: () => revisions.revision,
@@ -59,10 +59,13 @@
   };
 }
 
-const HOLDERS = {router: holdAsRouter, sidecar: holdAsSidecar} as const;
+const HOLDER_FACTORIES = {
+  router: makeRouterHolder,
+  sidecar: makeSidecarHolder,
+} as const;
 
-/** What a subscriber is. */
-export type SubscriberRole = keyof typeof HOLDERS;
+/** Role of a subscriber. */
+export type SubscriberRole = keyof typeof HOLDER_FACTORIES;
 
 const TICK_MS = 100;
 const NETWORK_MS = 1;
@@ -71,39 +74,39 @@
 export class SubscribedNode {
   readonly name: string;
   readonly holder: RevisionHolder;
-  /** Configurations with content that arrived. */
+  /** Number of received updates that carried a whole configuration. */
   received = 0;
-  /** The open connection has lost track of its other end. */
+  /** True when the open connection delivers nothing, without an error. */
   isSilent = false;
-  #heardAt = 0;
+  #lastUpdateAt = 0;
   #member = -1;
   #close: Unregister = () => undefined;
   readonly #role: SubscriberRole;
-  readonly #fleet: Subscribers;
+  readonly #subscribers: Subscribers;
   readonly #timeline: Timeline;
 
   constructor(
     role: SubscriberRole,
     name: string,
-    fleet: Subscribers,
+    subscribers: Subscribers,
     timeline: Timeline,
   ) {
     this.name = name;
-    this.holder = HOLDERS[role]();
+    this.holder = HOLDER_FACTORIES[role]();
     this.#role = role;
-    this.#fleet = fleet;
+    this.#subscribers = subscribers;
     this.#timeline = timeline;
     timeline.repeat(TICK_MS, () => {
-      this.#watch();
+      this.#reconnectWhenSilent();
     });
   }
 
-  /** @param offset which member is asked first */
+  /** @param offset index of the member to subscribe to, modulo their number */
   connect(offset: number): void {
     this.#close();
     this.isSilent = false;
     this.#member = offset;
-    this.#heardAt = this.#timeline.now;
+    this.#lastUpdateAt = this.#timeline.now;
     const subscriber = {
       node: this.name,
       role: this.#role,
@@ -117,9 +120,14 @@
         if (open && !this.isSilent) this.#receive(update);
       });
     };
-    const close = this.#fleet.subscribe(offset, subscriber, receive, () => {
-      if (open) this.#heardAt = -Infinity;
-    });
+    const close = this.#subscribers.subscribe(
+      offset,
+      subscriber,
+      receive,
+      () => {
+        if (open) this.#lastUpdateAt = -Infinity;
+      },
+    );
     this.#close = () => {
       open = false;
       close();
@@ -127,7 +135,7 @@
   }
 
   #receive(update: FeedUpdate): void {
-    this.#heardAt = this.#timeline.now;
+    this.#lastUpdateAt = this.#timeline.now;
     if (update.kind !== 'configuration') return;
     const {configuration, withContent, confirmed} = update;
     if (withContent) {
@@ -137,20 +145,22 @@
     if (confirmed) this.holder.confirm(configuration.revision);
   }
 
-  #watch(): void {
-    const silentMs = this.#timeline.now - this.#heardAt;
+  #reconnectWhenSilent(): void {
+    const silentMs = this.#timeline.now - this.#lastUpdateAt;
     if (silentMs < DEFAULT_ROUTER_SETTINGS.controlSilentAfterMs) return;
     this.connect(this.#member + 1);
   }
 }
 
-/** All subscribers, and the hubs of the members. */
+/** All subscribers, and the subscription hub of each control member. */
 export class Subscribers {
   readonly nodes: SubscribedNode[] = [];
   readonly #control: ControlGroup;
   readonly #timeline: Timeline;
   readonly #hubs: readonly SubscriptionHub[];
-  readonly #unconfirmed = new Set<ReturnType<SubscriptionHub['add']>['feed']>();
+  readonly #unconfirmedFeeds = new Set<
+    ReturnType<SubscriptionHub['add']>['feed']
+  >();
 
   constructor(control: ControlGroup, timeline: Timeline) {
     this.#control = control;
@@ -165,9 +175,9 @@
   }
 
   /**
-   * @param role what they are
-   * @param count how many of them start now
-   * @returns the new nodes, spread over the members
+   * @param role role of the new nodes
+   * @param count number of nodes to start
+   * @returns the new nodes, subscribed to the members in turn
    */
   add(role: SubscriberRole, count: number): readonly SubscribedNode[] {
     const added = Array.from({length: count}, (_, index) => {
@@ -182,38 +192,38 @@
   }
 
   /**
-   * @param offset which member, counted round
-   * @param subscriber who subscribes
-   * @param receive called with each update
-   * @param ended called when the member ends the subscription
-   * @returns a function that ends it
+   * @param offset index of the member, modulo their number
+   * @param subscriber the subscribing node
+   * @param onUpdate called with each update
+   * @param onEnd called when the member ends the subscription
+   * @returns a function that ends the subscription
    */
   subscribe(
     offset: number,
     subscriber: Parameters<SubscriptionHub['add']>[0],
-    receive: (update: FeedUpdate) => void,
-    ended: () => void,
+    onUpdate: (update: FeedUpdate) => void,
+    onEnd: () => void,
   ): Unregister {
     const index = offset % this.#hubs.length;
     const hub = this.#hubs[index] as SubscriptionHub;
     const member = this.#control.members[index] as GroupMember;
-    if (this.#control.isAway(member)) {
-      this.#timeline.schedule(NETWORK_MS, ended);
+    if (this.#control.isStopped(member)) {
+      this.#timeline.schedule(NETWORK_MS, onEnd);
       return () => undefined;
     }
-    const sink = {isWritable: () => true, send: receive, end: ended};
+    const sink = {isWritable: () => true, send: onUpdate, end: onEnd};
     const {feed, remove} = hub.add(subscriber, sink);
-    this.#unconfirmed.add(feed);
+    this.#unconfirmedFeeds.add(feed);
     return remove;
   }
 
-  /** A majority is asked; a round that fails is repeated. */
+  /** Confirms the revision while a majority runs; the next tick retries. */
   #confirm(): void {
     if (!this.#control.hasMajority) return;
     const {machine} = this.#control.leader;
     const {revision} = machine.configuration.current.read();
-    for (const feed of this.#unconfirmed) feed.confirm(revision);
-    this.#unconfirmed.clear();
+    for (const feed of this.#unconfirmedFeeds) feed.confirm(revision);
+    this.#unconfirmedFeeds.clear();
   }
 
   #pump(): void {
@@ -221,7 +231,7 @@
     const {now} = this.#timeline;
     this.#hubs.forEach((hub, index) => {
       const member = this.#control.members[index] as GroupMember;
-      if (this.#control.isAway(member)) {
+      if (this.#control.isStopped(member)) {
         hub.endAll();
         return;
       }
--- a/scripts/test_safeguards.mjs
+++ b/scripts/test_safeguards.mjs
@@ -1,7 +1,7 @@
-// Shows that each listed proof fails without its safeguard: applies the small
-// edits of the lists one at a time to a scratch copy, runs just the named
-// scenario or unit test there, and demands that it runs and fails. Arguments
-// keep to the proofs whose names hold one of them.
+// Mutation check: applies the edits of each list entry, which remove one
+// safeguard, to a scratch copy, runs only the named scenario or unit test
+// there, and requires that it runs and fails. Arguments select entries whose
+// test name contains one of them.
 import {spawnSync} from 'node:child_process';
 import {
   cpSync,
@@ -30,14 +30,14 @@
 /** @typedef {{file: string, find: string, replace: string}} Edit */
 
 /**
- * One entry names either `scenario`, or `test` with its `testFile`; its edits
- * are made together, as some safeguards stand in two places.
+ * An entry names either `scenario`, or `test` with its `testFile`. Its edits
+ * are applied together, as some safeguards are in two places.
  *
  * @typedef {{edits: Edit[], scenario?: string, test?: string,
  *   testFile?: string}} Safeguard
  */
 
-/** Links the libraries, and the project's own packages to their copies. */
+/** Links the dependencies, and the project's packages to their copies. */
 function linkModules(copy) {
   const modules = join(copy, 'node_modules');
   mkdirSync(join(modules, SCOPE), {recursive: true});
@@ -66,8 +66,8 @@
   return copy;
 }
 
-/** @param {string} text @returns {string} a pattern that matches just it */
-function quote(text) {
+/** @param {string} text @returns {string} a pattern for exactly this text */
+function makeExactPattern(text) {
   return `^${text.replace(/[.*+?^${}()|[\]\\]/g, '\\$&')}$`;
 }
 
@@ -88,12 +88,14 @@
     }));
 }
 
-/** @returns {boolean[]} for each scenario of that name, whether it passed */
+/** @returns {boolean[]} for each scenario with the name, whether it passed */
 function runScenario(copy, name) {
-  return runScenarios(copy, ['--name', quote(name)]).map(part => part.passed);
+  return runScenarios(copy, ['--name', makeExactPattern(name)]).map(
+    scenario => scenario.passed,
+  );
 }
 
-/** @returns {boolean[]} for each unit test of that name, whether it passed */
+/** @returns {boolean[]} for each unit test with the name, whether it passed */
 function runUnitTest(copy, file, name) {
   const args = ['run', file, '-t', name, '--reporter=json'];
   const vitest = join(copy, 'node_modules/.bin/vitest');
@@ -104,20 +106,20 @@
   if (!existsSync(join(copy, REPORT))) return [];
   const report = JSON.parse(readFileSync(join(copy, REPORT), 'utf8'));
   return report.testResults
-    .flatMap(part => part.assertionResults)
+    .flatMap(result => result.assertionResults)
     .filter(test => test.status !== 'skipped' && test.status !== 'pending')
     .map(test => test.status === 'passed');
 }
 
 /** @param {Safeguard} entry @returns {boolean[]} */
-function runProof(copy, entry) {
+function runTest(copy, entry) {
   rmSync(join(copy, REPORT), {force: true});
   if (entry.scenario) return runScenario(copy, entry.scenario);
   return runUnitTest(copy, entry.testFile, entry.test);
 }
 
-/** @param {Edit} edit @returns {boolean} whether it could be made */
-function makeEdit(copy, {file, find, replace}) {
+/** @param {Edit} edit @returns {boolean} whether its text occurs once */
+function applyEdit(copy, {file, find, replace}) {
   const path = join(copy, file);
   const source = readFileSync(path, 'utf8');
   if (source.split(find).length !== 2) return false;
@@ -130,11 +132,11 @@
 
 /**
  * @param {Safeguard} entry
- * @param {Outcome[]} scenarios how all scenarios end without any edit
- * @returns {boolean[]} for each proof of the name, whether it passes
+ * @param {Outcome[]} scenarios results of all scenarios without edits
+ * @returns {boolean[]} for each test with the name, whether it passes
  */
-function findBefore(copy, entry, scenarios) {
-  if (!entry.scenario) return runProof(copy, entry);
+function findBaseline(copy, entry, scenarios) {
+  if (!entry.scenario) return runTest(copy, entry);
   return scenarios
     .filter(({name}) => name === entry.scenario)
     .map(({passed}) => passed);
@@ -142,19 +144,19 @@
 
 /**
  * @param {Safeguard} entry
- * @param {Outcome[]} scenarios how all scenarios end without any edit
- * @returns {string} empty when the proof holds
+ * @param {Outcome[]} scenarios results of all scenarios without edits
+ * @returns {string} the problem; empty if the test detects the mutation
  */
-function check(copy, entry, scenarios) {
-  const before = findBefore(copy, entry, scenarios);
-  if (before.length !== 1) return `${before.length} proofs have this name`;
-  if (!before[0]) return 'fails with its safeguard in place';
-  const made = entry.edits.every(edit => makeEdit(copy, edit));
-  const after = made ? runProof(copy, entry) : [];
+function checkEntry(copy, entry, scenarios) {
+  const baseline = findBaseline(copy, entry, scenarios);
+  if (baseline.length !== 1) return `${baseline.length} tests have this name`;
+  if (!baseline[0]) return 'fails with its safeguard in place';
+  const applied = entry.edits.every(edit => applyEdit(copy, edit));
+  const mutated = applied ? runTest(copy, entry) : [];
   for (const {file} of entry.edits) cpSync(file, join(copy, file));
-  if (!made) return 'the text to replace does not stand there exactly once';
-  if (after.length !== 1) return 'did not run without its safeguard';
-  return after[0] ? 'passes without its safeguard' : '';
+  if (!applied) return 'the text to replace does not occur exactly once';
+  if (mutated.length !== 1) return 'did not run without its safeguard';
+  return mutated[0] ? 'passes without its safeguard' : '';
 }
 
 /** @type {Safeguard[]} */
@@ -169,7 +171,7 @@
 try {
   const scenarios = runScenarios(copy, ['--tags', 'not @processes']);
   for (const entry of entries) {
-    const problem = check(copy, entry, scenarios);
+    const problem = checkEntry(copy, entry, scenarios);
     if (problem) failed += 1;
     const verdict = problem ? `FAILED (${problem})` : 'fails as it must';
     console.log(`${entry.scenario ?? entry.test}`);
