--- a/packages/lovagepond-backend/src/backend_answer_check.ts
+++ b/packages/lovagepond-backend/src/backend_answer_check.ts
@@ -70,7 +70,7 @@
     if (event.data === DONE_DATA) return this.#inspectEnd();
     if (event.name === 'error') return fail('The engine reported an error.');
     const chunk = parseChunk(event.data);
-    if (!chunk) return fail('The engine sent an invalid event.');
+    if (!chunk) return fail('The engine sent an event that is no chunk.');
     // An engine, or a device in front of it, may mix up answers of two callers.
     // Only the id in each event identifies the request. A single event with
     // another id ends the answer, so that none of it reaches the wrong caller.
--- a/packages/lovagepond-backend/src/backend_http_engine.ts
+++ b/packages/lovagepond-backend/src/backend_http_engine.ts
@@ -89,7 +89,7 @@
   } catch {
     // Falls through to the failure below.
   }
-  return failed('backendFailed', 'The engine sent an invalid JSON message.');
+  return failed('backendFailed', 'The engine sent JSON of another shape.');
 }
 
 function cachePath(key: CacheKey): string {
@@ -160,7 +160,7 @@
     if (Number.isSafeInteger(tokens) && tokens > 0) {
       return {ok: true, value: {tokens, bytes: body}};
     }
-    return failed('backendFailed', 'The engine sent no valid context length.');
+    return failed('backendFailed', 'The engine told no length of the context.');
   }
 
   async importCache(
--- a/packages/lovagepond-backend/src/backend_http_service.ts
+++ b/packages/lovagepond-backend/src/backend_http_service.ts
@@ -134,7 +134,7 @@
     }
     const echoed = outcome.headers[REQUEST_ID_HEADER];
     if (echoed !== undefined && echoed !== request.requestId) {
-      return failed('backendFailed', "The service sent another call's answer.");
+      return failed('backendFailed', "The service gave another call's answer.");
     }
     // Without a length or chunked encoding, truncation can't be detected.
     if (!isDelimited(outcome)) return failed('answerTruncated');
--- a/packages/lovagepond-cli/src/role_metrics.ts
+++ b/packages/lovagepond-cli/src/role_metrics.ts
@@ -42,14 +42,14 @@
 const REVISION: DumpMetric = {
   kind: 'gauge',
   name: 'lovagepond_configuration_revision',
-  help: 'Configuration revision in use by this process.',
+  help: 'Configuration revision that this process holds.',
   path: ['revision'],
 };
 
 const SUSPECTED_REQUESTS: DumpMetric = {
   kind: 'gauge',
   name: 'lovagepond_suspected_requests',
-  help: 'Requests during which backend servers crashed, quarantined or not.',
+  help: 'Requests that servers crashed under, quarantined or not.',
   path: ['suspectedRequests'],
 };
 
@@ -71,7 +71,7 @@
   {
     kind: 'counter',
     name: 'lovagepond_requests_answered_total',
-    help: 'Requests with a complete answer.',
+    help: 'Requests answered whole.',
     path: ['answered'],
   },
   {
@@ -89,7 +89,7 @@
   {
     kind: 'gauge',
     name: 'lovagepond_load_skew_ratio',
-    help: 'Load of the busiest ready server over the mean load of its pool.',
+    help: "A pool's busiest ready server over the mean, as known here.",
     labelledObjects: {paths: [['skew']], label: 'pool'},
   },
   {
@@ -101,25 +101,25 @@
   {
     kind: 'gauge',
     name: 'lovagepond_backend_servers',
-    help: 'Backend servers in the membership list of this router.',
+    help: 'Backend servers in the membership that this router holds.',
     path: ['backendServers'],
   },
   {
     kind: 'gauge',
     name: 'lovagepond_suspected_servers',
-    help: 'Backend servers that this router suspects of having failed.',
+    help: 'Backend servers that this router has evidence against.',
     path: ['suspects'],
   },
   {
     kind: 'counter',
     name: 'lovagepond_frames_dropped_total',
-    help: 'Frames dropped, by reason.',
+    help: 'Frames thrown away, by reason.',
     labelledObjects: {paths: [['droppedByReason']], label: 'reason'},
   },
   {
     kind: 'counter',
     name: 'lovagepond_hops_total',
-    help: 'Redirections followed: pointers, hand-overs and revision exchanges.',
+    help: 'Pointers, hand-overs and revision exchanges followed.',
     path: ['hops'],
   },
   {
@@ -143,7 +143,7 @@
   {
     kind: 'counter',
     name: 'lovagepond_refusals_total',
-    help: 'Attempts refused without running, by kind.',
+    help: 'Attempts refused, truly not run, by kind.',
     labelledObjects: {paths: [['attempts', 'refusedByKind']], label: 'kind'},
   },
   {
@@ -155,7 +155,7 @@
   {
     kind: 'counter',
     name: 'lovagepond_requests_answered_total',
-    help: 'Attempts with a complete answer.',
+    help: 'Attempts answered whole.',
     path: ['attempts', 'answered'],
   },
   {
@@ -167,7 +167,7 @@
   {
     kind: 'gauge',
     name: 'lovagepond_load_tokens',
-    help: 'Estimated tokens running at the backend server and queued.',
+    help: 'Estimated tokens at the backend server and in the queue.',
     parts: {
       label: 'state',
       paths: {
@@ -181,7 +181,7 @@
   {
     kind: 'counter',
     name: 'lovagepond_requests_taken_total',
-    help: 'Requests taken over from longer queues of other sidecars.',
+    help: 'Requests taken from longer queues.',
     path: ['taken'],
   },
 ];
@@ -191,7 +191,7 @@
   {
     kind: 'gauge',
     name: 'lovagepond_backend_servers',
-    help: 'Backend servers that have announced themselves.',
+    help: 'Backend servers announced.',
     path: ['backendServers'],
   },
   {
@@ -203,13 +203,13 @@
   {
     kind: 'gauge',
     name: 'lovagepond_control_fresh',
-    help: '1 while this member has contact with a majority.',
+    help: '1 while this member is in touch with a majority.',
     path: ['fresh'],
   },
   {
     kind: 'gauge',
     name: 'lovagepond_consensus_index',
-    help: 'Consensus log indexes of this member.',
+    help: 'Log positions of this member.',
     parts: {
       label: 'position',
       paths: {
@@ -223,13 +223,13 @@
   {
     kind: 'gauge',
     name: 'lovagepond_consensus_term',
-    help: 'Consensus term of this member.',
+    help: 'Term of this member.',
     path: ['consensus', 'term'],
   },
   {
     kind: 'gauge',
     name: 'lovagepond_ledger_entries',
-    help: 'Ledger entries of non-repeatable calls, by state.',
+    help: 'Calls that may not be repeated, by the state of their entry.',
     labelledObjects: {paths: [['ledger']], label: 'state'},
   },
   SUSPECTED_REQUESTS,
@@ -240,7 +240,7 @@
   {
     kind: 'gauge',
     name: 'lovagepond_gateway_requests_in_flight',
-    help: 'Forwarded requests without a final answer yet.',
+    help: 'Forwarded requests that have no final answer yet.',
     path: ['inFlight'],
   },
   {
@@ -252,7 +252,7 @@
   {
     kind: 'counter',
     name: 'lovagepond_gateway_requests_ended_total',
-    help: 'Forwarded requests that were sent to a server, by outcome.',
+    help: 'Forwarded requests that were offered to a server, by their end.',
     labelledObjects: {paths: [['endedByOutcome']], label: 'outcome'},
   },
   {
@@ -264,7 +264,7 @@
   {
     kind: 'counter',
     name: 'lovagepond_gateway_attempts_failed_total',
-    help: 'Attempts without a complete answer, by outcome.',
+    help: 'Attempts that brought no whole answer, by their end.',
     labelledObjects: {paths: [['failedAttemptsByOutcome']], label: 'outcome'},
   },
   {
@@ -276,7 +276,7 @@
   {
     kind: 'counter',
     name: 'lovagepond_gateway_servers_crashed_total',
-    help: 'Backend servers that crashed while they ran requests of this gateway.',
+    help: 'Backend servers that ended while they ran requests of this gateway.',
     path: ['crashedServers'],
   },
   SUSPECTED_REQUESTS,
--- a/packages/lovagepond-control/src/configuration_changer.ts
+++ b/packages/lovagepond-control/src/configuration_changer.ts
@@ -68,7 +68,7 @@
 
   #check(req: AnyChangeRequest): CheckResult {
     if (req.operationId === '') {
-      return reject('operationId', 'an operation id is required');
+      return reject('operationId', 'an operation id is needed');
     }
     if (req.change.kind === 'replace') return checkContent(req.change.content);
     const {configuration} = this.#machine;
@@ -80,7 +80,7 @@
     const edited = editConfiguration(edit, current.content, revision =>
       configuration.find(revision),
     );
-    if (!edited) return reject('change', 'the target does not exist');
+    if (!edited) return reject('change', 'what it names is not there');
     return checkEdit(edit, edited);
   }
 
@@ -151,7 +151,7 @@
   result: Extract<OperationResult, {kind: 'missing' | 'operationReuse'}>,
 ): ConfigurationFault {
   if (result.kind === 'missing') {
-    return {place: result.place, message: 'does not exist'};
+    return {place: result.place, message: 'is not there'};
   }
   return {place: 'operationId', message: 'belongs to another operation'};
 }
--- a/packages/lovagepond-core/src/core_configuration.ts
+++ b/packages/lovagepond-core/src/core_configuration.ts
@@ -202,7 +202,7 @@
   items.forEach((item, index) => {
     if (seen.has(item.name)) {
       const place = `${section}[${index}].name`;
-      faults.push({place, message: `"${item.name}" is defined twice`});
+      faults.push({place, message: `"${item.name}" stands twice`});
     }
     seen.add(item.name);
   });
@@ -222,7 +222,7 @@
       const place = `selectors[${index}].match`;
       faults.push({
         place,
-        message: `"${text}" is matched by an earlier selector too`,
+        message: `"${text}" stands twice`,
       });
     }
     seen.add(text);
@@ -262,7 +262,7 @@
       const place = `workspaces[${index}].apiKeys`;
       faults.push({
         place,
-        message: `an API key also belongs to workspace "${other}"`,
+        message: `a key is that of "${other}" too`,
       });
     }
   });
--- a/packages/lovagepond-sidecar/src/sidecar_gate_refusals.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_gate_refusals.ts
@@ -81,7 +81,7 @@
 ): GateAction | undefined {
   if (state === undefined) return undefined;
   if (state === ATTEMPT_STATE.NOT_RUN) return makeRefusal(attemptId, 'revoked');
-  const message = 'Duplicate attempt: only the first delivery is answered.';
+  const message = 'This attempt was sent twice; its first copy is answered.';
   const failure = makeFailure('inProgress', {message});
   return {kind: 'rejectDuplicate', attemptId, failure};
 }
--- a/packages/lovagepond-sidecar/src/sidecar_orders.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_orders.ts
@@ -29,7 +29,7 @@
 
 const FENCED: OrderResult = Object.freeze({
   outcome: 'fenced',
-  message: 'An order with a higher fencing token has already passed.',
+  message: 'A newer order has passed.',
 });
 
 function readOrder(order: Order): EngineOrder | undefined {
@@ -98,7 +98,7 @@
   async #send(order: EngineOrder | undefined): Promise<OrderResult> {
     const {backend} = this.#deps;
     if (!order || backend.kind !== 'engine') {
-      const message = 'The backend server does not support this order.';
+      const message = 'The backend server takes no such order.';
       return {outcome: 'failed', message};
     }
     const result = await backend.engine.order(order);
--- a/packages/lovagepond-sidecar/src/sidecar_role.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_role.ts
@@ -88,7 +88,7 @@
     const incarnation = makeIncarnation(deps);
     this.#incarnation = incarnation;
     this.#gate = new SidecarGate({...settings, incarnation}, random);
-    this.#gate.setNotReady('The sidecar is starting.');
+    this.#gate.setNotReady('The sidecar starts.');
     this.#link = new SidecarControlLink(settings, random);
     this.#peers = new SidecarPeers(backendServer, pool, controlTimeoutMs);
     this.#configuration = new SidecarConfiguration(settings, {
@@ -304,10 +304,10 @@
   }
 
   #notReadyReason(): string | undefined {
-    if (!this.#watch.up) return 'The backend server does not respond.';
+    if (!this.#watch.up) return 'The backend server does not answer.';
     return this.#configuration.mayServe()
       ? undefined
-      : 'No configuration revision has been confirmed by control yet.';
+      : 'No configuration is confirmed yet.';
   }
 
   /**
