--- a/packages/lovagepond-control/src/__tests__/unit/configuration_history.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/configuration_history.test.ts
@@ -12,7 +12,7 @@
 const MEMBERS = 3;
 const SEED = 20_261_203;
 
-/** Operators' requests, and faults of members meanwhile. */
+/** A request of an operator, or a fault of a member. */
 type Step =
   | {readonly kind: 'install'; readonly version: number; readonly label: string}
   /** Sent to the leader, which crashes before it answers. */
@@ -20,7 +20,7 @@
   | {readonly kind: 'invalid'; readonly version: number}
   | {readonly kind: 'read'; readonly member: number}
   | {readonly kind: 'crash'; readonly member: number}
-  /** Cuts a member off silently, and reconnects the one cut off before. */
+  /** Silently partitions a member, and reconnects the one cut off before. */
   | {readonly kind: 'cut'; readonly member: number}
   | {readonly kind: 'heal'}
   /** A member loses its disk; waits until its former identity is removed. */
@@ -55,7 +55,7 @@
   };
 }
 
-/** Invalid, as two workspaces share an API key and requests are ambiguous. */
+/** Invalid, as two workspaces share an API key, which must identify one. */
 function makeInvalidDocument(number: number): UncheckedDocument {
   const workspaces = ['a', 'b'].map(name => ({
     name,
@@ -130,9 +130,9 @@
     },
     read: async ({member: at}) => {
       const before = this.#history.accepted;
-      const asked = this.#cluster.members[at];
-      if (!asked) return;
-      const answer = await settle(documentsOf(asked).read());
+      const target = this.#cluster.members[at];
+      if (!target) return;
+      const answer = await settle(documentsOf(target).read());
       this.#history.checkRead(answer, before);
     },
     crash: async ({member: at}) => {
--- a/packages/lovagepond-control/src/__tests__/unit/subscription_hub.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/subscription_hub.test.ts
@@ -218,8 +218,8 @@
   expect(deliver(waiting.slice(2))).toEqual(['o3', 'o4', 'o5', 'o6']);
 });
 
-// A router whose settings name three members must learn the fourth member's
-// address before these three are lost. Later it could ask nobody.
+// A router whose settings name three members must receive the fourth member's
+// address before these three are lost: after that, none could send it.
 test('a subscriber gets all member addresses and each change', () => {
   const hub = startHub();
   const sink = new Sink();
--- a/packages/lovagepond-control/src/announce_handler.ts
+++ b/packages/lovagepond-control/src/announce_handler.ts
@@ -25,8 +25,8 @@
 const ROUTER_ROLE = 'router';
 
 /**
- * Floor of a backend server that has completed no order. It is below every
- * fencing token, and differs from 0, which means that the floor is unknown.
+ * Floor of a backend server that has completed no order: below every fencing
+ * token, but not 0, which stands for an unknown floor.
  */
 const MIN_FLOOR = 1;
 
@@ -47,8 +47,8 @@
 export class AnnounceHandler {
   readonly #deps: AnnounceHandlerDependencies;
 
-  constructor(dependencies: AnnounceHandlerDependencies) {
-    this.#deps = dependencies;
+  constructor(deps: AnnounceHandlerDependencies) {
+    this.#deps = deps;
   }
 
   /**
@@ -90,7 +90,7 @@
    * fencing floor, that is, announces floor 0. A deposed leader could return a
    * floor below the token of an order that was delivered in the meantime.
    *
-   * @returns true when the sidecar's floor is known or may be sent
+   * @returns true when the sidecar has its floor already, or may be sent it
    */
   async #confirmFloor(req: WireAnnounce): Promise<boolean> {
     if ((req.fencingFloor ?? 0) > 0) return true;
--- a/packages/lovagepond-control/src/coalesced_call.ts
+++ b/packages/lovagepond-control/src/coalesced_call.ts
@@ -1,8 +1,8 @@
 /**
  * Coalesces concurrent calls into one.
  *
- * A caller never gets the result of a call that started before it asked: a
- * leader that has been partitioned since may have answered that call.
+ * A caller never gets the result of a call that started before its own request:
+ * the leader that answered that call may have been partitioned since.
  */
 
 /** Runs one call for all concurrent callers. */
--- a/packages/lovagepond-control/src/configuration_changer.ts
+++ b/packages/lovagepond-control/src/configuration_changer.ts
@@ -51,7 +51,7 @@
 
   /**
    * @param req the change
-   * @returns the answer; a retry under the same operation id gets the first one
+   * @returns the answer; for a retry under the same operation id, the first one
    */
   async change(req: AnyChangeRequest): Promise<ChangeAnswer> {
     // The change is validated against its base revision, so this member must
--- a/packages/lovagepond-control/src/configuration_documents.ts
+++ b/packages/lovagepond-control/src/configuration_documents.ts
@@ -15,7 +15,7 @@
 
 /** Answer to an install. */
 export type InstallAnswer =
-  /** Committed; `version` is in force, and may be higher than the submitted. */
+  /** Committed; `version` is in force, maybe higher than the submitted one. */
   | {readonly kind: 'accepted'; readonly version: number}
   | {readonly kind: 'invalid'; readonly faults: readonly ConfigurationFault[]}
   | RetryableFailure;
--- a/packages/lovagepond-control/src/confirmation_rounds.ts
+++ b/packages/lovagepond-control/src/confirmation_rounds.ts
@@ -1,5 +1,5 @@
 /**
- * Confirms subscriptions by read barriers, each of which covers many.
+ * Confirms subscriptions by read barriers, many subscriptions by each barrier.
  */
 import {type SubscriptionFeed} from './subscription_feed.js';
 
@@ -11,8 +11,8 @@
 
 /**
  * Collects the feeds that wait for a confirmation. A barrier confirms only the
- * feeds added before it began. For a later feed it proves nothing: a partition
- * may have cut off the leader that answered it.
+ * feeds added before it began: the leader that answered it may have been
+ * partitioned before a later feed was added.
  */
 export class ConfirmationRounds {
   readonly #confirmRevision: ConfirmRevision;
--- a/packages/lovagepond-control/src/context_inventory.ts
+++ b/packages/lovagepond-control/src/context_inventory.ts
@@ -46,18 +46,18 @@
  * answers within some milliseconds.
  *
  * @param servers the servers to query
- * @param dependencies the reader, the log and the callback for the answers
+ * @param deps the reader, the log and the callback for the answers
  */
 export async function collectHeldContexts(
   servers: readonly InventoryTarget[],
-  dependencies: InventoryDependencies,
+  deps: InventoryDependencies,
 ): Promise<void> {
   const remaining = [...servers];
   const queryNext = async (): Promise<void> => {
     for (;;) {
       const server = remaining.shift();
       if (!server) return;
-      await queryServer(server, dependencies);
+      await queryServer(server, deps);
     }
   };
   await Promise.all(Array.from({length: MAX_CONCURRENT_QUERIES}, queryNext));
--- a/packages/lovagepond-control/src/control_administration.ts
+++ b/packages/lovagepond-control/src/control_administration.ts
@@ -32,7 +32,7 @@
 export interface ChangeRequest {
   /** A retry under the same id gets the answer of the first request. */
   readonly operationId: string;
-  /** The revision the change is based on; if it isn't current, a conflict. */
+  /** Base of the change, which conflicts when another revision is current. */
   readonly baseRevision: number;
   /** Validates the change without applying it. */
   readonly dryRun: boolean;
@@ -208,7 +208,7 @@
   /** The request's fingerprint in hexadecimal, as in logs. */
   readonly request: string;
   readonly crashes: number;
-  /** Remaining time in quarantine, milliseconds; 0 when it may run. */
+  /** Remaining time in quarantine, milliseconds; 0 when not quarantined. */
   readonly quarantinedForMs: number;
 }
 
--- a/packages/lovagepond-control/src/control_commands.ts
+++ b/packages/lovagepond-control/src/control_commands.ts
@@ -172,7 +172,7 @@
 export const ORDER_OUTCOME_COMMAND =
   createCommand<OrderOutcomePayload>('orderOutcome');
 
-/** Metadata that the proposer adds, so that all members apply the same. */
+/** Metadata that the proposer adds, so that all members use the same values. */
 export interface CommandStamp {
   /** Replicated time, milliseconds; see {@link ReplicatedTime}. */
   readonly timeMs: number;
@@ -189,7 +189,7 @@
   readonly payload: Payload;
 }
 
-/** Encoded form. Names are short, as they dominate the size of a claim. */
+/** Encoded form. Keys are short, as they dominate the size of a claim. */
 interface EncodedCommand {
   readonly v: number;
   readonly n: string;
--- a/packages/lovagepond-control/src/control_leadership.ts
+++ b/packages/lovagepond-control/src/control_leadership.ts
@@ -126,8 +126,8 @@
   }
 
   /**
-   * Asks engines which contexts they hold: after a stop of all processes, no
-   * router or member has this information.
+   * Queries engines for their cached contexts: after a stop of all processes,
+   * no router or member has this information.
    */
   #takeInventory(): void {
     const {readHeldContexts, machine, log, onReport} = this.#deps;
--- a/packages/lovagepond-control/src/control_member_state.ts
+++ b/packages/lovagepond-control/src/control_member_state.ts
@@ -1,6 +1,6 @@
 /**
- * The soft state of one control member as leader or follower. It builds or
- * mirrors the membership, serves subscriptions, and ends them when outdated.
+ * The soft state of one control member. The leader builds the membership, and a
+ * follower mirrors it. A member serves subscriptions while its state is fresh.
  */
 import {type ConsensusNode, MEMBER_ROLE} from '@lovagepond/consensus';
 import {
@@ -192,8 +192,8 @@
   subscribe(subscriber: Subscriber, sink: UpdateSink): Unregister | undefined {
     const now = this.#now();
     if (!this.#hub.acceptsSubscribers(now)) return undefined;
-    // A follower mirrors only the leader, also while the leader takes over: if
-    // refused, it would retry some 200 ms later and delay its subscribers.
+    // Only a leader accepts followers, even before it has taken over: a refused
+    // follower would retry some 200 ms later and delay its own subscribers.
     const isFollower = subscriber.role === CONTROL_ROLE;
     const {role} = this.#deps.node.status();
     if (isFollower && role !== MEMBER_ROLE.LEADER) return undefined;
@@ -321,7 +321,7 @@
     this.#hub.flush(view, now);
   }
 
-  /** No load while the list is incomplete: slots may be assigned twice. */
+  /** No load while the list is incomplete, as slots may be assigned twice. */
   #readLoad(now: number): LoadReport | undefined {
     if (!this.#membership.complete) return undefined;
     if (this.#leadership.term !== undefined) {
--- a/packages/lovagepond-control/src/control_settings.ts
+++ b/packages/lovagepond-control/src/control_settings.ts
@@ -52,7 +52,7 @@
   readonly historyLimit: number;
   /** How long a recorded answer is kept. */
   readonly answerRetentionMs: number;
-  /** How long a key is kept; it isn't granted again before then. */
+  /** How long a key is kept and isn't granted again. */
   readonly keyRetentionMs: number;
   /** Age at which the outcome of an open claim becomes unknown. */
   readonly openClaimLimitMs: number;
--- a/packages/lovagepond-control/src/crash_reports.ts
+++ b/packages/lovagepond-control/src/crash_reports.ts
@@ -24,7 +24,7 @@
 type WireReport = lovagepond.v1.CrashReport.$Properties;
 type WireCrash = lovagepond.v1.CrashedServer.$Properties;
 
-/** Bytes of a fingerprint; others are dropped, as any program may report. */
+/** Bytes of a fingerprint; values of another length are dropped as invalid. */
 const FINGERPRINT_BYTES = 16;
 
 /** Limits of one report; the router sends the rest with its next report. */
@@ -51,8 +51,8 @@
 export class CrashReports {
   readonly #deps: CrashReportsDependencies;
 
-  constructor(dependencies: CrashReportsDependencies) {
-    this.#deps = dependencies;
+  constructor(deps: CrashReportsDependencies) {
+    this.#deps = deps;
   }
 
   /**
--- a/packages/lovagepond-control/src/direct_server_table.ts
+++ b/packages/lovagepond-control/src/direct_server_table.ts
@@ -67,10 +67,10 @@
  */
 const VACANCY_RETENTION_MS = 8_000;
 
-/** Limit of ended servers that are remembered so that none joins again. */
+/** Limit of ended servers that are recorded, so that none joins again. */
 const MAX_ENDED = 2_048;
 
-/** Limit of incarnations whose latest start is remembered likewise. */
+/** Limit of incarnations whose latest start is recorded for the same reason. */
 const MAX_STARTS = 2_048;
 
 /** Servers and their places. Part of the replicated state. */
--- a/packages/lovagepond-control/src/direct_servers.ts
+++ b/packages/lovagepond-control/src/direct_servers.ts
@@ -26,8 +26,8 @@
   /** Name of the server, which it may keep when it restarts. */
   readonly incarnation: string;
   /**
-   * Start of this instance, milliseconds since the Unix epoch; undefined where
-   * each start has its own incarnation.
+   * Start of this instance, milliseconds since the Unix epoch; undefined for a
+   * server that uses a new incarnation at each start.
    */
   readonly startedAtMs: number | undefined;
   readonly pool: string;
@@ -49,7 +49,7 @@
   /** The configuration in force has no such pool. */
   | {readonly kind: 'unknownPool'}
   | {readonly kind: 'notLeader'; readonly leader: string}
-  /** It may or may not have been committed: the server must resend it. */
+  /** The announcement may have been committed: the server must resend it. */
   | {readonly kind: 'unknown'};
 
 /** Dependencies of {@link DirectServers}. */
@@ -71,8 +71,8 @@
   #sequences = new Map<string, number>();
   #isOpeningPlaces = false;
 
-  constructor(dependencies: DirectServersDependencies) {
-    this.#deps = dependencies;
+  constructor(deps: DirectServersDependencies) {
+    this.#deps = deps;
   }
 
   /** @returns the servers in the replicated table, for a new leader */
@@ -105,7 +105,8 @@
    * Removes a server that reports its end, whether or not it has announced
    * before that it is leaving.
    *
-   * @param instance the server; without a start, its instance in the table
+   * @param instance the instance to remove; without a start, the one in the
+   *     table
    * @returns the answer; only the leader accepts the report
    */
   async remove(instance: ServerInstance): Promise<AnnouncementAnswer> {
@@ -124,7 +125,8 @@
   }
 
   /**
-   * Drops servers whose lease expired, and opens places that are due.
+   * Drops servers whose lease expired, assigns places to servers that have been
+   * standbys for long enough, and discards places vacant for too long.
    *
    * @param lapsed names of servers whose lease expired, with or without sidecar
    * @param now monotonic milliseconds
@@ -153,9 +155,10 @@
   }
 
   /**
-   * Checks the announced pool. An announcement for a pool that isn't configured
-   * may come from a foreign sender, and accepting it would remove the server
-   * running at that address. Without configured pools any pool is accepted.
+   * Checks the announced pool. An announcement of a pool that isn't configured
+   * may come from a foreign sender. If it were accepted, it would remove the
+   * server that runs at its address. Without configured pools, any pool is
+   * accepted.
    */
   #isKnownPool(pool: string): boolean {
     const {content} = this.#deps.machine.configuration.current.read();
@@ -229,16 +232,16 @@
   }
 }
 
-/** One instance of a server: a single run of its process. */
+/** Identifies one instance of a server: a single run of its process. */
 export type ServerInstance = Pick<
   DirectAnnouncement,
   'incarnation' | 'startedAtMs'
 >;
 
 /**
- * Each instance has its own name and so counts as a separate server everywhere.
- * State of the previous instance, such as its cached prompts, load and pauses,
- * isn't carried over.
+ * Names each instance differently, so that all nodes treat it as a separate
+ * server: state of the previous instance, such as its cached prompts, load and
+ * pauses, isn't carried over.
  */
 function instanceName({incarnation, startedAtMs}: ServerInstance): string {
   return startedAtMs === undefined
--- a/packages/lovagepond-control/src/leader_client.ts
+++ b/packages/lovagepond-control/src/leader_client.ts
@@ -154,7 +154,7 @@
    * Forwards a router's report of crashes to the leader.
    *
    * @param report the router's report
-   * @returns the leader's answer; not recorded when there was none
+   * @returns the leader's answer; `recorded` is false when there was none
    */
   async reportCrashes(
     report: lovagepond.v1.CrashReport,
--- a/packages/lovagepond-control/src/ledger_entries.ts
+++ b/packages/lovagepond-control/src/ledger_entries.ts
@@ -19,7 +19,7 @@
   readonly openClaimLimitMs: number;
   /** Limit of entries. */
   readonly ledgerLimit: number;
-  /** Limit of characters of all stored answers; the oldest go first. */
+  /** Limit of characters of all stored answers; the oldest are evicted. */
   readonly answerCharactersLimit: number;
 }
 
@@ -117,7 +117,7 @@
   /**
    * Sets an entry's state to unknown.
    *
-   * @param key a key whose claim can no longer get a certain outcome
+   * @param key a key whose outcome can no longer be determined
    * @param timeMs replicated time
    */
   settleUnknown(key: string, timeMs: number): void {
--- a/packages/lovagepond-control/src/ledger_incarnations.ts
+++ b/packages/lovagepond-control/src/ledger_incarnations.ts
@@ -4,7 +4,7 @@
 import {ExpiryQueue} from './expiry_queue.js';
 import {type ClaimOwner} from './ledger_entry.js';
 
-/** Limit of superseded incarnations that are remembered for one sidecar. */
+/** Limit of superseded incarnations that are stored for one sidecar. */
 const MAX_FORMER_INCARNATIONS = 8;
 
 /**
@@ -69,7 +69,7 @@
    * Removes sidecars whose registration has expired.
    *
    * @param timeMs replicated time
-   * @param hasOpenClaims returns true for sidecars with open claims, which stay
+   * @param hasOpenClaims whether a sidecar has open claims and must be kept
    */
   expire(timeMs: number, hasOpenClaims: (server: string) => boolean): void {
     const untilMs = timeMs - REGISTRATION_RETENTION_MS;
--- a/packages/lovagepond-control/src/member_addresses.ts
+++ b/packages/lovagepond-control/src/member_addresses.ts
@@ -16,7 +16,7 @@
 /**
  * @param node this member's consensus node
  * @returns `host:port` of members to which this member redirects subscribers;
- *     none once it has a log
+ *     none once this member has a log
  */
 export function listRedirectTargets(node: ConsensusNode): readonly string[] {
   const {commitIndex, leader, role} = node.status();
--- a/packages/lovagepond-control/src/member_administration.ts
+++ b/packages/lovagepond-control/src/member_administration.ts
@@ -61,7 +61,7 @@
   /** @returns the load report that this member publishes, if it has one */
   readonly load: (now: number) => LoadReport | undefined;
   readonly dump: () => StateDump;
-  /** @returns the newest revision of a majority, if one could be reached */
+  /** @returns the revision that a majority confirms; undefined when none can */
   readonly confirmRevision: () => Promise<number | undefined>;
 }
 
--- a/packages/lovagepond-control/src/membership_log.ts
+++ b/packages/lovagepond-control/src/membership_log.ts
@@ -4,7 +4,7 @@
  */
 import {type BackendServer} from '@lovagepond/core';
 
-/** Limit of stored departures; an older version gets the whole list. */
+/** Limit of stored departures; for an older version, the whole list is sent. */
 const MAX_DEPARTURES = 4_096;
 
 /** The changes between two versions. */
--- a/packages/lovagepond-control/src/pool_means.ts
+++ b/packages/lovagepond-control/src/pool_means.ts
@@ -16,11 +16,11 @@
 /** A ready server's load, as counted in its pool's mean. */
 export interface PoolShare {
   readonly pool: string;
-  /** Outstanding tokens, a whole number so that sums stay exact. */
+  /** Outstanding tokens; a whole number, so that sums stay exact. */
   readonly tokens: number;
-  /** The part of these tokens at the engine, a whole number. */
+  /** Those of the outstanding tokens that are at the engine; a whole number. */
   readonly runningTokens: number;
-  /** Time of the report, monotonic milliseconds, a whole number. */
+  /** Time of the report, monotonic milliseconds; a whole number. */
   readonly reportedAt: number;
 }
 
@@ -57,7 +57,7 @@
     this.#sums.set(share.pool, first);
   }
 
-  /** @param share a load that was added before */
+  /** @param share a load that was added before, with the same values */
   subtract(share: PoolShare): void {
     const sums = this.#sums.get(share.pool);
     if (!sums) return;
--- a/packages/lovagepond-control/src/revision_confirmer.ts
+++ b/packages/lovagepond-control/src/revision_confirmer.ts
@@ -2,7 +2,7 @@
  * A follower's requests to the leader to confirm the newest revision, on behalf
  * of the nodes that are connected to the follower.
  *
- * Each gateway asks twice a second whether its configuration is the newest.
+ * Each gateway checks twice a second whether its configuration is the newest.
  * Forwarding each request would make the leader's load grow with the number of
  * gateways, and the leader is busiest after a restart of all processes.
  */
--- a/packages/lovagepond-control/src/subscription_hub.ts
+++ b/packages/lovagepond-control/src/subscription_hub.ts
@@ -24,17 +24,20 @@
 interface Subscription {
   readonly feed: SubscriptionFeed;
   readonly sink: UpdateSink;
-  /** Whether it has been redirected to other members. */
+  /** Whether the subscriber has been redirected to other members. */
   isRedirected?: boolean;
 }
 
 /** Settings of the hub. */
 export interface HubSettings extends FeedSettings {
-  /** A member without contact for this long ends its subscriptions. */
+  /** Time without contact after which the member ends its subscriptions. */
   readonly leaderContactLimitMs: number;
 }
 
-/** Sends updates to all subscribers, and ends subscriptions without contact. */
+/**
+ * Sends updates to all subscribers, and ends all subscriptions when the member
+ * loses contact: a leader with a majority, a follower with the leader.
+ */
 export class SubscriptionHub {
   readonly #settings: HubSettings;
   readonly #subscriptions = new Set<Subscription>();
@@ -52,7 +55,7 @@
     this.#contactAt = now - settings.leaderContactLimitMs;
   }
 
-  /** The oldest log version of this member and its subscribed followers. */
+  /** The lowest log version among this member and its subscribed followers. */
   get oldestLogVersion(): number {
     const members = [...this.#subscriptions].filter(
       ({feed}) => feed.subscriber.role === CONTROL_ROLE,
@@ -75,10 +78,10 @@
   }
 
   /**
-   * A member that has just started has no contact yet, and neither may the
-   * members that started with it. Its subscribers wait here for the first
-   * leader: if refused, they would cycle through all members and reach each
-   * too late.
+   * Returns whether subscribers are accepted and kept. After a start of all
+   * members, none has contact until a leader is elected. Subscribers wait for
+   * it at a member that has just started: if refused, they would cycle through
+   * all members and reach each too late.
    *
    * @param now monotonic milliseconds
    * @returns true while subscribers are accepted and kept
@@ -112,11 +115,10 @@
   }
 
   /**
-   * Records this member's last contact: a leader's with a majority, a
-   * follower's with the leader. Without contact, subscriptions are ended, so
-   * that subscribers move to a member that has contact. Otherwise, subscribers
-   * of a partitioned member would keep an old configuration for as long as the
-   * partition lasts.
+   * Records the member's last contact. Without contact, all subscriptions are
+   * ended, so that subscribers move to a member that has contact. Otherwise,
+   * those of a partitioned member would keep an old configuration for as long
+   * as the partition lasts.
    *
    * @param contactAt time of the last contact, monotonic milliseconds
    * @param now monotonic milliseconds
@@ -144,8 +146,8 @@
   /**
    * Redirects subscribers, once each, to members that can serve them. After a
    * stop of all hosts, a host without stored state must first be admitted by
-   * the leader, and gets the log some 0.7 s after the others. Gateways whose
-   * settings name only such hosts would wait for that.
+   * the leader, and gets the log some 0.7 s after the others. Without the
+   * redirect, gateways whose settings name only such hosts would wait as long.
    *
    * @param members `host:port` of the members to redirect to; may be empty
    */
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_state.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_state.test.ts
@@ -80,7 +80,7 @@
   // A restarted sidecar gets an old configuration from a router. It must not
   // serve with it before a majority has confirmed a revision, and revisions
   // must never decrease.
-  it('only rise, and serve only once a majority confirmed them', () => {
+  it('only increase, and allow requests once a majority confirmed one', () => {
     const revisions = new SidecarRevisions({serveUnconfirmed: false});
     revisions.install({...EMPTY_CONFIGURATION, revision: 5});
     expect(revisions.mayServe()).toBe(false);
--- a/packages/lovagepond-sidecar/src/index.ts
+++ b/packages/lovagepond-sidecar/src/index.ts
@@ -31,15 +31,12 @@
   type RevisionCheck,
   SidecarRevisions,
 } from './sidecar_revisions.js';
-export {
-  type SidecarDependencies as SidecarParts,
-  SidecarRole,
-} from './sidecar_role.js';
+export {type SidecarDependencies, SidecarRole} from './sidecar_role.js';
 export {
   type BackendKind,
   DEFAULT_SIDECAR_SETTINGS,
-  PARTITION_POLICY as ISLAND_POLICY,
-  type PartitionPolicy as IslandPolicy,
+  PARTITION_POLICY,
+  type PartitionPolicy,
   type SidecarSettings,
 } from './sidecar_settings.js';
 export {
--- a/packages/lovagepond-sidecar/src/sidecar_admission.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_admission.ts
@@ -1,14 +1,14 @@
 /**
- * Load bound: limits the work running at the engine to a set multiple of the
- * pool's mean, even when routers send requests based on stale loads.
+ * Load bound: limits the work running at the engine to a configured multiple of
+ * the pool's mean, even when routers send requests based on stale loads.
  */
 
 /**
- * Share by which an engine's count may exceed the sidecar's own without being
- * taken for foreign work.
+ * Share by which the engine's token count may exceed the sidecar's own before
+ * the excess counts as foreign work.
  */
 const REPORT_TOLERANCE = 0.1;
-/** Assumed age of a router's estimate, which carries none, milliseconds. */
+/** Assumed age of a router's estimate, which states none, milliseconds. */
 const ROUTER_ESTIMATE_AGE_MS = 1_500;
 const MAX_HISTORY = 256;
 /**
@@ -21,8 +21,8 @@
 /** Smoothing factor of the mean run time. */
 const RUN_SMOOTHING_FACTOR = 0.1;
 /**
- * Time for which newly admitted work keeps counting towards the bound, added to
- * the age of the mean, milliseconds.
+ * Time for which newly admitted work counts towards the bound, milliseconds. It
+ * is added to the age of the mean when the unfinished share is estimated.
  */
 const REACTION_MS = 300;
 
@@ -68,8 +68,8 @@
 }
 
 /**
- * Before the first mean arrives, only the floor may run: with a count of one
- * server, this one would fill up to its capacity.
+ * Used before the first mean arrives, so that only the floor may run. With a
+ * count of one server, work would be admitted up to the capacity.
  */
 const NO_SAMPLE: Sample = {
   othersTokens: 0,
@@ -161,9 +161,9 @@
   }
 
   /**
-   * Processes a load report of the engine. The report is delayed, so only the
-   * excess over this sidecar's work at that time counts. Such an excess comes
-   * from a former incarnation, or from cancelled streams that still run.
+   * Processes a delayed load report of the engine. Only the excess over this
+   * sidecar's own work at the time of the report counts: work of a former
+   * incarnation, or cancelled streams that still run.
    *
    * @param tokens outstanding tokens that the engine counted
    * @param lagMs age of the report, milliseconds
@@ -222,9 +222,9 @@
   }
 
   /**
-   * This server's own work is part of the mean, so the mean changes with each
-   * admitted request. The limit is the load at which `load = multiple * mean`
-   * holds including that change, for a multiple below the bound.
+   * Computes the load at which `load = multiple * mean` holds, for a multiple
+   * below the bound. This server's own work is part of the mean, so the mean
+   * changes with each admitted request.
    *
    * @param now current time
    * @returns tokens that may run here
@@ -233,7 +233,7 @@
     const {floorTokens} = this.#settings;
     const capacityTokens = this.#capacityTokens;
     const {readyServers} = this.#sample(now);
-    // With this few servers, none can exceed the mean by the bound.
+    // No load exceeds the number of servers times their mean.
     if (readyServers <= this.#loadBound) return capacityTokens;
     const multiple = 1 + (this.#loadBound - 1) * HEADROOM_SHARE;
     const others = this.#othersTokens(now);
@@ -323,10 +323,10 @@
   /**
    * Updates the number of ready servers. Control's count is soft state: a new
    * leader may register the servers one by one, and a pool counted as one
-   * server has no bound. So a count that falls by more than half takes effect
-   * only after the previous count has aged. A smaller decrease takes effect at
-   * once, as too high a count would keep the other servers from taking over the
-   * work of those that left.
+   * server has no bound. A count that falls by more than half therefore takes
+   * effect only after the previous count has aged. A smaller decrease takes
+   * effect at once: too high a count would keep the remaining servers from
+   * taking over the work of those that left.
    */
   #updateReadyServers(count: number, now: number): number {
     const aged = now - this.#ready.updatedAt > this.#settings.meanTrustMs;
--- a/packages/lovagepond-sidecar/src/sidecar_attempts.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_attempts.ts
@@ -49,7 +49,7 @@
   readonly maxAttempts: number;
 }
 
-/** Attempts that this incarnation has seen. */
+/** Attempts that this incarnation has received or revoked. */
 export class SidecarAttempts {
   readonly #settings: AttemptsSettings;
   readonly #records = new Map<string, AttemptRecord>();
--- a/packages/lovagepond-sidecar/src/sidecar_backend_watch.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_backend_watch.ts
@@ -7,7 +7,7 @@
 import {type Backend} from './sidecar_backend.js';
 import {type SidecarGate} from './sidecar_gate.js';
 
-/** Number of consecutive failed probes after which it counts as down. */
+/** Number of consecutive failed probes after which the server is down. */
 const FAILURES_UNTIL_DOWN = 2;
 
 /** Dependencies of the watch. */
--- a/packages/lovagepond-sidecar/src/sidecar_claims.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_claims.ts
@@ -3,7 +3,7 @@
  * the dispatch, a record of the outcome after it.
  *
  * A call is dispatched only after the answer `granted`. If the answer to a
- * claim is lost, the claim may still stand in the ledger. It is therefore sent
+ * claim is lost, the ledger may have granted it. The claim is therefore sent
  * again for the same attempt, to which the ledger grants it again. When the
  * claim times out, the call is refused as not run and the release is recorded
  * in the ledger; an unreleased claim would block every later repeat of the
@@ -72,7 +72,7 @@
 
 /**
  * Answers of the ledger that deny a claim, with the error kind for the caller.
- * After any other answer, the claim may stand in the ledger, so it is sent
+ * After any other answer, the ledger may hold the claim, so it is sent
  * again.
  */
 const DENIALS: Readonly<Record<string, ErrorKind>> = {
@@ -213,7 +213,7 @@
   }
 
   /**
-   * Ends a claim or record that timed out. The claim may stand in the ledger,
+   * Ends a claim or record that timed out. The ledger may hold the claim,
    * so a "not run" record for this attempt is sent.
    */
   #giveUp(attemptId: string, claim: Claim, now: number): ClaimAction[] {
--- a/packages/lovagepond-sidecar/src/sidecar_configuration.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_configuration.ts
@@ -60,7 +60,7 @@
   install(bytes: Uint8Array): void {
     const configuration = decodeConfiguration(bytes);
     if (!configuration) {
-      this.#deps.log.error('received configuration could not be decoded');
+      this.#deps.log.error('received configuration cannot be decoded');
       return;
     }
     if (!this.#revisions.install(configuration)) return;
--- a/packages/lovagepond-sidecar/src/sidecar_dispatcher.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_dispatcher.ts
@@ -297,10 +297,10 @@
     session: SidecarSession,
     failure: Failure,
     now: number,
-    crashedLife?: string,
+    crashedInstance?: string,
   ): void {
     increment(this.#failedByKind, failure.kind);
-    session.fail(failure, now, crashedLife);
+    session.fail(failure, now, crashedInstance);
   }
 
   async #run(session: SidecarSession): Promise<void> {
@@ -318,8 +318,10 @@
       wasInterrupted(outcome) &&
       !signal.aborted &&
       (await this.#hasEnded(instance));
-    const crashedLife = hasCrashed ? this.#instanceName(instance) : undefined;
-    this.#onRunEnd(session, outcome, crashedLife);
+    const crashedInstance = hasCrashed
+      ? this.#instanceName(instance)
+      : undefined;
+    this.#onRunEnd(session, outcome, crashedInstance);
   }
 
   /**
@@ -342,7 +344,7 @@
   #onRunEnd(
     session: SidecarSession,
     outcome: RunOutcome,
-    crashedLife: string | undefined,
+    crashedInstance: string | undefined,
   ): void {
     const now = this.#deps.clock.now();
     const {request} = session;
@@ -353,7 +355,7 @@
       this.#deps.noteServed(request);
     }
     if (outcome.kind === 'failed') {
-      this.#fail(session, outcome.failure, now, crashedLife);
+      this.#fail(session, outcome.failure, now, crashedInstance);
     }
     const kind = outcome.kind === 'notRun' ? outcome.failure.kind : undefined;
     if (kind === 'unreachable') this.#deps.noteUnreachable();
--- a/packages/lovagepond-sidecar/src/sidecar_fencing.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_fencing.ts
@@ -1,5 +1,5 @@
 /**
- * Checks fencing tokens of orders on behalf of backend servers that do not:
+ * Checks fencing tokens of orders, for backend servers that do not check them:
  * each order passes once, and only if its token is higher than those of all
  * orders that have passed.
  */
@@ -44,7 +44,7 @@
   #running: string | undefined;
   readonly #results = new Map<string, OrderResult>();
 
-  /** @returns the floor: no order with this token or a lower one passes */
+  /** @returns the floor: the highest token that no longer passes */
   get floor(): number {
     return this.#floor;
   }
@@ -56,9 +56,8 @@
 
   /**
    * Raises the floor. A restarted sidecar has no record of the orders that its
-   * former incarnation passed. Without the floor of a majority, a delayed order
-   * of a deposed leader could undo a newer one at a backend server that does
-   * not check tokens.
+   * former incarnation passed. If it did not wait for the floor that a majority
+   * has recorded, a delayed order of a deposed leader could undo a newer one.
    *
    * @param floor the highest token that a majority has recorded for this server
    */
--- a/packages/lovagepond-sidecar/src/sidecar_frames.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_frames.ts
@@ -72,14 +72,20 @@
 
 /**
  * @param failure why the dispatched attempt failed
- * @param crashedLife backend instance that ended during the run; empty if none
+ * @param crashedInstance backend instance that ended during the run; empty if
+ *     none
  * @returns the frame
  */
-export function makeFailed(failure: Failure, crashedLife = ''): FrameBody {
+export function makeFailed(failure: Failure, crashedInstance = ''): FrameBody {
   const {kind: errorKind, message} = failure;
   const retryAfterMs = Math.round(failure.retryAfterMs);
   return {
-    failed: new v1.Failed({errorKind, message, retryAfterMs, crashedLife}),
+    failed: new v1.Failed({
+      errorKind,
+      message,
+      retryAfterMs,
+      crashedLife: crashedInstance,
+    }),
   };
 }
 
--- a/packages/lovagepond-sidecar/src/sidecar_gate.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_gate.ts
@@ -62,12 +62,12 @@
     return this.#components.cache;
   }
 
-  /** @returns where chats whose first choice this server is were served last */
+  /** @returns for chats whose first choice is this server: who served them */
   get pointers(): SidecarPointers {
     return this.#components.pointers;
   }
 
-  /** @returns true when new work is accepted, apart from draining */
+  /** @returns true when new work is accepted, unless the server is draining */
   get ready(): boolean {
     return this.#mode.notReady === undefined;
   }
@@ -173,7 +173,7 @@
   }
 
   /**
-   * @param attemptId an attempt whose claim was asked for
+   * @param attemptId an attempt whose claim was requested
    * @param now current time
    * @returns the dispatch; nothing if the attempt was revoked meanwhile
    */
@@ -186,7 +186,7 @@
   /**
    * Handles a claim that was not granted: this attempt is never run.
    *
-   * @param attemptId an attempt whose claim was asked for
+   * @param attemptId an attempt whose claim was requested
    * @param now current time
    * @returns other requests that can be dispatched instead
    */
@@ -281,9 +281,9 @@
   }
 
   /**
-   * Reserves capacity for a request that a take will bring.
+   * Reserves capacity for a request to be taken from another server.
    *
-   * @param victim backend server that is asked for a request
+   * @param victim the server from which the request is taken
    * @param tokens tokens to reserve; 0 releases the reservation
    * @param until when the reservation expires
    */
@@ -309,11 +309,11 @@
   }
 
   /**
-   * Refuses all held requests at once when the backend server is down, so that
-   * their routers can try another server.
+   * Handles a failure of the backend server.
    *
    * @param now current time
-   * @returns refusals of all held requests
+   * @returns refusals of all held requests, so that their routers can try
+   *     another server
    */
   backendDown(now: number): GateAction[] {
     return this.#components.hold.removeAll().map(({offer}) => {
--- a/packages/lovagepond-sidecar/src/sidecar_hold.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_hold.ts
@@ -135,9 +135,9 @@
   }
 
   /**
-   * Reserves capacity for a request that a take will bring.
+   * Reserves capacity for a request to be taken from another server.
    *
-   * @param victim backend server that is asked for a request
+   * @param victim the server from which the request is taken
    * @param tokens tokens to reserve; 0 releases the reservation
    * @param until when the reservation expires
    */
--- a/packages/lovagepond-sidecar/src/sidecar_hold_review.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_hold_review.ts
@@ -1,7 +1,7 @@
 /**
  * Finds held requests that can no longer be served in time. They are refused at
  * once: kept until their deadline, they would occupy places in the queue that
- * others need, and their callers would only learn of the refusal later.
+ * others need, and their callers could retry only later.
  */
 import {type SidecarDrain} from './sidecar_drain.js';
 import {type HeldRequest, type SidecarFairQueue} from './sidecar_fair_queue.js';
--- a/packages/lovagepond-sidecar/src/sidecar_pointers.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_pointers.ts
@@ -1,6 +1,7 @@
 /**
- * Where chats whose first choice is this server were served last, if elsewhere.
- * A returning chat reaches its cached context with one extra hop.
+ * Pointers from chats whose first choice is this server to the other servers
+ * that served them last. A returning chat reaches its cached context with one
+ * extra hop.
  */
 import {chatNumber} from './sidecar_cache_index.js';
 
--- a/packages/lovagepond-sidecar/src/sidecar_presence.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_presence.ts
@@ -26,7 +26,7 @@
   revision(): number;
   /** @returns models that the backend server has loaded */
   models(): readonly string[];
-  /** Called with the state that operators want: draining or ready. */
+  /** Called with the state that operators set: draining or ready. */
   onWantedState(wanted: string): void;
 }
 
--- a/packages/lovagepond-sidecar/src/sidecar_revisions.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_revisions.ts
@@ -1,7 +1,6 @@
 /**
- * The configuration in force at this sidecar. Revisions only increase, and no
- * requests are accepted before the revision is known to be as new as a
- * majority's.
+ * The configuration in force at this sidecar. Revisions only increase. Requests
+ * are accepted once the revision is known to be as new as a majority's.
  */
 import {
   type Configuration,
@@ -53,13 +52,13 @@
   }
 
   /**
-   * Whether requests may be accepted. A restarted process holds no
-   * configuration, or one from a router that may be hundreds of changes old. It
-   * accepts requests once a majority has confirmed a revision and one at least
-   * as new is in force. Otherwise a change that was reported to operators as in
-   * force would appear to be reverted.
+   * Checks whether a revision at least as new as the one that a majority
+   * confirmed is in force. A restarted process may get a configuration from a
+   * router that is hundreds of changes old. With it, a change that was reported
+   * to operators as in force would appear to be reverted.
    *
-   * @returns true when requests may be accepted
+   * @returns true when requests may be accepted: after that confirmation, or
+   *     with any configuration if unconfirmed ones may be served
    */
   mayServe(): boolean {
     if (this.#confirmed && this.revision >= this.#floor) return true;
--- a/packages/lovagepond-sidecar/src/sidecar_role.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_role.ts
@@ -235,7 +235,7 @@
         void this.#probeBackend();
       },
       backendInstance: () => this.#watch.instance,
-      hasEnded: life => this.#watch.hasEnded(life),
+      hasEnded: instance => this.#watch.hasEnded(instance),
       noteServed: ({workspace, chat}) =>
         this.#mover?.recent.note({workspace, chat}),
     });
@@ -312,7 +312,7 @@
 
   /**
    * Updates the gate's readiness. A change of state is announced at once, as
-   * routers learn of it only from the announcement.
+   * routers get the state only from announcements.
    */
   #updateReadiness(): void {
     const before = this.#presence.state;
--- a/packages/lovagepond-sidecar/src/sidecar_run.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_run.ts
@@ -106,7 +106,7 @@
 /**
  * Converts an exception into a failure, as the request may have run. An
  * uncaught exception would leave the run open in the gate, and its tokens would
- * count towards the load bound for good.
+ * count towards the load bound permanently.
  */
 async function streamOnce(
   deps: RunDependencies,
@@ -144,7 +144,7 @@
 /**
  * Runs an attempt to its end. If the engine's stream breaks after the first
  * byte, the same generation is resumed at the current offset. An engine that no
- * longer holds the generation refuses, and the attempt fails.
+ * longer holds the generation refuses the resume, and the attempt fails.
  *
  * @param deps the session of the attempt, its backend server and an abort
  *     signal
--- a/packages/lovagepond-sidecar/src/sidecar_session.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_session.ts
@@ -172,10 +172,10 @@
   /**
    * @param failure why the attempt failed after its dispatch
    * @param now current time
-   * @param crashedLife backend instance that ended during the run, if any
+   * @param crashedInstance backend instance that ended during the run, if any
    */
-  fail(failure: Failure, now: number, crashedLife?: string): void {
-    this.#close(makeFailed(failure, crashedLife), now);
+  fail(failure: Failure, now: number, crashedInstance?: string): void {
+    this.#close(makeFailed(failure, crashedInstance), now);
   }
 
   /**
--- a/packages/lovagepond-sidecar/src/sidecar_take_client.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_take_client.ts
@@ -40,7 +40,7 @@
   }
 
   /**
-   * Asks one sidecar for a request if one is due; called at each tick.
+   * Takes a request from another sidecar if a take is due; called at each tick.
    *
    * @param now current time
    */
