--- a/packages/lovagepond-control/src/control_leadership.ts
+++ b/packages/lovagepond-control/src/control_leadership.ts
@@ -106,10 +106,7 @@
     if (this.#deps.readings.isEmpty) this.#scheduleInventory(term);
   }
 
-  /**
-   * Schedules the context inventory, which saves engines from processing
-   * prompts again. The delay lets gateways serve requests first.
-   */
+  /** Schedules the inventory for when gateways have begun to serve requests. */
   #scheduleInventory(term: number): void {
     setTimeout(() => {
       if (this.#term === term) this.#takeInventory();
--- a/packages/lovagepond-control/src/control_role.ts
+++ b/packages/lovagepond-control/src/control_role.ts
@@ -171,10 +171,7 @@
   }
 }
 
-/**
- * An observer keeps its log in memory, so that each process gets a new member
- * id.
- */
+/** An observer keeps its log in memory: each process gets a new member id. */
 function openStorage(
   {observer, dataFolder}: ControlSettings,
   isReopening = false,
--- a/packages/lovagepond-control/src/direct_servers.ts
+++ b/packages/lovagepond-control/src/direct_servers.ts
@@ -105,8 +105,7 @@
    * Removes a server that reports its end, whether or not it has announced
    * before that it is leaving.
    *
-   * @param instance the instance to remove; without a start, the one in the
-   *     table
+   * @param instance the server; without a start, its instance in the table ends
    * @returns the answer; only the leader accepts the report
    */
   async remove(instance: ServerInstance): Promise<AnnouncementAnswer> {
--- a/packages/lovagepond-sidecar/src/sidecar_announcer.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_announcer.ts
@@ -8,7 +8,7 @@
 type AnnounceRequest = lovagepond.v1.AnnounceRequest.$Properties;
 type AnnounceResponse = lovagepond.v1.AnnounceResponse;
 
-/** Dependencies of the announcer. */
+/** Dependencies of {@link SidecarAnnouncer}. */
 export interface AnnouncerDependencies {
   readonly link: SidecarControlLink;
   readonly announceIntervalMs: number;
--- a/packages/lovagepond-sidecar/src/sidecar_backend_watch.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_backend_watch.ts
@@ -10,7 +10,7 @@
 /** Number of consecutive failed probes after which the server is down. */
 const FAILURES_UNTIL_DOWN = 2;
 
-/** Dependencies of the watch. */
+/** Dependencies of {@link SidecarBackendWatch}. */
 export interface WatchDependencies {
   readonly backend: Backend;
   readonly gate: SidecarGate;
@@ -57,7 +57,7 @@
     return this.#failures < FAILURES_UNTIL_DOWN;
   }
 
-  /** @returns models that it has loaded */
+  /** @returns models that the backend server has loaded */
   get models(): readonly string[] {
     return this.#models;
   }
--- a/packages/lovagepond-sidecar/src/sidecar_cache_index.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_cache_index.ts
@@ -47,10 +47,7 @@
   return high * EPOCH_UNIT + hashText(text, FNV_OFFSET);
 }
 
-/**
- * Bounded index of the engine's cached chats; the least recently used is
- * evicted first.
- */
+/** Bounded index of cached chats; evicts the least recently used first. */
 export class SidecarCacheIndex {
   readonly #maxChats: number;
   /** Chat number to `epoch * 2^32 + tokens`; least recently used first. */
--- a/packages/lovagepond-sidecar/src/sidecar_cache_mover.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_cache_mover.ts
@@ -23,7 +23,7 @@
 
 const BUSY_CHECK_MS = 100;
 
-/** Dependencies of the mover. */
+/** Dependencies of {@link SidecarCacheMover}. */
 export interface MoverDependencies {
   readonly gate: SidecarGate;
   readonly backend: Backend;
--- a/packages/lovagepond-sidecar/src/sidecar_claimed_calls.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_claimed_calls.ts
@@ -95,9 +95,7 @@
     };
   }
 
-  /**
-   * @returns number of calls between their claim and the end of their record
-   */
+  /** @returns number of calls between their claim and the end of the record */
   get size(): number {
     return this.#claims.size;
   }
--- a/packages/lovagepond-sidecar/src/sidecar_claims.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_claims.ts
@@ -72,8 +72,7 @@
 
 /**
  * Answers of the ledger that deny a claim, with the error kind for the caller.
- * After any other answer, the ledger may hold the claim, so it is sent
- * again.
+ * After any other answer, the ledger may hold the claim, so it is sent again.
  */
 const DENIALS: Readonly<Record<string, ErrorKind>> = {
   inProgress: 'inProgress',
@@ -94,9 +93,7 @@
     this.#settings = settings;
   }
 
-  /**
-   * @returns number of calls between their claim and the end of their record
-   */
+  /** @returns number of calls between their claim and the end of the record */
   get size(): number {
     return this.#claims.size;
   }
@@ -213,8 +210,8 @@
   }
 
   /**
-   * Ends a claim or record that timed out. The ledger may hold the claim,
-   * so a "not run" record for this attempt is sent.
+   * Ends a claim or record that timed out. The ledger may hold the claim, so a
+   * "not run" record for this attempt is sent.
    */
   #giveUp(attemptId: string, claim: Claim, now: number): ClaimAction[] {
     if (claim.state === CLAIM_STATE.RECORDING) {
--- a/packages/lovagepond-sidecar/src/sidecar_control_feed.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_control_feed.ts
@@ -19,7 +19,7 @@
 
 const RETRY_MS = 200;
 
-/** Dependencies of the feed. */
+/** Dependencies of {@link SidecarControlFeed}. */
 export interface FeedDependencies {
   readonly clock: Clock;
   readonly log: Logger;
--- a/packages/lovagepond-sidecar/src/sidecar_dispatcher.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_dispatcher.ts
@@ -33,14 +33,11 @@
 const RECORD_TIMEOUT_MS = 600_000;
 const LEDGER_RETRY_MS = 100;
 
-/**
- * Time limit of the check whether a backend server crashed during a run,
- * milliseconds.
- */
+/** Time limit of the check whether a crash ended a run, milliseconds. */
 const CRASH_CHECK_TIMEOUT_MS = 300;
 const NO_BYTES = new Uint8Array();
 
-/** Dependencies of the dispatcher. */
+/** Dependencies of {@link SidecarDispatcher}. */
 export interface DispatcherDependencies {
   readonly gate: SidecarGate;
   readonly backend: Backend;
@@ -48,10 +45,7 @@
   readonly log: Logger;
   readonly ledger: LedgerCalls;
   readonly incarnation: string;
-  /**
-   * @returns the configuration in force if newer than the given revision, else
-   *     no bytes
-   */
+  /** @returns the configuration in force if above `revision`, else no bytes */
   newerConfiguration(revision: number): Uint8Array;
   /** Sends a chat's first choice a pointer to this server. */
   point(request: AttemptRequest): void;
@@ -178,9 +172,8 @@
   }
 
   /**
-   * Whether the process may stop. A run can have ended while its answer is
-   * still being sent to a slow reader, which stopping the process would
-   * interrupt.
+   * Whether the process may stop without truncating an answer: a run may have
+   * ended while its answer is still being sent to a slow reader.
    *
    * @returns true when nothing is queued, running, being recorded or being sent
    */
--- a/packages/lovagepond-sidecar/src/sidecar_fair_queue.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_fair_queue.ts
@@ -11,10 +11,7 @@
   type WorkspaceShare,
 } from './sidecar_types.js';
 
-/**
- * About one short request. A larger quantum makes a quiet workspace wait
- * longer.
- */
+/** About one short request; with more, quiet workspaces would wait longer. */
 const QUANTUM_TOKENS = 1_024;
 const NEUTRAL_PRIORITY = 5;
 const HIGHEST_PRIORITY = 9;
@@ -192,9 +189,7 @@
     }
   }
 
-  /**
-   * @returns the request to serve next, removed and charged to its workspace
-   */
+  /** @returns the request to serve, removed and charged to its workspace */
   pop(): HeldRequest | undefined {
     const head = this.peek();
     if (!head) return undefined;
--- a/packages/lovagepond-sidecar/src/sidecar_fencing.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_fencing.ts
@@ -20,9 +20,7 @@
   RUNNING: 'running',
   /** The order has ended and its outcome is known. */
   ENDED: 'ended',
-  /**
-   * The floor is unknown or another order is running: defer without a report.
-   */
+  /** The floor is unknown or another order runs: defer it, report nothing. */
   WAIT: 'wait',
 } as const;
 
--- a/packages/lovagepond-sidecar/src/sidecar_gate.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_gate.ts
@@ -219,8 +219,7 @@
    * Performs everything that depends on time alone.
    *
    * @param now current time
-   * @returns refusals of requests that can't be served in time, and
-   *     dispatches
+   * @returns refusals of requests that can't be served in time; dispatches
    */
   tick(now: number): GateAction[] {
     this.#components.attempts.expire(now);
@@ -229,9 +228,7 @@
     return [...this.#refuseDue(due, now), ...this.#dispatchReady(now)];
   }
 
-  /**
-   * @returns when {@link tick} is needed next; Infinity when the queue is empty
-   */
+  /** @returns when {@link tick} is needed next; Infinity for an empty queue */
   nextTickAt(): number {
     return this.#components.hold.nextDueAt();
   }
@@ -281,9 +278,9 @@
   }
 
   /**
-   * Reserves capacity for a request to be taken from another server.
+   * Reserves capacity for a request taken from another server.
    *
-   * @param victim the server from which the request is taken
+   * @param victim the server from which the request was taken
    * @param tokens tokens to reserve; 0 releases the reservation
    * @param until when the reservation expires
    */
--- a/packages/lovagepond-sidecar/src/sidecar_gate_refusals.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_gate_refusals.ts
@@ -115,8 +115,8 @@
 /**
  * Refuses a request when the router and the sidecar hold different revisions,
  * so that none runs under a configuration that was reported to operators as
- * replaced. The frame carries this sidecar's revision, from which the router
- * sees whether to install the sidecar's configuration or to send its own.
+ * replaced. The frame carries this sidecar's revision, so that the router can
+ * install the sidecar's configuration or send its own, whichever is newer.
  */
 function checkRevision(
   offer: Offer,
--- a/packages/lovagepond-sidecar/src/sidecar_hold.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_hold.ts
@@ -135,9 +135,9 @@
   }
 
   /**
-   * Reserves capacity for a request to be taken from another server.
+   * Reserves capacity for a request taken from another server.
    *
-   * @param victim the server from which the request is taken
+   * @param victim the server from which the request was taken
    * @param tokens tokens to reserve; 0 releases the reservation
    * @param until when the reservation expires
    */
--- a/packages/lovagepond-sidecar/src/sidecar_orders.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_orders.ts
@@ -19,7 +19,7 @@
   outcome: lovagepond.v1.OrderOutcome.$Properties,
 ) => Promise<void>;
 
-/** Dependencies of the orders. */
+/** Dependencies of {@link SidecarOrders}. */
 export interface OrdersDependencies {
   readonly backendServer: string;
   readonly backend: Backend;
--- a/packages/lovagepond-sidecar/src/sidecar_pointers.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_pointers.ts
@@ -22,10 +22,7 @@
 export class SidecarPointers {
   readonly #settings: PointersSettings;
   readonly #pointers = new Map<number, Pointer>();
-  /**
-   * Interned server names, so that pointers to the same server share one
-   * string.
-   */
+  /** Interned names, so that all pointers to a server share one string. */
   readonly #names = new Map<string, string>();
 
   constructor(settings: PointersSettings) {
--- a/packages/lovagepond-sidecar/src/sidecar_presence.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_presence.ts
@@ -13,7 +13,7 @@
 type AnnounceRequest = lovagepond.v1.AnnounceRequest.$Properties;
 type AnnounceResponse = lovagepond.v1.AnnounceResponse;
 
-/** Dependencies of the presence. */
+/** Dependencies of {@link SidecarPresence}. */
 export interface PresenceDependencies {
   readonly gate: SidecarGate;
   readonly clock: Clock;
--- a/packages/lovagepond-sidecar/src/sidecar_role.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_role.ts
@@ -34,7 +34,7 @@
 const RANDOM_DIGITS = 2 ** 32;
 const RADIX = 36;
 
-/** Dependencies of a sidecar. */
+/** Dependencies of {@link SidecarRole}. */
 export interface SidecarDependencies {
   readonly clock: Clock;
   readonly log: Logger;
--- a/packages/lovagepond-sidecar/src/sidecar_run.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_run.ts
@@ -13,10 +13,7 @@
 import {makeStarted} from './sidecar_frames.js';
 import {type SidecarSession} from './sidecar_session.js';
 
-/**
- * Number of unsent answer bytes above which reading from the backend server
- * pauses.
- */
+/** Unsent answer bytes above which reading from the backend server pauses. */
 const MAX_UNSENT_BYTES = 64 * 1024;
 const MAX_RESUMES = 2;
 
@@ -37,7 +34,7 @@
   /** No byte of the request reached the backend server. */
   | {readonly kind: 'notRun'; readonly failure: Failure};
 
-/** Dependencies of a run. */
+/** Dependencies of {@link runAttempt}. */
 export interface RunDependencies {
   readonly backend: Backend;
   readonly session: SidecarSession;
--- a/packages/lovagepond-sidecar/src/sidecar_service.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_service.ts
@@ -11,7 +11,7 @@
 
 const {v1} = lovagepond;
 
-/** Dependencies of the service. */
+/** Dependencies of {@link SidecarService}. */
 export interface ServiceDependencies {
   readonly gate: SidecarGate;
   readonly dispatcher: SidecarDispatcher;
--- a/packages/lovagepond-sidecar/src/sidecar_sessions.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_sessions.ts
@@ -14,9 +14,7 @@
   readonly maxFinishedAnswers: number;
 }
 
-/**
- * Holds each session from the arrival of its attempt until its retention ends.
- */
+/** Holds sessions from the arrival of the attempt to the end of retention. */
 export class SidecarSessions {
   readonly #settings: SessionsSettings;
   readonly #sessions = new Map<string, SidecarSession>();
--- a/packages/lovagepond-sidecar/src/sidecar_settings.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_settings.ts
@@ -31,10 +31,7 @@
   readonly host: string;
   /** 0 selects a free port. */
   readonly port: number;
-  /**
-   * `host:port` announced to routers; empty to announce the address listened
-   * on.
-   */
+  /** `host:port` announced to routers; empty for the address listened on. */
   readonly announcedAddress: string;
   /** `host:port` of every control member. */
   readonly controlAddresses: readonly string[];
--- a/packages/lovagepond-sidecar/src/sidecar_take.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_take.ts
@@ -163,7 +163,7 @@
   readonly #byVictim = new Map<string, Reservation>();
 
   /**
-   * @param victim the server from which the request is taken
+   * @param victim the server from which the request was taken
    * @param tokens tokens to reserve
    * @param until when the reservation expires
    */
--- a/packages/lovagepond-sidecar/src/sidecar_types.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_types.ts
@@ -22,10 +22,7 @@
   readonly priority: number;
   /** Time of the caller's deadline; Infinity without one. */
   readonly deadlineAt: number;
-  /**
-   * The call must not run twice, so it is claimed in the ledger before its
-   * dispatch.
-   */
+  /** Must not run twice, so it is claimed in the ledger before its dispatch. */
   readonly nonRepeatable: boolean;
   /** The router's configuration revision. */
   readonly revision: number;
@@ -40,10 +37,7 @@
   readonly warmCandidates?: readonly string[];
   /** How many times a take has handed this request over. */
   readonly handOvers: number;
-  /**
-   * The router's estimate of the pool's mean load in tokens; 0 when it has
-   * none.
-   */
+  /** The router's estimate of the pool's mean load, tokens; 0 without one. */
   readonly poolMeanTokens: number;
 }
 
