--- a/packages/lovagepond-control/src/__tests__/unit/control_role.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/control_role.test.ts
@@ -276,7 +276,7 @@
 // Guards against crash counts that are kept by each router or member alone.
 // Routers report to different members, and a router that is subscribed to any
 // one of them must get the quarantine.
-test('crashes reported to different members add up at all', async () => {
+test('every member adds up crashes reported to different members', async () => {
   const members = await startMembers(3);
   const request = Buffer.alloc(16, 7);
   const updates = subscribe(members[0]!.client);
--- a/packages/lovagepond-control/src/__tests__/unit/running_request_totals.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/running_request_totals.test.ts
@@ -70,8 +70,8 @@
     );
   });
 
-  // A gateway is killed with requests in flight and can't report their end. The
-  // others would keep avoiding the servers of these requests.
+  // A gateway is killed with requests in flight and can't report their end. If
+  // these still counted, the others would keep avoiding their servers.
   it('expires the requests of a router that stopped', () => {
     const totals = new RunningRequestTotals();
     const router = new Router('b');
@@ -84,7 +84,7 @@
     expect(totals.countOtherRouters('b')).toBe(0);
   });
 
-  // Routers discard a number after some seconds without an update.
+  // Routers discard a number that isn't updated for some seconds.
   it('resends an unchanged number', () => {
     const totals = new RunningRequestTotals();
     const router = new Router('b');
