--- a/packages/lovagepond-control/src/control_leadership.ts
+++ b/packages/lovagepond-control/src/control_leadership.ts
@@ -106,10 +106,7 @@
     if (this.#deps.readings.isEmpty) this.#scheduleInventory(term);
   }
 
-  /**
-   * Schedules the context inventory, which saves engines from processing
-   * prompts again. The delay lets gateways serve requests first.
-   */
+  /** Schedules the inventory for when gateways have begun to serve requests. */
   #scheduleInventory(term: number): void {
     setTimeout(() => {
       if (this.#term === term) this.#takeInventory();
@@ -126,8 +123,8 @@
   }
 
   /**
-   * Asks engines which contexts they hold: after a stop of all processes, no
-   * router or member has this information.
+   * Queries engines for their cached contexts: after a stop of all processes,
+   * no router or member has this information.
    */
   #takeInventory(): void {
     const {readHeldContexts, machine, log, onReport} = this.#deps;
--- a/packages/lovagepond-sidecar/src/sidecar_configuration.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_configuration.ts
@@ -15,7 +15,7 @@
 
 const NO_BYTES = new Uint8Array();
 
-/** Dependencies of the configuration. */
+/** Dependencies of {@link SidecarConfiguration}. */
 export interface ConfigurationDependencies {
   readonly gate: SidecarGate;
   readonly log: Logger;
@@ -60,7 +60,7 @@
   install(bytes: Uint8Array): void {
     const configuration = decodeConfiguration(bytes);
     if (!configuration) {
-      this.#deps.log.error('received configuration could not be decoded');
+      this.#deps.log.error('received configuration cannot be decoded');
       return;
     }
     if (!this.#revisions.install(configuration)) return;
--- a/packages/lovagepond-sidecar/src/sidecar_dispatcher.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_dispatcher.ts
@@ -33,14 +33,11 @@
 const RECORD_TIMEOUT_MS = 600_000;
 const LEDGER_RETRY_MS = 100;
 
-/**
- * Time limit of the check whether a backend server crashed during a run,
- * milliseconds.
- */
+/** Time limit of the check whether a crash ended a run, milliseconds. */
 const CRASH_CHECK_TIMEOUT_MS = 300;
 const NO_BYTES = new Uint8Array();
 
-/** Dependencies of the dispatcher. */
+/** Dependencies of {@link SidecarDispatcher}. */
 export interface DispatcherDependencies {
   readonly gate: SidecarGate;
   readonly backend: Backend;
@@ -48,10 +45,7 @@
   readonly log: Logger;
   readonly ledger: LedgerCalls;
   readonly incarnation: string;
-  /**
-   * @returns the configuration in force if newer than the given revision, else
-   *     no bytes
-   */
+  /** @returns the configuration in force if above `revision`, else no bytes */
   newerConfiguration(revision: number): Uint8Array;
   /** Sends a chat's first choice a pointer to this server. */
   point(request: AttemptRequest): void;
@@ -178,9 +172,8 @@
   }
 
   /**
-   * Whether the process may stop. A run can have ended while its answer is
-   * still being sent to a slow reader, which stopping the process would
-   * interrupt.
+   * Whether the process may stop without truncating an answer: a run may have
+   * ended while its answer is still being sent to a slow reader.
    *
    * @returns true when nothing is queued, running, being recorded or being sent
    */
@@ -297,10 +290,10 @@
     session: SidecarSession,
     failure: Failure,
     now: number,
-    crashedLife?: string,
+    crashedInstance?: string,
   ): void {
     increment(this.#failedByKind, failure.kind);
-    session.fail(failure, now, crashedLife);
+    session.fail(failure, now, crashedInstance);
   }
 
   async #run(session: SidecarSession): Promise<void> {
@@ -318,8 +311,10 @@
       wasInterrupted(outcome) &&
       !signal.aborted &&
       (await this.#hasEnded(instance));
-    const crashedLife = hasCrashed ? this.#instanceName(instance) : undefined;
-    this.#onRunEnd(session, outcome, crashedLife);
+    const crashedInstance = hasCrashed
+      ? this.#instanceName(instance)
+      : undefined;
+    this.#onRunEnd(session, outcome, crashedInstance);
   }
 
   /**
@@ -342,7 +337,7 @@
   #onRunEnd(
     session: SidecarSession,
     outcome: RunOutcome,
-    crashedLife: string | undefined,
+    crashedInstance: string | undefined,
   ): void {
     const now = this.#deps.clock.now();
     const {request} = session;
@@ -353,7 +348,7 @@
       this.#deps.noteServed(request);
     }
     if (outcome.kind === 'failed') {
-      this.#fail(session, outcome.failure, now, crashedLife);
+      this.#fail(session, outcome.failure, now, crashedInstance);
     }
     const kind = outcome.kind === 'notRun' ? outcome.failure.kind : undefined;
     if (kind === 'unreachable') this.#deps.noteUnreachable();
--- a/packages/lovagepond-sidecar/src/sidecar_pointers.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_pointers.ts
@@ -1,6 +1,7 @@
 /**
- * Where chats whose first choice is this server were served last, if elsewhere.
- * A returning chat reaches its cached context with one extra hop.
+ * Pointers from chats whose first choice is this server to the other servers
+ * that served them last. A returning chat reaches its cached context with one
+ * extra hop.
  */
 import {chatNumber} from './sidecar_cache_index.js';
 
@@ -21,10 +22,7 @@
 export class SidecarPointers {
   readonly #settings: PointersSettings;
   readonly #pointers = new Map<number, Pointer>();
-  /**
-   * Interned server names, so that pointers to the same server share one
-   * string.
-   */
+  /** Interned names, so that all pointers to a server share one string. */
   readonly #names = new Map<string, string>();
 
   constructor(settings: PointersSettings) {
--- a/packages/lovagepond-sidecar/src/sidecar_presence.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_presence.ts
@@ -13,7 +13,7 @@
 type AnnounceRequest = lovagepond.v1.AnnounceRequest.$Properties;
 type AnnounceResponse = lovagepond.v1.AnnounceResponse;
 
-/** Dependencies of the presence. */
+/** Dependencies of {@link SidecarPresence}. */
 export interface PresenceDependencies {
   readonly gate: SidecarGate;
   readonly clock: Clock;
@@ -26,7 +26,7 @@
   revision(): number;
   /** @returns models that the backend server has loaded */
   models(): readonly string[];
-  /** Called with the state that operators want: draining or ready. */
+  /** Called with the state that operators set: draining or ready. */
   onWantedState(wanted: string): void;
 }
 
--- a/packages/lovagepond-sidecar/src/sidecar_run.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_run.ts
@@ -13,10 +13,7 @@
 import {makeStarted} from './sidecar_frames.js';
 import {type SidecarSession} from './sidecar_session.js';
 
-/**
- * Number of unsent answer bytes above which reading from the backend server
- * pauses.
- */
+/** Unsent answer bytes above which reading from the backend server pauses. */
 const MAX_UNSENT_BYTES = 64 * 1024;
 const MAX_RESUMES = 2;
 
@@ -37,7 +34,7 @@
   /** No byte of the request reached the backend server. */
   | {readonly kind: 'notRun'; readonly failure: Failure};
 
-/** Dependencies of a run. */
+/** Dependencies of {@link runAttempt}. */
 export interface RunDependencies {
   readonly backend: Backend;
   readonly session: SidecarSession;
@@ -106,7 +103,7 @@
 /**
  * Converts an exception into a failure, as the request may have run. An
  * uncaught exception would leave the run open in the gate, and its tokens would
- * count towards the load bound for good.
+ * count towards the load bound permanently.
  */
 async function streamOnce(
   deps: RunDependencies,
@@ -144,7 +141,7 @@
 /**
  * Runs an attempt to its end. If the engine's stream breaks after the first
  * byte, the same generation is resumed at the current offset. An engine that no
- * longer holds the generation refuses, and the attempt fails.
+ * longer holds the generation refuses the resume, and the attempt fails.
  *
  * @param deps the session of the attempt, its backend server and an abort
  *     signal
