--- a/packages/lovagepond-gateway/src/gateway_engine_choice.ts
+++ b/packages/lovagepond-gateway/src/gateway_engine_choice.ts
@@ -113,10 +113,10 @@
   let best: EngineOption | undefined;
   let bestCost = Infinity;
   for (const option of options) {
-    const homeAdvantage =
+    const nonHomePenalty =
       option.state === home ? 0 : req.weights.home * leastPrefillTokens;
     const extraTokens =
-      option.prefillTokens - leastPrefillTokens + homeAdvantage;
+      option.prefillTokens - leastPrefillTokens + nonHomePenalty;
     const cost = costOf(option, extraTokens, req, now);
     if (cost >= bestCost) continue;
     best = option;
--- a/packages/lovagepond-router/src/index.ts
+++ b/packages/lovagepond-router/src/index.ts
@@ -43,7 +43,7 @@
 } from './router_role.js';
 export {
   DEFAULT_ROUTER_SETTINGS,
-  ISLAND_POLICY,
-  type IslandPolicy,
+  PARTITION_POLICY,
+  type PartitionPolicy,
   type RouterSettings,
 } from './router_settings.js';
--- a/packages/lovagepond-router/src/router_connections.ts
+++ b/packages/lovagepond-router/src/router_connections.ts
@@ -151,7 +151,7 @@
     if (connection.isUp()) return connection;
     const up = await connection.connect(this.#connectTimeoutMs);
     if (up) return connection;
-    this.#forget(address, connection);
+    this.#remove(address, connection);
     return undefined;
   }
 
@@ -167,7 +167,7 @@
   keepOnly(addresses: ReadonlySet<string>): void {
     for (const [address, connection] of this.#byAddress) {
       if (addresses.has(address)) continue;
-      this.#forget(address, connection);
+      this.#remove(address, connection);
     }
   }
 
@@ -179,7 +179,7 @@
     this.#byAddress.clear();
   }
 
-  #forget(address: string, connection: SidecarConnection): void {
+  #remove(address: string, connection: SidecarConnection): void {
     if (this.#byAddress.get(address) === connection) {
       this.#byAddress.delete(address);
     }
--- a/packages/lovagepond-router/src/router_control_link.ts
+++ b/packages/lovagepond-router/src/router_control_link.ts
@@ -87,7 +87,7 @@
 export class ControlLink {
   readonly #settings: ControlLinkSettings;
   readonly #facts: SubscriberFacts;
-  readonly #dependencies: ControlLinkDependencies;
+  readonly #deps: ControlLinkDependencies;
   readonly #addresses: ControlAddresses;
   #client: Client | undefined;
   #call: ClientReadableStream<ControlUpdate> | undefined;
@@ -104,16 +104,13 @@
   constructor(
     settings: ControlLinkSettings,
     facts: SubscriberFacts,
-    dependencies: ControlLinkDependencies,
+    deps: ControlLinkDependencies,
   ) {
     this.#settings = settings;
     this.#facts = facts;
-    this.#dependencies = dependencies;
+    this.#deps = deps;
     const {controlAddresses} = settings;
-    this.#addresses = new ControlAddresses(
-      controlAddresses,
-      dependencies.random,
-    );
+    this.#addresses = new ControlAddresses(controlAddresses, deps.random);
   }
 
   /** @returns bytes of updates received since the start */
@@ -142,7 +139,7 @@
     const silentMs = now - this.#lastUpdateAt;
     if (silentMs > this.#settings.controlSilentAfterMs) this.#onLost('silent');
     if (now - this.#reportedAt < REPORT_INTERVAL_MS) return;
-    this.reportRevision(this.#dependencies.listener.heldRevision());
+    this.reportRevision(this.#deps.listener.heldRevision());
   }
 
   /**
@@ -167,7 +164,7 @@
     revision: number,
     atOnce = false,
   ): Promise<number | undefined> {
-    this.#reportedAt = this.#dependencies.clock.now();
+    this.#reportedAt = this.#deps.clock.now();
     const {node} = this.#facts;
     const report = {node, role: ROLE, revision, atOnce};
     const res = await this.#callControl(
@@ -201,12 +198,9 @@
       {deadline: Date.now() + REPORT_TIMEOUT_MS},
       err => {
         if (!err) return;
-        this.#dependencies.log.debug(
-          'failed to report readings to the control plane',
-          {
-            reason: err.message,
-          },
-        );
+        this.#deps.log.debug('failed to report readings to the control plane', {
+          reason: err.message,
+        });
       },
     );
   }
@@ -262,7 +256,7 @@
 
   #subscribe(): void {
     if (this.#stopped || this.address === '') return;
-    this.#lastUpdateAt = this.#dependencies.clock.now();
+    this.#lastUpdateAt = this.#deps.clock.now();
     this.#hasReceivedUpdate = false;
     this.#client = new Client(
       this.address,
@@ -280,7 +274,7 @@
       new v1.SubscribeRequest({
         ...this.#facts,
         role: ROLE,
-        revision: this.#dependencies.listener.heldRevision(),
+        revision: this.#deps.listener.heldRevision(),
       }),
       new Metadata(),
       {},
@@ -302,7 +296,7 @@
   #noteFirstUpdate(): void {
     this.#hasReceivedUpdate = true;
     this.#addresses.noteContact();
-    this.#dependencies.log.info('control subscription holds', {
+    this.#deps.log.info('control subscription holds', {
       address: this.address,
     });
   }
@@ -317,8 +311,8 @@
       if (this.#call !== call) return;
       if (!this.#hasReceivedUpdate) this.#noteFirstUpdate();
       this.#failures = 0;
-      this.#lastUpdateAt = this.#dependencies.clock.now();
-      this.#dependencies.listener.onUpdate(update, this.#lastUpdateAt);
+      this.#lastUpdateAt = this.#deps.clock.now();
+      this.#deps.listener.onUpdate(update, this.#lastUpdateAt);
       this.#updateMembers(update);
     });
     call.on('error', err => {
@@ -333,7 +327,7 @@
     const addresses = controlMembers?.addresses;
     if (!addresses) return;
     this.#addresses.setDiscovered(addresses);
-    this.#dependencies.log.info('control members known', {
+    this.#deps.log.info('control members known', {
       addresses: addresses.join(' '),
     });
     if (controlMembers.goOn) this.restart('member has no log yet');
@@ -341,7 +335,7 @@
 
   #onLost(reason: string): void {
     const address = this.address;
-    this.#dependencies.log.info('control subscription lost', {address, reason});
+    this.#deps.log.info('control subscription lost', {address, reason});
     this.#close();
     this.#addresses.selectNext();
     this.#failures += 1;
@@ -355,7 +349,7 @@
   #nextDelay(): number {
     const doublings = Math.min(this.#failures - 1, MAX_BACKOFF_DOUBLINGS);
     const ceiling = this.#settings.controlRetryMs * 2 ** doublings;
-    return ceiling * (0.5 + this.#dependencies.random.next() / 2);
+    return ceiling * (0.5 + this.#deps.random.next() / 2);
   }
 
   #close(): void {
--- a/packages/lovagepond-router/src/router_crash_reporter.ts
+++ b/packages/lovagepond-router/src/router_crash_reporter.ts
@@ -14,11 +14,11 @@
 
 /** Sends the crash reports of one node, one at a time. */
 export class CrashReporter {
-  readonly #dependencies: CrashReporterDependencies;
+  readonly #deps: CrashReporterDependencies;
 
-  /** @param dependencies the clock, the quarantine and the report call */
-  constructor(dependencies: CrashReporterDependencies) {
-    this.#dependencies = dependencies;
+  /** @param deps the clock, the quarantine and the report call */
+  constructor(deps: CrashReporterDependencies) {
+    this.#deps = deps;
   }
 
   /**
@@ -26,13 +26,13 @@
    * @param now current time, monotonic milliseconds
    */
   noteCrash(crash: ServerCrash, now: number): void {
-    this.#dependencies.quarantine.noteCrash(crash, now);
+    this.#deps.quarantine.noteCrash(crash, now);
     this.tick(now);
   }
 
   /** @param now current time, monotonic milliseconds; call it often */
   tick(now: number): void {
-    const {quarantine, report, clock} = this.#dependencies;
+    const {quarantine, report, clock} = this.#deps;
     const pendingReport = quarantine.takeReport(now);
     if (!pendingReport) return;
     void report(pendingReport).then(isRecorded => {
--- a/packages/lovagepond-router/src/router_dispatcher.ts
+++ b/packages/lovagepond-router/src/router_dispatcher.ts
@@ -70,13 +70,13 @@
   readonly connections: SidecarConnections;
   readonly limits: RequestLimits;
   readonly revokeTimeoutMs: number;
-  readonly #dependencies: DispatcherDependencies;
+  readonly #deps: DispatcherDependencies;
   readonly #runners = new Set<RequestRunner>();
 
-  constructor(settings: RouterSettings, dependencies: DispatcherDependencies) {
-    this.#dependencies = dependencies;
-    this.clock = dependencies.clock;
-    this.connections = dependencies.connections;
+  constructor(settings: RouterSettings, deps: DispatcherDependencies) {
+    this.#deps = deps;
+    this.clock = deps.clock;
+    this.connections = deps.connections;
     this.limits = settings;
     this.revokeTimeoutMs = settings.revokeTimeoutMs;
   }
@@ -110,7 +110,7 @@
   ): RequestRunner | undefined {
     const admitted = this.#admit(request, now);
     if ('kind' in admitted) {
-      this.#dependencies.counters.noteFailed(admitted.kind);
+      this.#deps.counters.noteFailed(admitted.kind);
       sink.fail(this.completeFailure(admitted));
       return undefined;
     }
@@ -120,7 +120,7 @@
   /** See {@link RunnerContext.place}. */
   place(query: PlacementQuery, now: number): Placed | Failure {
     const {runner, excluded, preferred, after} = query;
-    const {choice, load, state} = this.#dependencies;
+    const {choice, load, state} = this.#deps;
     const {request, returning} = runner;
     const refusal = this.#findQuarantineFailure(runner.fingerprint, now);
     if (refusal) return after ?? refusal;
@@ -147,12 +147,12 @@
 
   /** See {@link RunnerContext.heldRevision}. */
   heldRevision(): number {
-    return this.#dependencies.state.revision;
+    return this.#deps.state.revision;
   }
 
   /** See {@link RunnerContext.configurationFor}. */
   configurationFor(target: AttemptTarget): Uint8Array | undefined {
-    const {revisions} = this.#dependencies.state;
+    const {revisions} = this.#deps.state;
     return revisions.isBehind(target.incarnation)
       ? revisions.encoded
       : undefined;
@@ -160,19 +160,19 @@
 
   /** See {@link RunnerContext.install}. */
   install(configuration: Uint8Array): void {
-    this.#dependencies.state.install(configuration);
+    this.#deps.state.install(configuration);
   }
 
   /** See {@link RunnerContext.noteFrame}. */
   noteFrame(runner: RequestRunner, frame: Frame, now: number): void {
-    const {load, state, evidence, counters} = this.#dependencies;
+    const {load, state, evidence, counters} = this.#deps;
     const {body, incarnation} = frame;
     if (body.kind === 'failed') this.#noteCrash(runner, body, now);
     if (!FRAMES_WITH_LOAD.has(body.kind)) return;
     state.revisions.noteSidecarRevision(incarnation, frame.revision);
     evidence.noteResponse(incarnation, now);
     if (body.kind === 'end') {
-      this.#dependencies.quarantine.noteAnswered(runner.fingerprint, now);
+      this.#deps.quarantine.noteAnswered(runner.fingerprint, now);
     }
     if (body.kind === 'started') counters.noteStarted(runner.returning, body);
     const server = runner.placed?.server;
@@ -187,23 +187,23 @@
     evidence: EvidenceKind,
     now: number,
   ): void {
-    this.#dependencies.evidence.note(target, evidence, now);
+    this.#deps.evidence.note(target, evidence, now);
   }
 
   /** See {@link RunnerContext.noteDrop}. */
   noteDrop(reason: DropReason): void {
-    this.#dependencies.counters.noteDropped(reason);
+    this.#deps.counters.noteDropped(reason);
   }
 
   /** See {@link RunnerContext.completeFailure}. */
   completeFailure(failure: Failure): Failure {
-    return this.#dependencies.refusal.complete(failure);
+    return this.#deps.refusal.complete(failure);
   }
 
   /** See {@link RunnerContext.noteFault}. */
   noteFault(runner: RequestRunner, err: unknown): void {
     const {requestId} = runner.request;
-    this.#dependencies.log.error('unexpected error while handling a request', {
+    this.#deps.log.error('unexpected error while handling a request', {
       requestId,
       error: err instanceof Error ? err.message : String(err),
     });
@@ -213,8 +213,8 @@
   noteDone(runner: RequestRunner, failure: Failure | undefined): void {
     if (!this.#runners.delete(runner)) return;
     runner.close();
-    if (failure) this.#dependencies.counters.noteFailed(failure.kind);
-    else this.#dependencies.counters.noteAnswered();
+    if (failure) this.#deps.counters.noteFailed(failure.kind);
+    else this.#deps.counters.noteAnswered();
   }
 
   /** @param now current time, monotonic milliseconds */
@@ -243,15 +243,11 @@
   ): void {
     if (server === '') return;
     const requests = [fingerprint];
-    this.#dependencies.crashes.noteCrash(
-      {server, requests, crashedAt: now},
-      now,
-    );
+    this.#deps.crashes.noteCrash({server, requests, crashedAt: now}, now);
   }
 
   #isSuspectedRequest({fingerprint}: RequestRunner, now: number): boolean {
-    const crashes =
-      this.#dependencies.quarantine.find(fingerprint, now)?.crashes ?? 0;
+    const crashes = this.#deps.quarantine.find(fingerprint, now)?.crashes ?? 0;
     return crashes >= SUSPECT_CRASHES;
   }
 
@@ -259,7 +255,7 @@
     fingerprint: string,
     now: number,
   ): Failure | undefined {
-    const {quarantine} = this.#dependencies;
+    const {quarantine} = this.#deps;
     const retryAfterMs = quarantine.quarantinedForMs(fingerprint, now);
     if (retryAfterMs === undefined) return undefined;
     return makeFailure('quarantined', {retryAfterMs});
@@ -267,7 +263,7 @@
 
   /** @returns the eligible servers, or why the request is refused */
   #admit(request: CallerRequest, now: number): Eligible | Failure {
-    const {state, choice, refusal} = this.#dependencies;
+    const {state, choice, refusal} = this.#deps;
     if (!state.mayServe(now)) return makeFailure('notReady');
     const verdict = state.findEligible(request);
     if (!verdict.ok) return verdict.failure;
@@ -289,7 +285,7 @@
     query: PlacementQuery,
     eligible: Eligible,
   ): Failure | undefined {
-    const {budget, counters} = this.#dependencies;
+    const {budget, counters} = this.#deps;
     const pool = eligible.set.pools[0]?.name ?? '';
     const {after, costsBudget} = query;
     if (!after) {
--- a/packages/lovagepond-router/src/router_prober.ts
+++ b/packages/lovagepond-router/src/router_prober.ts
@@ -19,10 +19,10 @@
 
 /** Sends the probes that are due according to the evidence. */
 export class SidecarProber {
-  readonly #dependencies: ProberDependencies;
+  readonly #deps: ProberDependencies;
 
-  constructor(dependencies: ProberDependencies) {
-    this.#dependencies = dependencies;
+  constructor(deps: ProberDependencies) {
+    this.#deps = deps;
   }
 
   /**
@@ -30,14 +30,14 @@
    * @param revision the revision of this router's configuration
    */
   tick(now: number, revision: number): void {
-    for (const target of this.#dependencies.evidence.takeDueProbes(now)) {
-      this.#dependencies.onProbe();
+    for (const target of this.#deps.evidence.takeDueProbes(now)) {
+      this.#deps.onProbe();
       void this.#probe(target, revision);
     }
   }
 
   async #probe(target: AttemptTarget, revision: number): Promise<void> {
-    const {clock, connections, evidence, timeoutMs} = this.#dependencies;
+    const {clock, connections, evidence, timeoutMs} = this.#deps;
     const connection = await connections.openFresh(target.address);
     const answer =
       connection && (await probeSidecar(connection, revision, timeoutMs));
--- a/packages/lovagepond-router/src/router_revisions.ts
+++ b/packages/lovagepond-router/src/router_revisions.ts
@@ -12,11 +12,11 @@
   decodeConfiguration,
   EMPTY_CONFIGURATION,
 } from '@lovagepond/core';
-import {ISLAND_POLICY, type IslandPolicy} from './router_settings.js';
+import {PARTITION_POLICY, type PartitionPolicy} from './router_settings.js';
 
 /** Settings of {@link RouterRevisions}; see the router's settings. */
 export interface RevisionsSettings {
-  readonly islandPolicy: IslandPolicy;
+  readonly islandPolicy: PartitionPolicy;
   readonly islandAfterMs: number;
 }
 
@@ -117,7 +117,7 @@
    */
   mayServe(now: number): boolean {
     if (!this.isConfirmed()) return false;
-    if (this.#settings.islandPolicy === ISLAND_POLICY.SERVE) return true;
+    if (this.#settings.islandPolicy === PARTITION_POLICY.SERVE) return true;
     return !this.isControlUnreachable(now);
   }
 }
--- a/packages/lovagepond-router/src/router_role.ts
+++ b/packages/lovagepond-router/src/router_role.ts
@@ -64,7 +64,7 @@
 /** Accepts callers' requests and forwards them to backend servers. */
 export class RouterRole implements Role {
   readonly #settings: RouterSettings;
-  readonly #dependencies: RouterDependencies;
+  readonly #deps: RouterDependencies;
   readonly #counters = new RouterCounters();
   readonly #load = new RouterLoadView();
   readonly #evidence: RouterEvidence;
@@ -96,7 +96,7 @@
     },
     quarantine: ({quarantine}, now) => {
       for (const request of this.#quarantine.apply(quarantine ?? {}, now)) {
-        this.#dependencies.log.warn('request quarantined', {
+        this.#deps.log.warn('request quarantined', {
           fingerprint: request,
         });
         this.#running?.dispatcher.abortQuarantined(request, now);
@@ -110,14 +110,14 @@
     readings: () => {},
   };
 
-  constructor(settings: RouterSettings, dependencies: RouterDependencies) {
+  constructor(settings: RouterSettings, deps: RouterDependencies) {
     this.#settings = settings;
-    this.#dependencies = dependencies;
-    const {random, log} = dependencies;
+    this.#deps = deps;
+    const {random, log} = deps;
     this.#evidence = new RouterEvidence(DEFAULT_EVIDENCE_SETTINGS, random);
     this.#connections = new SidecarConnections(settings.connectTimeoutMs);
     this.#crashReporter = new CrashReporter({
-      clock: dependencies.clock,
+      clock: deps.clock,
       quarantine: this.#quarantine,
       report: report => this.#link.reportCrashes(report),
     });
@@ -138,7 +138,7 @@
       onUpdate: (update: ControlUpdate, now: number) =>
         this.#onUpdate(update, now),
     };
-    this.#link = new ControlLink(settings, facts, {...dependencies, listener});
+    this.#link = new ControlLink(settings, facts, {...deps, listener});
   }
 
   /** @returns the port that callers connect to; 0 before the start */
@@ -160,7 +160,7 @@
   /** See {@link Role.isReady}. */
   isReady(): boolean {
     if (this.#draining || !this.#running) return false;
-    return this.#state.mayServe(this.#dependencies.clock.now());
+    return this.#state.mayServe(this.#deps.clock.now());
   }
 
   /**
@@ -210,7 +210,7 @@
 
   async #createComponents(): Promise<RunningComponents> {
     const settings = this.#settings;
-    const {clock, log, random, createFront} = this.#dependencies;
+    const {clock, log, random, createFront} = this.#deps;
     const hasher = await loadKeyHasher();
     const choice = new ServerChoice({
       policy: PLACEMENT_POLICIES[settings.placementPolicy](hasher),
@@ -245,7 +245,7 @@
   }
 
   #tick({dispatcher, prober}: RunningComponents): void {
-    const now = this.#dependencies.clock.now();
+    const now = this.#deps.clock.now();
     this.#link.tick(now);
     dispatcher.tick(now);
     this.#crashReporter.tick(now);
--- a/packages/lovagepond-router/src/router_server_choice.ts
+++ b/packages/lovagepond-router/src/router_server_choice.ts
@@ -65,13 +65,13 @@
 
 /** Keeps a rendezvous table for each eligible set in use. */
 export class ServerChoice {
-  readonly #dependencies: ChoiceDependencies;
+  readonly #deps: ChoiceDependencies;
   readonly #tables = new WeakMap<EligibleSet, RendezvousTable<Candidate>>();
   readonly #readySince = new Map<string, number>();
   #firstListedAt: number | undefined;
 
-  constructor(dependencies: ChoiceDependencies) {
-    this.#dependencies = dependencies;
+  constructor(deps: ChoiceDependencies) {
+    this.#deps = deps;
   }
 
   /**
@@ -110,7 +110,7 @@
       server,
       firstChoice: isElsewhere ? firstChoice.server : undefined,
       warmCandidates: this.#listWarmCandidates(query, placement, now),
-      poolMeanTokens: this.#dependencies.load.meanOf(table.slots),
+      poolMeanTokens: this.#deps.load.meanOf(table.slots),
     };
   }
 
@@ -129,7 +129,7 @@
     table: RendezvousTable<Candidate>,
     now: number,
   ): Placement<Candidate> {
-    const {policy, load, random} = this.#dependencies;
+    const {policy, load, random} = this.#deps;
     const {request} = query;
     const servers = table;
     return policy.place({request, servers, load, settings, now, random});
@@ -148,7 +148,7 @@
     return warmCandidates
       .filter(item => preferred === undefined || item.name === preferred)
       .filter(item => !excluded.has(item.name))
-      .filter(item => !this.#dependencies.isSuspect(item.server, now))
+      .filter(item => !this.#deps.isSuspect(item.server, now))
       .map(item => item.name);
   }
 
@@ -158,9 +158,7 @@
   ): BackendServer | undefined {
     if (preferred === undefined || excluded.has(preferred)) return undefined;
     const found = set.servers.find(server => server.name === preferred);
-    return found && !this.#dependencies.isSuspect(found, now)
-      ? found
-      : undefined;
+    return found && !this.#deps.isSuspect(found, now) ? found : undefined;
   }
 
   /**
@@ -176,7 +174,7 @@
     now: number,
   ): BackendServer | undefined {
     const isSuspect = (item: Candidate): boolean =>
-      this.#dependencies.isSuspect(item.server, now);
+      this.#deps.isSuspect(item.server, now);
     const candidate = candidates.find(
       item => !excluded.has(item.name) && !isSuspect(item),
     );
@@ -184,9 +182,7 @@
     const rest = table.servers.filter(item => !excluded.has(item.name));
     const trusted = rest.filter(item => !isSuspect(item));
     const pool = trusted.length > 0 ? trusted : rest;
-    return pool.length > 0
-      ? this.#dependencies.random.pick(pool).server
-      : undefined;
+    return pool.length > 0 ? this.#deps.random.pick(pool).server : undefined;
   }
 
   #tableOf(set: EligibleSet): RendezvousTable<Candidate> {
@@ -198,7 +194,7 @@
       readySince: this.#readySince.get(server.name) ?? 0,
       server,
     }));
-    const table = new RendezvousTable(candidates, this.#dependencies.hasher);
+    const table = new RendezvousTable(candidates, this.#deps.hasher);
     this.#tables.set(set, table);
     return table;
   }
--- a/packages/lovagepond-router/src/router_settings.ts
+++ b/packages/lovagepond-router/src/router_settings.ts
@@ -8,15 +8,16 @@
 } from './router_placement_table.js';
 
 /** What a router does while it can reach no member of the control plane. */
-export const ISLAND_POLICY = {
+export const PARTITION_POLICY = {
   /** Keep serving with the current configuration, which may be outdated. */
   SERVE: 'serve',
   /** Refuse requests with `notReady` until a member can be reached. */
   REFUSE: 'refuse',
 } as const;
 
-/** One of the values of {@link ISLAND_POLICY}. */
-export type IslandPolicy = (typeof ISLAND_POLICY)[keyof typeof ISLAND_POLICY];
+/** One of the values of {@link PARTITION_POLICY}. */
+export type PartitionPolicy =
+  (typeof PARTITION_POLICY)[keyof typeof PARTITION_POLICY];
 
 /** Settings of one router. All times are milliseconds. */
 export interface RouterSettings {
@@ -29,7 +30,7 @@
   readonly controlSilentAfterMs: number;
   /** Delay between subscription attempts; backoff grows it up to fourfold. */
   readonly controlRetryMs: number;
-  readonly islandPolicy: IslandPolicy;
+  readonly islandPolicy: PartitionPolicy;
   /** The control plane counts as unreachable after this long without data. */
   readonly islandAfterMs: number;
   readonly placementPolicy: PlacementPolicyName;
@@ -60,7 +61,7 @@
   availabilityZone: 'default',
   controlSilentAfterMs: 3_000,
   controlRetryMs: 100,
-  islandPolicy: ISLAND_POLICY.SERVE,
+  islandPolicy: PARTITION_POLICY.SERVE,
   islandAfterMs: 10_000,
   placementPolicy: DEFAULT_PLACEMENT_POLICY,
   connectTimeoutMs: 1_000,
