--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_drain_admission.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_drain_admission.test.ts
@@ -53,26 +53,26 @@
 
 describe('GatewayDrainAdmission', () => {
   it('admits everything before draining begins', () => {
-    const departure = new GatewayDrainAdmission();
-    departure.noteDuration('talk', 60_000);
-    expect(departure.admits('talk', 60_000, 0)).toBe(true);
+    const admission = new GatewayDrainAdmission();
+    admission.noteDuration('talk', 60_000);
+    expect(admission.admits('talk', 60_000, 0)).toBe(true);
   });
 
   it('admits requests whose observed durations end in time', () => {
-    const departure = new GatewayDrainAdmission();
-    for (let at = 0; at < 100; at += 1) departure.noteDuration('read', 50);
-    for (let at = 0; at < 100; at += 1) departure.noteDuration('talk', 2_000);
-    departure.begin(8_000);
-    expect(departure.admits('read', 12_000, 7_500)).toBe(true);
-    expect(departure.admits('talk', 12_000, 4_000)).toBe(true);
-    expect(departure.admits('talk', 12_000, 5_500)).toBe(false);
+    const admission = new GatewayDrainAdmission();
+    for (let at = 0; at < 100; at += 1) admission.noteDuration('read', 50);
+    for (let at = 0; at < 100; at += 1) admission.noteDuration('talk', 2_000);
+    admission.begin(8_000);
+    expect(admission.admits('read', 12_000, 7_500)).toBe(true);
+    expect(admission.admits('talk', 12_000, 4_000)).toBe(true);
+    expect(admission.admits('talk', 12_000, 5_500)).toBe(false);
   });
 
   it('admits unknown requests if their deadline is in time', () => {
-    const departure = new GatewayDrainAdmission();
-    departure.begin(8_000);
-    expect(departure.admits('talk', 12_000, 0)).toBe(false);
-    expect(departure.admits('talk', 3_000, 0)).toBe(true);
+    const admission = new GatewayDrainAdmission();
+    admission.begin(8_000);
+    expect(admission.admits('talk', 12_000, 0)).toBe(false);
+    expect(admission.admits('talk', 3_000, 0)).toBe(true);
   });
 });
 
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_role.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_role.test.ts
@@ -118,8 +118,8 @@
   revision => ({revision, content: {...CONTENT, documentVersion: revision}}),
 );
 
-// A gateway receives a delta to a revision that it has not installed. Without a
-// new subscription it would use the old configuration until the next change.
+// A gateway receives a delta whose base revision it has not installed. Without
+// a new subscription it would use the old configuration until the next change.
 // The subscription sends the installed revision and gets the missing changes.
 test('resubscribes if a delta does not fit the held revision', async () => {
   const held: number[] = [];
--- a/packages/lovagepond-gateway/src/gateway_admission.ts
+++ b/packages/lovagepond-gateway/src/gateway_admission.ts
@@ -73,15 +73,15 @@
     this.authority.noteInstalled(configuration.revision);
   }
 
-  /** Called once the list of backend servers is known. */
+  /** Records that the list of backend servers has arrived. */
   noteServersKnown(): void {
     this.#serversKnown = true;
   }
 
   /**
    * @param at current time
-   * @returns true while the list of servers is missing or the configuration is
-   *     unconfirmed, so that requests can't be decided on
+   * @returns true while no request can be decided on, as the list of servers is
+   *     missing or the configuration is unconfirmed
    */
   isStarting(at: ClockReading): boolean {
     return !this.#serversKnown || !this.authority.trustsKeys(at);
--- a/packages/lovagepond-gateway/src/gateway_attempt.ts
+++ b/packages/lovagepond-gateway/src/gateway_attempt.ts
@@ -94,8 +94,8 @@
   }
 
   /**
-   * True when the response ends with its connection, so that a complete one
-   * looks like one cut off by the server's exit.
+   * True when the end of the connection marks the end of the response, so that
+   * a complete response looks like one cut off by the server's exit.
    */
   get isCloseDelimited(): boolean {
     return this.#isCloseDelimited;
--- a/packages/lovagepond-gateway/src/gateway_authority.ts
+++ b/packages/lovagepond-gateway/src/gateway_authority.ts
@@ -2,9 +2,9 @@
  * Bounds how stale a gateway's configuration may be.
  *
  * A gateway that is partitioned, suspended or subscribed to a lagging member of
- * control must not accept a removed API key. It keeps asking for the newest
- * revision confirmed by a majority. The age of the configuration counts from
- * the sending of the last such query whose revision is installed.
+ * control must not accept a removed API key. Each gateway therefore keeps
+ * querying the newest revision confirmed by a majority. The configuration's age
+ * counts from the sending of the last query whose revision is installed.
  */
 
 /** The current time by two clocks. */
@@ -23,23 +23,23 @@
 
 /**
  * Fraction of the bound for which contact with control counts as current, so
- * that an unknown route or key can be rejected for good.
+ * that an unknown route or key can be rejected with a final error.
  */
 const DENIAL_FRACTION = 0.4;
 
 /**
  * Time for which the subscribed member may lag behind a confirmed revision
- * before the gateway switches to another member. Normally a member pushes a
- * change within a few hundredths of a second after the leader confirmed it. A
- * member can lag and still look healthy: heartbeats and log entries use
- * separate connections, it may have been removed from the group, or it may be
- * receiving the whole log again. Its gateways would serve the previous
- * configuration for that long. With a query every half second, a gateway
+ * before the gateway switches to another member, milliseconds. Normally a
+ * member pushes a change within a few hundredths of a second after the leader
+ * confirmed it. A member can lag and still look healthy: heartbeats and log
+ * entries use separate connections, and the member may have been removed from
+ * the group or be receiving the whole log again. Its gateways would keep the
+ * previous configuration meanwhile. With a query every half second, a gateway
  * switches at most 1.2 s after the change; operators rely on 2 s.
  */
 const MAX_LAG_MS = 500;
 
-/** Tracks the confirmed and the installed revision, and their age. */
+/** Tracks the confirmed and the installed revision, and the latter's age. */
 export class ConfigurationAuthority {
   readonly #boundMs: number;
   #freshAt: ClockReading | undefined;
@@ -107,7 +107,7 @@
   /**
    * @param at current time
    * @returns true while the configuration is recent enough to reject an unknown
-   *     route or key for good
+   *     route or key with a final error
    */
   canDeny(at: ClockReading): boolean {
     return this.#age(at) < this.#boundMs * DENIAL_FRACTION;
--- a/packages/lovagepond-gateway/src/gateway_context_source.ts
+++ b/packages/lovagepond-gateway/src/gateway_context_source.ts
@@ -9,7 +9,7 @@
 import {type PromptPart} from './gateway_headers.js';
 import {type ServerState} from './gateway_server_state.js';
 
-/** Prefill of fewer tokens is done before a transfer has begun. */
+/** The prefill of fewer tokens is done before a transfer would begin. */
 const MIN_FETCH_TOKENS = 128;
 
 /** How many tokens of context a server would fetch, and from which server. */
@@ -28,7 +28,7 @@
 
 /** The servers that hold most of one prompt in cache. */
 export class ContextSources {
-  /** The two best ones, as a server can't be its own source. */
+  /** The two best holders: a server that is one of them needs the other. */
   readonly #holders: readonly Holder[];
 
   /**
--- a/packages/lovagepond-gateway/src/gateway_crash_detector.ts
+++ b/packages/lovagepond-gateway/src/gateway_crash_detector.ts
@@ -1,10 +1,10 @@
 /**
  * Distinguishes crashed servers from connections lost for other reasons.
  *
- * The network, a proxy or a lost response can also break a connection. A server
- * counts as crashed when its address refuses connections, when another instance
- * responds there, or when control removes it from the list although it had not
- * announced that it is leaving.
+ * The network or a proxy can also break a connection, and a response can get
+ * lost. A server counts as crashed when its address refuses connections, when
+ * another instance responds there, or when control removes it from the list
+ * although it had not announced that it is leaving.
  */
 import {SERVER_STATE, type ServerCrash} from '@lovagepond/core';
 import {type ServerState} from './gateway_server_state.js';
@@ -27,7 +27,7 @@
 /** Time between two connection probes, milliseconds. */
 const PROBE_INTERVAL_MS = 100;
 
-/** Probes of one server; if it accepts the last one, it has not crashed. */
+/** Probes of one server; one that accepts the last probe has not crashed. */
 const MAX_PROBES = 5;
 
 /** Fingerprints stored for one server. */
@@ -42,7 +42,7 @@
   hasCrashed: boolean;
 }
 
-/** Tracks servers that lost a connection while a request ran. */
+/** Tracks servers whose connection was lost while a request ran. */
 export class GatewayCrashDetector {
   readonly #tracked = new Map<string, TrackedServer>();
   #crashes = 0;
@@ -142,8 +142,8 @@
 
   /**
    * @param request a fingerprint
-   * @returns the number of servers that lost their connection while they ran
-   *     it and are not known to have crashed
+   * @returns the number of servers whose connection was lost while they ran
+   *     the request, and that are not known to have crashed
    */
   undecided(request: string): number {
     let count = 0;
--- a/packages/lovagepond-gateway/src/gateway_drain_admission.ts
+++ b/packages/lovagepond-gateway/src/gateway_drain_admission.ts
@@ -7,18 +7,18 @@
  */
 
 /**
- * Weights of an observed duration in the estimate: longer or shorter than it.
+ * Weight of a new duration that is longer or shorter than the estimate.
  */
 const LONGER_WEIGHT = 0.5;
 const SHORTER_WEIGHT = 0.01;
 
 /**
- * Multiplies the estimate, which follows the longest of some hundred requests:
- * a server may have become slower.
+ * Multiplies the estimate. It follows the longest of some hundred requests, but
+ * a server may have become slower since.
  */
 const SAFETY_FACTOR = 1.5;
 
-/** Reserve before the process exits, milliseconds. */
+/** Time between the expected end and the process's exit, milliseconds. */
 const END_MARGIN_MS = 300;
 
 /**
--- a/packages/lovagepond-gateway/src/gateway_engine_choice.ts
+++ b/packages/lovagepond-gateway/src/gateway_engine_choice.ts
@@ -1,10 +1,10 @@
 /**
- * Selects the engine for a prompt: one that holds it in cache, unless the wait
- * there would make the first token late and another engine is in time.
+ * Selects the engine for a prompt: one that holds the prompt in cache, unless
+ * its first token would be late there and another engine would be in time.
  *
  * For a prompt that no engine holds, rendezvous hashing gives all gateways the
- * same home engine, so that the fleet computes it once and not once for each
- * gateway.
+ * same home engine. The fleet then computes the prompt once, and not once for
+ * each gateway.
  */
 import {type KeyHasher} from '@lovagepond/router/rendezvous_hash';
 import {type ContextFetch, ContextSources} from './gateway_context_source.js';
@@ -35,16 +35,16 @@
 }
 
 interface EngineOption extends EngineChoice {
-  /** Tokens that it has to compute itself. */
+  /** Tokens that the engine has to compute itself. */
   readonly prefillTokens: number;
 }
 
-/** Cost weights for the selection of an engine. */
+/** Cost weights for the selection of an engine; costs are in milliseconds. */
 export interface EngineWeights {
   /**
-   * A millisecond of repeated prefill at another server. It costs more than its
-   * own time, as it delays that server's other streams and evicts other
-   * prompts from its cache.
+   * A millisecond of prefill that another engine would not have to do. It costs
+   * more than its own time, as it delays the server's other streams and evicts
+   * other prompts from its cache.
    */
   readonly reread: number;
   /**
@@ -53,31 +53,32 @@
    */
   readonly fetch: number;
   /**
-   * Advantage of the home engine, as a fraction of the prefill that every
-   * engine would have to do, so that gateways which receive a new prompt at the
-   * same time send it to the same server.
+   * Penalty of all engines but the home engine, as a fraction of the prefill
+   * that every engine would have to do. Gateways that receive a new prompt at
+   * the same time then send it to the same server.
    */
   readonly home: number;
   /**
-   * Fraction of the target latency within which a wait costs nothing. The rest
-   * allows for requests of other gateways that are not visible here, and for
-   * the delay of the prompts that follow.
+   * Fraction of the target latency after which the first token counts as late.
+   * The rest allows for requests of other gateways that are not visible here,
+   * and for the delay of the prompts that follow.
    */
   readonly freeWaitPart: number;
-  /** A millisecond beyond that wait, relative to one of prefill. */
+  /** A millisecond by which the first token is late. */
   readonly late: number;
   /**
-   * A millisecond of a wait within that fraction, and one more request at a
-   * server, in milliseconds: these decide between otherwise equal servers.
+   * A millisecond until the first token, late or not: decides between otherwise
+   * equal servers.
    */
   readonly early: number;
+  /** Each request at the server: decides between equal servers, too. */
   readonly runningRequestMs: number;
   /**
-   * A certain failure, in multiples of the target latency: a caller whose
-   * request can be repeated waits about that long again; otherwise the response
-   * is lost.
+   * A certain failure of a repeatable request, in multiples of the target
+   * latency: its caller waits about that long again.
    */
   readonly repeatableFailure: number;
+  /** A certain failure of any other request, whose response is then lost. */
   readonly lostFailure: number;
 }
 
@@ -163,9 +164,8 @@
 }
 
 /**
- * Finds the home engine of the prefix that other requests share. The last part
- * belongs to this request alone, so the shared prefix ends with the part
- * before it.
+ * Finds the home engine of the prompt's shared prefix. The last part belongs to
+ * this request alone, so the prefix ends with the part before it, if any.
  */
 function findHome(
   {candidates, parts}: EngineRequest,
--- a/packages/lovagepond-gateway/src/gateway_event_stream.ts
+++ b/packages/lovagepond-gateway/src/gateway_event_stream.ts
@@ -23,7 +23,7 @@
   #pending: Buffer = Buffer.alloc(0);
   #lastId: number | undefined;
 
-  /** Id of the last complete event; undefined before the first one. */
+  /** Id of the last complete event with an id; undefined before the first. */
   get lastId(): number | undefined {
     return this.#lastId;
   }
@@ -40,7 +40,7 @@
 
   /**
    * @param chunk bytes as received
-   * @returns the events that the chunk completes
+   * @returns the events that the chunk completes, or why the stream is broken
    */
   take(chunk: Buffer): ParsedChunk {
     this.#pending =
--- a/packages/lovagepond-gateway/src/gateway_exchange.ts
+++ b/packages/lovagepond-gateway/src/gateway_exchange.ts
@@ -40,7 +40,7 @@
 
 const HIGHEST_PRIORITY = 9;
 
-/** Runs one request. */
+/** Runs one admitted request. */
 export class Exchange {
   readonly #req: AdmittedRequest;
   readonly #deps: ExchangeDependencies;
@@ -252,8 +252,8 @@
   }
 
   /**
-   * Clears the request's suspicion. A close-delimited response proves nothing,
-   * as the server's crash may have ended it.
+   * Clears the suspicion against the request. A close-delimited response proves
+   * nothing, as the server's crash may have ended it.
    */
   #noteCompleteResponse(): void {
     if (this.#attempt?.isCloseDelimited) return;
--- a/packages/lovagepond-gateway/src/gateway_exchange_types.ts
+++ b/packages/lovagepond-gateway/src/gateway_exchange_types.ts
@@ -42,6 +42,6 @@
   readonly priority: number;
   /** When the request arrived, monotonic milliseconds. */
   readonly arrivedAt: number;
-  /** When the request's time is up, monotonic milliseconds. */
+  /** The request's deadline, monotonic milliseconds. */
   readonly deadlineAt: number;
 }
--- a/packages/lovagepond-gateway/src/gateway_headers.ts
+++ b/packages/lovagepond-gateway/src/gateway_headers.ts
@@ -9,7 +9,7 @@
 export interface GatewayHeaderNames {
   /** Identifies one request; servers echo it. */
   readonly requestId: string;
-  /** Milliseconds that the caller or the gateway will wait. */
+  /** Time left until the request's deadline, milliseconds. */
   readonly deadlineMs: string;
   readonly apiKey: string;
   /** The workspace that the API key belongs to, sent to the server. */
--- a/packages/lovagepond-gateway/src/gateway_load_reports.ts
+++ b/packages/lovagepond-gateway/src/gateway_load_reports.ts
@@ -20,7 +20,7 @@
  * Interval between reports of request counts, per listed server, milliseconds.
  * Each report goes to all gateways. With a fixed interval, the traffic that a
  * gateway receives would grow with the number of servers and of gateways. At 44
- * servers a count is 0.2 s old, while requests last 0.05 to 2 s.
+ * servers a count is up to 0.2 s old, while requests last 0.05 to 2 s.
  */
 const RUNNING_MS_PER_SERVER = 4;
 
@@ -44,11 +44,11 @@
 export interface PrefixTokens {
   /** Tokens that the server did not hold before. */
   readonly newTokens: number;
-  /** The part of them that it has to compute, as it can't fetch it. */
+  /** Those of them that the server computes, as it does not fetch them. */
   readonly prefillTokens: number;
 }
 
-/** Fewer tokens are computed before a report could reach the others. */
+/** The prefill of fewer tokens is done before a report would arrive. */
 const MIN_REPORTED_TOKENS = 64;
 
 /** Collects this gateway's load reports and applies those of the others. */
--- a/packages/lovagepond-gateway/src/gateway_quarantine.ts
+++ b/packages/lovagepond-gateway/src/gateway_quarantine.ts
@@ -31,7 +31,7 @@
   readonly abortQuarantined: (fingerprint: string) => void;
 }
 
-/** Applies and reports on quarantines in one gateway. */
+/** Reports crashes and applies quarantines in one gateway. */
 export class GatewayQuarantine {
   readonly #deps: QuarantineDependencies;
   readonly #requests = new RequestQuarantine();
@@ -48,7 +48,7 @@
     this.#reporter = new CrashReporter({clock, quarantine, report});
   }
 
-  /** Servers that crashed while they ran requests of this gateway. */
+  /** Number of servers that crashed while they ran this gateway's requests. */
   get crashedServers(): number {
     return this.#detector.crashes;
   }
@@ -90,7 +90,8 @@
   /**
    * @param fingerprint of a request
    * @param now current time, monotonic milliseconds
-   * @returns time until it may run, milliseconds; undefined if it may run now
+   * @returns time until the request may run, milliseconds; undefined if it may
+   *     run now
    */
   quarantinedForMs(fingerprint: string, now: number): number | undefined {
     return this.#requests.quarantinedForMs(fingerprint, now);
@@ -99,7 +100,8 @@
   /**
    * @param fingerprint of a request
    * @param now current time, monotonic milliseconds
-   * @returns true when a retry might crash another server
+   * @returns true when enough servers crashed, or may have, while they ran the
+   *     request: a retry might crash another one
    */
   isSuspect(fingerprint: string, now: number): boolean {
     const crashes = this.#requests.find(fingerprint, now)?.crashes ?? 0;
@@ -107,6 +109,8 @@
   }
 
   /**
+   * Records a failed attempt, which may be the sign of a crash.
+   *
    * @param state a server
    * @param fingerprint of the request that failed there
    * @param failure how the attempt failed
--- a/packages/lovagepond-gateway/src/gateway_response_timing.ts
+++ b/packages/lovagepond-gateway/src/gateway_response_timing.ts
@@ -1,9 +1,9 @@
 /**
  * Distinguishes a slow server from a busy one.
  *
- * A plain service that takes several times as long as its peers passes its
- * health check, fails no request and has few requests in flight. Load balancing
- * by load alone sends it a full share, and each of those responses is late.
+ * A plain service that takes several times as long as its peers may still pass
+ * its health check, fail no request and have few requests in flight. Balancing
+ * by load alone would send it a full share of requests, all of them late.
  */
 import {type ServerState} from './gateway_server_state.js';
 
@@ -15,7 +15,7 @@
   readonly #hadFreeSlot: boolean;
 
   /**
-   * Must be called before the request is added to the server's load.
+   * Must be created before the request is added to the server's load.
    *
    * @param state the server
    * @param targetLatencyMs latency above which a response counts as late
@@ -25,12 +25,12 @@
     this.#state = state;
     this.#sentAt = now;
     this.#targetLatencyMs = targetLatencyMs;
-    // A request that queued for a slot may be late at a healthy server.
+    // A request that queues for a slot may be late at a healthy server too.
     this.#hadFreeSlot = state.load(now) < state.slots;
   }
 
   /**
-   * Records the complete response.
+   * Records that the response is complete, in time or late.
    *
    * @param now current time, monotonic milliseconds
    */
--- a/packages/lovagepond-gateway/src/gateway_retry_budget.ts
+++ b/packages/lovagepond-gateway/src/gateway_retry_budget.ts
@@ -2,10 +2,10 @@
  * A retry budget shared by all gateways.
  *
  * Without a budget, retries multiply the load of a pool that fails under load,
- * and keep it failing. Each gateway may spend a fraction of its own requests
- * and an equal share of the common slack. The slack is divided among the
- * gateways seen, but at least among the configured number, so that the total
- * holds while few have been seen.
+ * which keeps the pool failing. Each gateway may retry a fraction of its own
+ * requests, and further ones from an equal share of the common slack. The slack
+ * is divided among the gateways seen, but at least among the configured number:
+ * the total limit then holds even before all gateways have been seen.
  */
 import {type GatewayPeers} from './gateway_peers.js';
 
@@ -82,7 +82,7 @@
     return true;
   }
 
-  /** Counts the gateways that may have spent their share within the window. */
+  /** @returns this gateway's share, by the gateways seen within the window */
   #slackShare(since: number): number {
     const {retrySlack, retryShares} = this.#settings;
     const gateways = this.#peers.count(since) + 1;
--- a/packages/lovagepond-gateway/src/gateway_role.ts
+++ b/packages/lovagepond-gateway/src/gateway_role.ts
@@ -48,8 +48,8 @@
 /**
  * Time after which a starting gateway queries the newest revision again while
  * its last query is still pending, milliseconds. When all gateways start
- * together, their queries wait for the leader; ten queries a second from each
- * of them would overload it.
+ * together, their queries wait for the leader, which ten queries a second from
+ * each gateway would overload.
  */
 const CONFIRMATION_TIMEOUT_MS = 400;
 
@@ -305,7 +305,7 @@
   #installWhole(bytes: Uint8Array): void {
     const configuration = decodeConfiguration(bytes);
     if (configuration) this.#install(configuration);
-    else this.#deps.log.error('a configuration could not be read');
+    else this.#deps.log.error('received configuration cannot be decoded');
   }
 
   #installDelta(bytes: Uint8Array): void {
--- a/packages/lovagepond-gateway/src/gateway_server.ts
+++ b/packages/lovagepond-gateway/src/gateway_server.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP listener of a gateway: decodes requests as far as needed, and
- * rejects malformed ones.
+ * The HTTP listener of a gateway: rejects malformed requests, passes the others
+ * to admission control, and runs an exchange for each admitted one.
  */
 import {
   createServer,
@@ -41,12 +41,12 @@
 /** Node's limit on request heads; above any limit of a configuration, bytes. */
 const PARSER_HEAD_BYTES = 256 * 1024;
 
-/** Interval at which slow senders are checked for, milliseconds. */
+/** Interval between checks for slow senders, milliseconds. */
 const SLOW_SENDER_CHECK_MS = 250;
 
 /**
- * Added to the idle timeout, milliseconds: a caller may still send a request
- * just before it, so the listener closes the connection later.
+ * Added to the idle timeout, milliseconds. A request that a caller sends just
+ * before the timeout must not meet a closed connection.
  */
 const IDLE_MARGIN_MS = 1_000;
 
@@ -147,7 +147,7 @@
    */
   beginDraining(endsAt: number): void {
     this.#drainAdmission.begin(endsAt);
-    // A configuration to decide on them may never arrive.
+    // The configuration that these requests wait for may never arrive.
     this.#startupQueue.refuseAll();
     this.#idleSweep = setInterval(() => {
       this.#server.closeIdleConnections();
--- a/packages/lovagepond-gateway/src/gateway_server_state.ts
+++ b/packages/lovagepond-gateway/src/gateway_server_state.ts
@@ -13,7 +13,7 @@
  */
 const REMOTE_LOAD_HALF_LIFE_MS = 700;
 
-/** First and longest backoff, milliseconds; doubled after each failure. */
+/** First and longest backoff, milliseconds; each failure doubles it. */
 const INITIAL_BACKOFF_MS = 250;
 const MAX_BACKOFF_MS = 4_000;
 
@@ -69,12 +69,12 @@
     return Math.max(1, this.server.directSlots ?? 1);
   }
 
-  /** True once another incarnation has responded at its address. */
+  /** True once another incarnation has responded at the server's address. */
   get isReplaced(): boolean {
     return this.#isReplaced;
   }
 
-  /** Records that another incarnation responded at its address. */
+  /** Records that another incarnation responded at the server's address. */
   markReplaced(): void {
     this.#isReplaced = true;
   }
@@ -222,8 +222,8 @@
 
   /**
    * @param now current time, monotonic milliseconds
-   * @returns the share of requests that it is expected to fail, beyond that of
-   *     a healthy server
+   * @returns the share of requests that the server is expected to fail, beyond
+   *     that of a healthy one
    */
   failureRisk(now: number): number {
     return Math.max(
--- a/packages/lovagepond-gateway/src/gateway_settings.ts
+++ b/packages/lovagepond-gateway/src/gateway_settings.ts
@@ -12,7 +12,9 @@
   readonly port: number;
   /** `host:port` of control members. */
   readonly controlAddresses: readonly string[];
+  /** Switch to another member after no update or heartbeat for this long. */
   readonly controlSilentAfterMs: number;
+  /** Delay before a new subscription; failures double it, up to fourfold. */
   readonly controlRetryMs: number;
   /** Interval between queries for the newest revision. */
   readonly authorityIntervalMs: number;
--- a/packages/lovagepond-gateway/src/gateway_startup_queue.ts
+++ b/packages/lovagepond-gateway/src/gateway_startup_queue.ts
@@ -1,14 +1,14 @@
 /**
  * Queues requests that arrive before the configuration and the server list.
  *
- * After a restart both arrive within some hundred milliseconds. A rejected
- * request would be retried only later than that. It therefore waits for a small
- * fraction of its time before it is rejected.
+ * After a restart both arrive within some hundred milliseconds, and the caller
+ * of a rejected request would retry only later than that. A request therefore
+ * waits for a small fraction of its time before it is rejected.
  */
 
 /**
- * Longest wait, milliseconds. If control has not responded by then, it will be
- * unavailable for longer.
+ * Longest wait, milliseconds. If control has not responded by then, it is
+ * probably unavailable for much longer.
  */
 const MAX_WAIT_MS = 600;
 
