--- a/packages/lovagepond-router/src/router_control_link.ts
+++ b/packages/lovagepond-router/src/router_control_link.ts
@@ -1,5 +1,6 @@
 /**
- * Keeps a subscription to a control-plane member that can reach the leader.
+ * Keeps a node subscribed to a member of the control plane that is in contact
+ * with the leader.
  */
 import {
   type ChannelOptions,
@@ -58,7 +59,7 @@
 
 const MAX_BACKOFF_DOUBLINGS = 2;
 
-/** The control plane drops a node that sends no report for some minutes. */
+/** The control plane drops a node after some minutes without a report. */
 const REPORT_INTERVAL_MS = 60_000;
 
 const REPORT_TIMEOUT_MS = 1_000;
@@ -66,13 +67,14 @@
 /**
  * Timeout for connecting to a member, in milliseconds. The first packet to a
  * host without power is lost, and the system retransmits it only after a
- * second. By then, gateways that started later have long received their
- * updates. A round trip between regions takes a tenth of a second, and the
- * processes at both ends may have just started.
+ * second. A gateway that waited for this would get its first update long after
+ * gateways that started later. The timeout can't be much shorter: a round trip
+ * between regions takes a tenth of a second, and the processes at both ends may
+ * have just started.
  */
 const CONNECT_TIMEOUT_MS = 300;
 
-/** The library's diagnostics and retries are disabled as unused overhead. */
+/** Disables the library's diagnostics and retries: they are unused overhead. */
 const CHANNEL_OPTIONS: ChannelOptions = {
   'grpc.use_local_subchannel_pool': 1,
   'grpc.enable_http_proxy': 0,
@@ -133,7 +135,7 @@
     this.#subscribe();
   }
 
-  /** @param now current time, monotonic ms; call it a few times a second */
+  /** @param now current time, monotonic ms; to be called every few 100 ms */
   tick(now: number): void {
     if (!this.#call) return;
     const silentMs = now - this.#lastUpdateAt;
@@ -156,7 +158,8 @@
    * Reports the current revision and asks for the newest one.
    *
    * @param revision the current revision
-   * @param atOnce true when this node makes no decision until the response
+   * @param atOnce true when this node can't decide on requests before the
+   *     response
    * @returns the newest revision, confirmed by a majority after the call;
    *     undefined when there was no such response
    */
@@ -175,9 +178,9 @@
   }
 
   /**
-   * Reports prompt readings and running requests of this node's servers to the
-   * other routers. A lost report isn't sent again, as it only causes some
-   * additional reading of prompts.
+   * Reports this node's prompt prefills and running requests, by server, for
+   * the other nodes. A lost report isn't sent again, as it only causes some
+   * repeated prefill.
    *
    * @param report what changed since the last report
    */
--- a/packages/lovagepond-router/src/router_crash_reporter.ts
+++ b/packages/lovagepond-router/src/router_crash_reporter.ts
@@ -30,7 +30,7 @@
     this.tick(now);
   }
 
-  /** @param now current time, monotonic milliseconds; call it often */
+  /** @param now current time, monotonic ms; must be called periodically */
   tick(now: number): void {
     const {quarantine, report, clock} = this.#deps;
     const pendingReport = quarantine.takeReport(now);
--- a/packages/lovagepond-router/src/router_dispatcher.ts
+++ b/packages/lovagepond-router/src/router_dispatcher.ts
@@ -1,5 +1,6 @@
 /**
- * Admits callers' requests and gives them access to the shared components.
+ * Admits callers' requests, runs them, and connects each runner to the router's
+ * shared components.
  */
 import {
   type ResponseSink,
@@ -55,7 +56,7 @@
   readonly crashes: CrashReporter;
 }
 
-/** Rare frames; recording the load with each chunk would cost too much. */
+/** Frames whose load is recorded; for each chunk, this would cost too much. */
 const FRAMES_WITH_LOAD: ReadonlySet<FrameBody['kind']> = new Set([
   'accepted',
   'refused',
@@ -64,7 +65,7 @@
   'heartbeat',
 ]);
 
-/** Handles callers' requests according to the router's current state. */
+/** Handles callers' requests and keeps the runners of those in flight. */
 export class RouterDispatcher implements CallerHandler, RunnerContext {
   readonly clock: Clock;
   readonly connections: SidecarConnections;
@@ -223,9 +224,9 @@
   }
 
   /**
-   * Aborts all requests in flight of a quarantined fingerprint.
+   * Aborts the requests in flight with a quarantined fingerprint.
    *
-   * @param fingerprint fingerprint of the requests
+   * @param fingerprint the fingerprint
    * @param now current time, monotonic milliseconds
    */
   abortQuarantined(fingerprint: string, now: number): void {
--- a/packages/lovagepond-router/src/router_early_refusal.ts
+++ b/packages/lovagepond-router/src/router_early_refusal.ts
@@ -84,7 +84,7 @@
     return {...failure, retryAfterMs: this.#randomizeDelay(MIN_RETRY_MS, 0)};
   }
 
-  /** Checks the mean first: it bounds the minimum and is cheaper to compute. */
+  /** Tries the mean first: the minimum is no larger, but costs more to find. */
   #shortestWait({pool, slots}: PoolLoad, enoughMs: number): number {
     const tokensPerMs = pool.decodeTokensPerSecond / MS_PER_SECOND;
     const meanMs = this.#load.meanOf(slots) / tokensPerMs;
--- a/packages/lovagepond-router/src/router_eligibility.ts
+++ b/packages/lovagepond-router/src/router_eligibility.ts
@@ -21,7 +21,7 @@
 
 const ANY = '*';
 
-/** The servers that one selector allows; the same object until they change. */
+/** The servers that one selector allows; the same object until an update. */
 export interface EligibleSet {
   readonly selector: string;
   readonly pools: readonly Pool[];
--- a/packages/lovagepond-router/src/router_evidence.ts
+++ b/packages/lovagepond-router/src/router_evidence.ts
@@ -43,11 +43,11 @@
   probeAt: number;
   probing: boolean;
   unavailableUntil: number;
-  /** When the server last recovered; a failure soon after is a flap. */
+  /** When the server last recovered; a failure soon after means flapping. */
   clearedAt: number;
 }
 
-/** Suspicions by sidecar incarnation; a restarted sidecar starts without. */
+/** Suspicions by sidecar incarnation; a restarted sidecar has none. */
 export class RouterEvidence {
   static readonly #evidenceHandlers: Readonly<
     Record<
--- a/packages/lovagepond-router/src/router_execution_record.ts
+++ b/packages/lovagepond-router/src/router_execution_record.ts
@@ -55,7 +55,7 @@
   'unreachable',
 ]);
 
-/** Failures after dispatch that may not occur at another backend server. */
+/** Failures after dispatch that need not recur at another backend server. */
 const SERVER_FAULTS: ReadonlySet<ErrorKind> = new Set([
   'backendFailed',
   'backendSilent',
--- a/packages/lovagepond-router/src/router_load_view.ts
+++ b/packages/lovagepond-router/src/router_load_view.ts
@@ -10,22 +10,25 @@
 
 /**
  * This router's sends expire after this time, even without a new digest.
- * Otherwise a router cut off from the control plane would count each send
- * forever and avoid the servers that it uses.
+ * Otherwise a router that is cut off from the control plane would count them
+ * forever and avoid the servers that it has used.
  */
 const SENT_EXPIRY_MS = 5_000;
 
 /** A digest older than this doesn't reflect the current load. */
 const DIGEST_EXPIRY_MS = 10_000;
 
-/** Expired sends are removed from the list in batches of this size. */
+/** Expired sends are removed from the list once there are this many. */
 const COMPACT_AFTER = 512;
 
 interface Sent {
   readonly slot: number;
   readonly tokens: number;
   readonly at: number;
-  /** The slot's generation; a send of an older one isn't in the slot's sum. */
+  /**
+   * The slot's generation at the send. A sidecar's report includes earlier
+   * sends, so it starts a new generation with an empty sum.
+   */
   readonly generation: number;
 }
 
@@ -98,9 +101,9 @@
   }
 
   /**
-   * Returns the mean load. It is recomputed only after a number of changes
-   * equal to an eighth of the list's length, so that a decision takes constant
-   * time.
+   * Returns the mean load. It is recomputed only when there were more changes
+   * than an eighth of the list's length, so that a decision takes constant time
+   * on average.
    *
    * @param slots the slots of a table's servers; the array must not change
    * @returns mean outstanding tokens over the slots
--- a/packages/lovagepond-router/src/router_placement.ts
+++ b/packages/lovagepond-router/src/router_placement.ts
@@ -13,7 +13,7 @@
 export interface PlacementServer extends RendezvousServer {
   /**
    * When this router first listed the server, monotonic milliseconds; negative
-   * infinity for a server of the router's initial membership.
+   * infinity for a server that counts as part of the initial membership.
    */
   readonly readySince: number;
 }
--- a/packages/lovagepond-router/src/router_placement_rendezvous.ts
+++ b/packages/lovagepond-router/src/router_placement_rendezvous.ts
@@ -14,9 +14,9 @@
 const MS_PER_SECOND = 1000;
 
 /**
- * A server counts as new for this long after it became ready, in milliseconds.
- * A returning chat may have been served before that by the next server of its
- * rendezvous order.
+ * A server counts as new for this long after it was first listed, in
+ * milliseconds. A returning chat may have been served by the next server of its
+ * rendezvous order before the new one was listed.
  */
 const NEW_SERVER_MS = 3_600_000;
 
--- a/packages/lovagepond-router/src/router_quarantine.ts
+++ b/packages/lovagepond-router/src/router_quarantine.ts
@@ -37,7 +37,7 @@
  */
 const ANSWER_VALID_MS = 60_000;
 
-/** Maximum number of requests whose last answer is remembered. */
+/** Maximum number of requests whose last answer's time is stored. */
 const MAX_ANSWERED = 4_096;
 
 /** Maximum number of crashes in one report. */
--- a/packages/lovagepond-router/src/router_request.ts
+++ b/packages/lovagepond-router/src/router_request.ts
@@ -4,8 +4,8 @@
  *
  * A failed attempt counts as "not run" only when its sidecar refused it or
  * confirmed its revocation, or when no byte of it was sent. After any other
- * failure, in particular silence, the request may have run. It keeps this
- * status until it ends.
+ * failure, in particular silence, the request may have run, and counts as such
+ * until its end.
  */
 import {type Failure, invariant, makeFailure} from '@lovagepond/core';
 import {AnswerRelay} from './router_answer_relay.js';
--- a/packages/lovagepond-router/src/router_request_runner.ts
+++ b/packages/lovagepond-router/src/router_request_runner.ts
@@ -130,7 +130,7 @@
     this.#perform(this.#machine.start());
   }
 
-  /** @param now current time, monotonic ms; call it every few milliseconds */
+  /** @param now current time, monotonic ms; to be called every `tickMs` */
   tick(now: number): void {
     this.#perform(this.#machine.receive({kind: 'tick'}, now));
   }
@@ -161,7 +161,7 @@
 
   /**
    * Catches unexpected errors, which would otherwise end the process and every
-   * caller's stream. The request ends at its deadline.
+   * caller's stream. The affected request then ends at its deadline.
    */
   #guard(work: Promise<void>): void {
     work.catch((err: unknown) => {
--- a/packages/lovagepond-router/src/router_revisions.ts
+++ b/packages/lovagepond-router/src/router_revisions.ts
@@ -60,9 +60,7 @@
     return 'installed';
   }
 
-  /**
-   * @param revision a revision known to be at least as new as a majority's
-   */
+  /** @param revision one that is at least as new as a majority's */
   confirm(revision: number): void {
     this.#confirmedRevision = Math.max(this.#confirmedRevision ?? 0, revision);
   }
--- a/packages/lovagepond-router/src/router_role.ts
+++ b/packages/lovagepond-router/src/router_role.ts
@@ -164,9 +164,9 @@
   }
 
   /**
-   * See {@link Role.drain}. The router is no longer ready at once. The front
-   * end refuses new connections after its grace period. Requests in flight
-   * finish, and the subscription stays open until they have.
+   * See {@link Role.drain}. The router immediately reports that it isn't ready.
+   * The front end refuses new connections after its grace period. Requests in
+   * flight finish, and the subscription stays open until they have.
    */
   async drain(limitMs: number): Promise<void> {
     this.#draining = true;
--- a/packages/lovagepond-router/src/router_server_choice.ts
+++ b/packages/lovagepond-router/src/router_server_choice.ts
@@ -53,9 +53,9 @@
 /**
  * Servers listed within this time after the first membership update don't
  * count as new; milliseconds. When a whole fleet starts, its servers join over
- * some seconds. If only the first server that a router lists didn't count as
- * new, the router would send every returning chat there, although other routers
- * have just started these chats elsewhere.
+ * some seconds. If all but the first one counted as new, a router would expect
+ * returning chats to be warm at the first one, although other routers have just
+ * started these chats elsewhere.
  */
 const INITIAL_MEMBERSHIP_MS = 10_000;
 
--- a/packages/lovagepond-router/src/router_settings.ts
+++ b/packages/lovagepond-router/src/router_settings.ts
@@ -7,7 +7,7 @@
   type PlacementPolicyName,
 } from './router_placement_table.js';
 
-/** What a router does while it can reach no member of the control plane. */
+/** Behaviour of a router that can't reach the control plane. */
 export const PARTITION_POLICY = {
   /** Keep serving with the current configuration, which may be outdated. */
   SERVE: 'serve',
@@ -28,24 +28,27 @@
   readonly controlAddresses: readonly string[];
   /** Switch to another member after no update or heartbeat for this long. */
   readonly controlSilentAfterMs: number;
-  /** Delay between subscription attempts; backoff grows it up to fourfold. */
+  /** Delay before a new subscription; failures double it, up to fourfold. */
   readonly controlRetryMs: number;
   readonly islandPolicy: PartitionPolicy;
   /** The control plane counts as unreachable after this long without data. */
   readonly islandAfterMs: number;
   readonly placementPolicy: PlacementPolicyName;
   readonly connectTimeoutMs: number;
-  /** An attempt's connection is silent after this long without a frame. */
+  /** A connection counts as silent after this long without a frame. */
   readonly attemptSilentAfterMs: number;
   /** The same limit, before the attempt's first frame. */
   readonly firstFrameAfterMs: number;
   /** Timeout of a revocation call to a sidecar. */
   readonly revokeTimeoutMs: number;
-  /** How long before its deadline an undispatched request is revoked. */
+  /** An undispatched request is revoked this long before its deadline. */
   readonly revokeLeadMs: number;
   /** Attempts per request, including the first. */
   readonly maxAttempts: number;
-  /** Pointers, hand-overs and revision exchanges followed per request. */
+  /**
+   * Pointers, hand-overs and revision exchanges followed per request, and
+   * placements repeated after a lost connection.
+   */
   readonly maxHops: number;
   /** New connections tried for one attempt whose connection went silent. */
   readonly maxReattaches: number;
--- a/packages/lovagepond-router/src/router_sidecar_calls.ts
+++ b/packages/lovagepond-router/src/router_sidecar_calls.ts
@@ -19,8 +19,8 @@
 type AttemptProperties = lovagepond.v1.AttemptRequest.$Properties;
 
 /**
- * A stream that neither end has closed is ended this long after its deadline.
- * Otherwise it would keep its connection open forever.
+ * A stream that neither end has closed is ended this long after its attempt's
+ * deadline. Otherwise it would keep its connection open forever.
  */
 const STREAM_GRACE_MS = 5_000;
 
@@ -171,7 +171,7 @@
  * @param connection a connection that is up
  * @param configuration the encoded configuration
  * @param timeoutMs timeout of the call, in milliseconds
- * @returns the revision that the sidecar now has, or undefined when it didn't
+ * @returns the sidecar's revision afterwards, or undefined when it didn't
  *     respond
  */
 export async function installConfiguration(
