--- a/packages/lovagepond-caller/src/caller_body_budget.ts
+++ b/packages/lovagepond-caller/src/caller_body_budget.ts
@@ -2,18 +2,18 @@
  * Limits the total size of all request bodies in memory.
  */
 
-/** The budget that one request has reserved. */
+/** The part of the budget that one request has reserved. */
 export interface BodyLease {
   /**
    * @param bytes number of bytes to reserve
-   * @returns false if they would exceed the budget
+   * @returns false if they would exceed the budget; nothing is reserved then
    */
   add(bytes: number): boolean;
   /** Releases all reserved bytes; repeated calls have no effect. */
   release(): void;
 }
 
-/** The budget shared by all requests of a server. */
+/** The memory budget for bodies, shared by all requests of a server. */
 export class BodyBudget {
   readonly #limitBytes: number;
   #heldBytes = 0;
--- a/packages/lovagepond-caller/src/caller_keys.ts
+++ b/packages/lovagepond-caller/src/caller_keys.ts
@@ -10,8 +10,9 @@
 }
 
 /**
- * Rejects a key that is in flight with another body, before the request costs
- * anything. The ledger covers keys used earlier or at other processes.
+ * Rejects a request whose key is in flight with another path or body, before
+ * the handler is called. Keys used earlier or at other processes are covered by
+ * the control plane's ledger.
  */
 export class KeysInFlight {
   readonly #uses = new Map<string, KeyUse>();
--- a/packages/lovagepond-caller/src/caller_response.ts
+++ b/packages/lovagepond-caller/src/caller_response.ts
@@ -99,10 +99,10 @@
     }
     if (!this.begun) this.begin(200, EVENT_STREAM_TYPE);
     if (this.#res.write(chunk)) return;
-    // With a reader slower than the engine, the whole response would be
-    // buffered here. The producer awaits the socket instead. A producer that
-    // does not await hits the byte limit, and a reader that has stopped hits
-    // the time limit, so the memory for one caller is bounded.
+    // If the caller reads more slowly than the engine generates, the whole
+    // response would be buffered here, so the producer awaits the socket. The
+    // byte limit covers a producer that does not await, and the time limit a
+    // caller that has stopped reading: the memory for one caller is bounded.
     if (this.#res.writableLength > this.#limits.maxBufferedBytes) {
       this.#disconnectSlowReader();
       return;
@@ -170,7 +170,7 @@
     this.#bufferedBytes += chunk.length;
     if (this.#bufferedBytes > this.#limits.maxWholeAnswerBytes) {
       const message =
-        'The answer is larger than one that is not streamed may be.';
+        'The answer exceeds the size limit of answers that are not streamed.';
       this.fail(makeFailure('backendFailed', {message}));
       return;
     }
--- a/packages/lovagepond-caller/src/caller_server.ts
+++ b/packages/lovagepond-caller/src/caller_server.ts
@@ -31,6 +31,7 @@
 }
 
 const MAX_SEED = 2 ** 31;
+/** Interval between Node's checks of the head and request timeouts. */
 const CONNECTION_CHECK_MS = 1_000;
 const PIPELINED = 'A request of this connection is still in flight.';
 const SOCKET_BUFFER_BYTES = 32 * 1024;
@@ -102,9 +103,9 @@
   }
 
   /**
-   * Shuts down gracefully. From now on responses carry `connection: close`. New
-   * connections are accepted for the grace period, in which the platform's load
-   * balancer notices the shutdown. Then the port closes, and responses in
+   * Shuts down gracefully. New responses carry `connection: close`. New
+   * connections are accepted during the grace period, until the platform's load
+   * balancer has noticed the shutdown. Then the port closes, and responses in
    * flight are completed.
    *
    * @param limitMs total time limit, milliseconds; responses that are still in
