--- a/packages/lovagepond-caller/src/caller_connections.ts
+++ b/packages/lovagepond-caller/src/caller_connections.ts
@@ -52,7 +52,7 @@
     this.#busy.delete(socket);
   }
 
-  /** Connections that sent malformed or oversized HTTP. */
+  /** Connections that sent malformed, oversized or incomplete HTTP. */
   get malformed(): number {
     return this.#malformed;
   }
--- a/packages/lovagepond-gateway/src/gateway_drain_admission.ts
+++ b/packages/lovagepond-gateway/src/gateway_drain_admission.ts
@@ -6,9 +6,7 @@
  * although another gateway would have served it.
  */
 
-/**
- * Weight of a new duration that is longer or shorter than the estimate.
- */
+/** Weight of a new duration that is longer or shorter than the estimate. */
 const LONGER_WEIGHT = 0.5;
 const SHORTER_WEIGHT = 0.01;
 
--- a/packages/lovagepond-gateway/src/gateway_server.ts
+++ b/packages/lovagepond-gateway/src/gateway_server.ts
@@ -57,7 +57,7 @@
  */
 const IDLE_SWEEP_MS = 100;
 
-/** Deadline assumed for requests without one, milliseconds. */
+/** Deadline that the startup queue assumes for requests without one, ms. */
 const DEFAULT_DEADLINE_MS = 1_000;
 
 /** Maps error codes of Node's HTTP parser to error kinds. */
--- a/packages/lovagepond-router/src/__tests__/unit/router_role.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_role.test.ts
@@ -252,10 +252,10 @@
 // lease expires. Its callers must be served by other servers at once, and after
 // the first failure without an attempt at the failed server.
 test('own evidence of a failed server takes effect before its lease expires', async () => {
-  const alive = await startSidecar(new FakeSidecar('i1'));
-  const dead = await startSidecar(new FakeSidecar('i2'));
-  const members = [alive.member('s1'), dead.member('s2')];
-  dead.stop();
+  const running = await startSidecar(new FakeSidecar('i1'));
+  const stopped = await startSidecar(new FakeSidecar('i2'));
+  const members = [running.member('s1'), stopped.member('s2')];
+  stopped.stop();
   const {role, ask} = await startWithoutHttp(members);
   const chats = Array.from({length: 20}, (_, index) => `c${index}`);
   for (const chat of chats) {
--- a/packages/lovagepond-router/src/router_counters.ts
+++ b/packages/lovagepond-router/src/router_counters.ts
@@ -14,7 +14,9 @@
   readonly returning: number;
   /** Dispatches of returning chats whose context was warm. */
   readonly returningWarm: number;
+  /** Further attempts that are exempt from the retry budget. */
   readonly hops: number;
+  /** Further attempts that were charged to the retry budget. */
   readonly retries: number;
   readonly probes: number;
 }
@@ -73,7 +75,7 @@
     if (body.warm) this.#returningWarm += 1;
   }
 
-  /** Counts a pointer, hand-over or revision exchange. */
+  /** Counts a further attempt that is exempt from the retry budget. */
   noteHop(): void {
     this.#hops += 1;
   }
--- a/packages/lovagepond-router/src/router_evidence.ts
+++ b/packages/lovagepond-router/src/router_evidence.ts
@@ -112,8 +112,8 @@
 
   /**
    * Marks a server as unavailable. A draining server still sends frames of its
-   * open streams, so frames don't clear this mark. Only the time limit or the
-   * next membership update does.
+   * open streams, so frames don't clear this mark. It ends at its time limit or
+   * when a membership update no longer lists the server.
    */
   #noteUnavailable(record: Suspicion, now: number): void {
     record.unavailableUntil = now + this.#settings.unavailableMs;
