--- a/packages/lovagepond-router/src/__tests__/unit/router_placement.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_placement.test.ts
@@ -115,7 +115,7 @@
       const expected = firstChoice.slot === 2 ? [next!.name] : [];
       expect(warmCandidates.map(({name}) => name)).toEqual(expected);
     });
-    const options = {young: 'server-2', returning: false};
+    const options = {newServer: 'server-2', returning: false};
     for (const {warmCandidates} of placeChats('holdAndTake', options)) {
       expect(warmCandidates).toEqual([]);
     }
