--- a/packages/lovagepond-router/src/router_control_link.ts
+++ b/packages/lovagepond-router/src/router_control_link.ts
@@ -1,5 +1,6 @@
 /**
- * Keeps a subscription to a control-plane member that can reach the leader.
+ * Keeps a node subscribed to a member of the control plane that is in contact
+ * with the leader.
  */
 import {
   type ChannelOptions,
@@ -58,7 +59,7 @@
 
 const MAX_BACKOFF_DOUBLINGS = 2;
 
-/** The control plane drops a node that sends no report for some minutes. */
+/** The control plane drops a node after some minutes without a report. */
 const REPORT_INTERVAL_MS = 60_000;
 
 const REPORT_TIMEOUT_MS = 1_000;
@@ -66,13 +67,14 @@
 /**
  * Timeout for connecting to a member, in milliseconds. The first packet to a
  * host without power is lost, and the system retransmits it only after a
- * second. By then, gateways that started later have long received their
- * updates. A round trip between regions takes a tenth of a second, and the
- * processes at both ends may have just started.
+ * second. A gateway that waited for this would get its first update long after
+ * gateways that started later. The timeout can't be much shorter: a round trip
+ * between regions takes a tenth of a second, and the processes at both ends may
+ * have just started.
  */
 const CONNECT_TIMEOUT_MS = 300;
 
-/** The library's diagnostics and retries are disabled as unused overhead. */
+/** Disables the library's diagnostics and retries: they are unused overhead. */
 const CHANNEL_OPTIONS: ChannelOptions = {
   'grpc.use_local_subchannel_pool': 1,
   'grpc.enable_http_proxy': 0,
@@ -87,7 +89,7 @@
 export class ControlLink {
   readonly #settings: ControlLinkSettings;
   readonly #facts: SubscriberFacts;
-  readonly #dependencies: ControlLinkDependencies;
+  readonly #deps: ControlLinkDependencies;
   readonly #addresses: ControlAddresses;
   #client: Client | undefined;
   #call: ClientReadableStream<ControlUpdate> | undefined;
@@ -104,16 +106,13 @@
   constructor(
     settings: ControlLinkSettings,
     facts: SubscriberFacts,
-    dependencies: ControlLinkDependencies,
+    deps: ControlLinkDependencies,
   ) {
     this.#settings = settings;
     this.#facts = facts;
-    this.#dependencies = dependencies;
+    this.#deps = deps;
     const {controlAddresses} = settings;
-    this.#addresses = new ControlAddresses(
-      controlAddresses,
-      dependencies.random,
-    );
+    this.#addresses = new ControlAddresses(controlAddresses, deps.random);
   }
 
   /** @returns bytes of updates received since the start */
@@ -136,13 +135,13 @@
     this.#subscribe();
   }
 
-  /** @param now current time, monotonic ms; call it a few times a second */
+  /** @param now current time, monotonic ms; to be called every few 100 ms */
   tick(now: number): void {
     if (!this.#call) return;
     const silentMs = now - this.#lastUpdateAt;
     if (silentMs > this.#settings.controlSilentAfterMs) this.#onLost('silent');
     if (now - this.#reportedAt < REPORT_INTERVAL_MS) return;
-    this.reportRevision(this.#dependencies.listener.heldRevision());
+    this.reportRevision(this.#deps.listener.heldRevision());
   }
 
   /**
@@ -159,7 +158,8 @@
    * Reports the current revision and asks for the newest one.
    *
    * @param revision the current revision
-   * @param atOnce true when this node makes no decision until the response
+   * @param atOnce true when this node can't decide on requests before the
+   *     response
    * @returns the newest revision, confirmed by a majority after the call;
    *     undefined when there was no such response
    */
@@ -167,7 +167,7 @@
     revision: number,
     atOnce = false,
   ): Promise<number | undefined> {
-    this.#reportedAt = this.#dependencies.clock.now();
+    this.#reportedAt = this.#deps.clock.now();
     const {node} = this.#facts;
     const report = {node, role: ROLE, revision, atOnce};
     const res = await this.#callControl(
@@ -178,9 +178,9 @@
   }
 
   /**
-   * Reports prompt readings and running requests of this node's servers to the
-   * other routers. A lost report isn't sent again, as it only causes some
-   * additional reading of prompts.
+   * Reports this node's prompt prefills and running requests, by server, for
+   * the other nodes. A lost report isn't sent again, as it only causes some
+   * repeated prefill.
    *
    * @param report what changed since the last report
    */
@@ -201,12 +201,9 @@
       {deadline: Date.now() + REPORT_TIMEOUT_MS},
       err => {
         if (!err) return;
-        this.#dependencies.log.debug(
-          'failed to report readings to the control plane',
-          {
-            reason: err.message,
-          },
-        );
+        this.#deps.log.debug('failed to report readings to the control plane', {
+          reason: err.message,
+        });
       },
     );
   }
@@ -262,7 +259,7 @@
 
   #subscribe(): void {
     if (this.#stopped || this.address === '') return;
-    this.#lastUpdateAt = this.#dependencies.clock.now();
+    this.#lastUpdateAt = this.#deps.clock.now();
     this.#hasReceivedUpdate = false;
     this.#client = new Client(
       this.address,
@@ -280,7 +277,7 @@
       new v1.SubscribeRequest({
         ...this.#facts,
         role: ROLE,
-        revision: this.#dependencies.listener.heldRevision(),
+        revision: this.#deps.listener.heldRevision(),
       }),
       new Metadata(),
       {},
@@ -302,7 +299,7 @@
   #noteFirstUpdate(): void {
     this.#hasReceivedUpdate = true;
     this.#addresses.noteContact();
-    this.#dependencies.log.info('control subscription holds', {
+    this.#deps.log.info('control subscription holds', {
       address: this.address,
     });
   }
@@ -317,8 +314,8 @@
       if (this.#call !== call) return;
       if (!this.#hasReceivedUpdate) this.#noteFirstUpdate();
       this.#failures = 0;
-      this.#lastUpdateAt = this.#dependencies.clock.now();
-      this.#dependencies.listener.onUpdate(update, this.#lastUpdateAt);
+      this.#lastUpdateAt = this.#deps.clock.now();
+      this.#deps.listener.onUpdate(update, this.#lastUpdateAt);
       this.#updateMembers(update);
     });
     call.on('error', err => {
@@ -333,7 +330,7 @@
     const addresses = controlMembers?.addresses;
     if (!addresses) return;
     this.#addresses.setDiscovered(addresses);
-    this.#dependencies.log.info('control members known', {
+    this.#deps.log.info('control members known', {
       addresses: addresses.join(' '),
     });
     if (controlMembers.goOn) this.restart('member has no log yet');
@@ -341,7 +338,7 @@
 
   #onLost(reason: string): void {
     const address = this.address;
-    this.#dependencies.log.info('control subscription lost', {address, reason});
+    this.#deps.log.info('control subscription lost', {address, reason});
     this.#close();
     this.#addresses.selectNext();
     this.#failures += 1;
@@ -355,7 +352,7 @@
   #nextDelay(): number {
     const doublings = Math.min(this.#failures - 1, MAX_BACKOFF_DOUBLINGS);
     const ceiling = this.#settings.controlRetryMs * 2 ** doublings;
-    return ceiling * (0.5 + this.#dependencies.random.next() / 2);
+    return ceiling * (0.5 + this.#deps.random.next() / 2);
   }
 
   #close(): void {
--- a/packages/lovagepond-router/src/router_dispatcher.ts
+++ b/packages/lovagepond-router/src/router_dispatcher.ts
@@ -1,5 +1,6 @@
 /**
- * Admits callers' requests and gives them access to the shared components.
+ * Admits callers' requests, runs them, and connects each runner to the router's
+ * shared components.
  */
 import {
   type ResponseSink,
@@ -55,7 +56,7 @@
   readonly crashes: CrashReporter;
 }
 
-/** Rare frames; recording the load with each chunk would cost too much. */
+/** Frames whose load is recorded; for each chunk, this would cost too much. */
 const FRAMES_WITH_LOAD: ReadonlySet<FrameBody['kind']> = new Set([
   'accepted',
   'refused',
@@ -64,19 +65,19 @@
   'heartbeat',
 ]);
 
-/** Handles callers' requests according to the router's current state. */
+/** Handles callers' requests and keeps the runners of those in flight. */
 export class RouterDispatcher implements CallerHandler, RunnerContext {
   readonly clock: Clock;
   readonly connections: SidecarConnections;
   readonly limits: RequestLimits;
   readonly revokeTimeoutMs: number;
-  readonly #dependencies: DispatcherDependencies;
+  readonly #deps: DispatcherDependencies;
   readonly #runners = new Set<RequestRunner>();
 
-  constructor(settings: RouterSettings, dependencies: DispatcherDependencies) {
-    this.#dependencies = dependencies;
-    this.clock = dependencies.clock;
-    this.connections = dependencies.connections;
+  constructor(settings: RouterSettings, deps: DispatcherDependencies) {
+    this.#deps = deps;
+    this.clock = deps.clock;
+    this.connections = deps.connections;
     this.limits = settings;
     this.revokeTimeoutMs = settings.revokeTimeoutMs;
   }
@@ -110,7 +111,7 @@
   ): RequestRunner | undefined {
     const admitted = this.#admit(request, now);
     if ('kind' in admitted) {
-      this.#dependencies.counters.noteFailed(admitted.kind);
+      this.#deps.counters.noteFailed(admitted.kind);
       sink.fail(this.completeFailure(admitted));
       return undefined;
     }
@@ -120,7 +121,7 @@
   /** See {@link RunnerContext.place}. */
   place(query: PlacementQuery, now: number): Placed | Failure {
     const {runner, excluded, preferred, after} = query;
-    const {choice, load, state} = this.#dependencies;
+    const {choice, load, state} = this.#deps;
     const {request, returning} = runner;
     const refusal = this.#findQuarantineFailure(runner.fingerprint, now);
     if (refusal) return after ?? refusal;
@@ -147,12 +148,12 @@
 
   /** See {@link RunnerContext.heldRevision}. */
   heldRevision(): number {
-    return this.#dependencies.state.revision;
+    return this.#deps.state.revision;
   }
 
   /** See {@link RunnerContext.configurationFor}. */
   configurationFor(target: AttemptTarget): Uint8Array | undefined {
-    const {revisions} = this.#dependencies.state;
+    const {revisions} = this.#deps.state;
     return revisions.isBehind(target.incarnation)
       ? revisions.encoded
       : undefined;
@@ -160,19 +161,19 @@
 
   /** See {@link RunnerContext.install}. */
   install(configuration: Uint8Array): void {
-    this.#dependencies.state.install(configuration);
+    this.#deps.state.install(configuration);
   }
 
   /** See {@link RunnerContext.noteFrame}. */
   noteFrame(runner: RequestRunner, frame: Frame, now: number): void {
-    const {load, state, evidence, counters} = this.#dependencies;
+    const {load, state, evidence, counters} = this.#deps;
     const {body, incarnation} = frame;
     if (body.kind === 'failed') this.#noteCrash(runner, body, now);
     if (!FRAMES_WITH_LOAD.has(body.kind)) return;
     state.revisions.noteSidecarRevision(incarnation, frame.revision);
     evidence.noteResponse(incarnation, now);
     if (body.kind === 'end') {
-      this.#dependencies.quarantine.noteAnswered(runner.fingerprint, now);
+      this.#deps.quarantine.noteAnswered(runner.fingerprint, now);
     }
     if (body.kind === 'started') counters.noteStarted(runner.returning, body);
     const server = runner.placed?.server;
@@ -187,23 +188,23 @@
     evidence: EvidenceKind,
     now: number,
   ): void {
-    this.#dependencies.evidence.note(target, evidence, now);
+    this.#deps.evidence.note(target, evidence, now);
   }
 
   /** See {@link RunnerContext.noteDrop}. */
   noteDrop(reason: DropReason): void {
-    this.#dependencies.counters.noteDropped(reason);
+    this.#deps.counters.noteDropped(reason);
   }
 
   /** See {@link RunnerContext.completeFailure}. */
   completeFailure(failure: Failure): Failure {
-    return this.#dependencies.refusal.complete(failure);
+    return this.#deps.refusal.complete(failure);
   }
 
   /** See {@link RunnerContext.noteFault}. */
   noteFault(runner: RequestRunner, err: unknown): void {
     const {requestId} = runner.request;
-    this.#dependencies.log.error('unexpected error while handling a request', {
+    this.#deps.log.error('unexpected error while handling a request', {
       requestId,
       error: err instanceof Error ? err.message : String(err),
     });
@@ -213,8 +214,8 @@
   noteDone(runner: RequestRunner, failure: Failure | undefined): void {
     if (!this.#runners.delete(runner)) return;
     runner.close();
-    if (failure) this.#dependencies.counters.noteFailed(failure.kind);
-    else this.#dependencies.counters.noteAnswered();
+    if (failure) this.#deps.counters.noteFailed(failure.kind);
+    else this.#deps.counters.noteAnswered();
   }
 
   /** @param now current time, monotonic milliseconds */
@@ -223,9 +224,9 @@
   }
 
   /**
-   * Aborts all requests in flight of a quarantined fingerprint.
+   * Aborts the requests in flight with a quarantined fingerprint.
    *
-   * @param fingerprint fingerprint of the requests
+   * @param fingerprint the fingerprint
    * @param now current time, monotonic milliseconds
    */
   abortQuarantined(fingerprint: string, now: number): void {
@@ -243,15 +244,11 @@
   ): void {
     if (server === '') return;
     const requests = [fingerprint];
-    this.#dependencies.crashes.noteCrash(
-      {server, requests, crashedAt: now},
-      now,
-    );
+    this.#deps.crashes.noteCrash({server, requests, crashedAt: now}, now);
   }
 
   #isSuspectedRequest({fingerprint}: RequestRunner, now: number): boolean {
-    const crashes =
-      this.#dependencies.quarantine.find(fingerprint, now)?.crashes ?? 0;
+    const crashes = this.#deps.quarantine.find(fingerprint, now)?.crashes ?? 0;
     return crashes >= SUSPECT_CRASHES;
   }
 
@@ -259,7 +256,7 @@
     fingerprint: string,
     now: number,
   ): Failure | undefined {
-    const {quarantine} = this.#dependencies;
+    const {quarantine} = this.#deps;
     const retryAfterMs = quarantine.quarantinedForMs(fingerprint, now);
     if (retryAfterMs === undefined) return undefined;
     return makeFailure('quarantined', {retryAfterMs});
@@ -267,7 +264,7 @@
 
   /** @returns the eligible servers, or why the request is refused */
   #admit(request: CallerRequest, now: number): Eligible | Failure {
-    const {state, choice, refusal} = this.#dependencies;
+    const {state, choice, refusal} = this.#deps;
     if (!state.mayServe(now)) return makeFailure('notReady');
     const verdict = state.findEligible(request);
     if (!verdict.ok) return verdict.failure;
@@ -289,7 +286,7 @@
     query: PlacementQuery,
     eligible: Eligible,
   ): Failure | undefined {
-    const {budget, counters} = this.#dependencies;
+    const {budget, counters} = this.#deps;
     const pool = eligible.set.pools[0]?.name ?? '';
     const {after, costsBudget} = query;
     if (!after) {
--- a/packages/lovagepond-router/src/router_evidence.ts
+++ b/packages/lovagepond-router/src/router_evidence.ts
@@ -43,11 +43,11 @@
   probeAt: number;
   probing: boolean;
   unavailableUntil: number;
-  /** When the server last recovered; a failure soon after is a flap. */
+  /** When the server last recovered; a failure soon after means flapping. */
   clearedAt: number;
 }
 
-/** Suspicions by sidecar incarnation; a restarted sidecar starts without. */
+/** Suspicions by sidecar incarnation; a restarted sidecar has none. */
 export class RouterEvidence {
   static readonly #evidenceHandlers: Readonly<
     Record<
@@ -112,8 +112,8 @@
 
   /**
    * Marks a server as unavailable. A draining server still sends frames of its
-   * open streams, so frames don't clear this mark. Only the time limit or the
-   * next membership update does.
+   * open streams, so frames don't clear this mark. It ends at its time limit or
+   * when a membership update no longer lists the server.
    */
   #noteUnavailable(record: Suspicion, now: number): void {
     record.unavailableUntil = now + this.#settings.unavailableMs;
