--- a/packages/lovagepond-caller/src/caller_exchange.ts
+++ b/packages/lovagepond-caller/src/caller_exchange.ts
@@ -69,7 +69,7 @@
 }
 
 function makeOverloadFailure(random: Random): Failure {
-  const message = 'The memory limit for request bodies is reached.';
+  const message = 'This process holds as many request bodies as it may.';
   const retryAfterMs = OVERLOAD_RETRY_MS * (0.5 + random.next());
   return makeFailure('overloaded', {message, retryAfterMs});
 }
--- a/packages/lovagepond-caller/src/caller_response.ts
+++ b/packages/lovagepond-caller/src/caller_response.ts
@@ -170,7 +170,7 @@
     this.#bufferedBytes += chunk.length;
     if (this.#bufferedBytes > this.#limits.maxWholeAnswerBytes) {
       const message =
-        'The answer exceeds the size limit of answers that are not streamed.';
+        'The answer is larger than one that is not streamed may be.';
       this.fail(makeFailure('backendFailed', {message}));
       return;
     }
