--- a/packages/lovagepond-measure/src/__tests__/unit/gateway_play.test.ts
+++ b/packages/lovagepond-measure/src/__tests__/unit/gateway_simulation.test.ts
@@ -1,48 +1,56 @@
 import {loadKeyHasher} from '@lovagepond/router';
 import {expect, test} from 'vitest';
-import {PlayAccount, type PlayResult} from '../../play_account.js';
-import {PlayEngine, type PlayRun} from '../../play_engine.js';
-import {PlayFleet} from '../../play_fleet.js';
-import {PLAY_DAYS, PLAY_LOADS} from '../../play_loads.js';
-import {type PlaySettings} from '../../play_types.js';
+import {DirectEngine, type EngineRequest} from '../../direct_servers.js';
+import {GatewaySimulation} from '../../gateway_simulation.js';
+import {
+  DISTURBANCE_SCHEDULES,
+  GATEWAY_LOADS,
+} from '../../gateway_simulation_loads.js';
+import {
+  type GatewaySimulationResult,
+  GatewaySimulationStatistics,
+} from '../../gateway_simulation_statistics.js';
+import {type GatewaySimulationSettings} from '../../gateway_simulation_types.js';
 import {VirtualTime} from '../../virtual_time.js';
 
-const LETTERS = PLAY_LOADS.find(({name}) => name === 'letters')!;
+const LETTERS = GATEWAY_LOADS.find(({name}) => name === 'letters')!;
 const hasher = await loadKeyHasher();
 
-function play(changed: Partial<PlaySettings>): PlayResult {
+function simulate(
+  overrides: Partial<GatewaySimulationSettings>,
+): GatewaySimulationResult {
   const settings = {
     load: LETTERS,
     variant: {name: 'as it is'},
-    troubles: [],
+    disturbances: [],
     seed: 5,
     endMs: 12_000,
-    ...changed,
+    ...overrides,
   };
-  return new PlayFleet(settings, hasher).run();
+  return new GatewaySimulation(settings, hasher).run();
 }
 
 test('a play repeats exactly by its seed, and another seed differs', () => {
-  const troubles = PLAY_DAYS['mixed'] ?? [];
-  const first = play({troubles});
-  expect(play({troubles})).toEqual(first);
-  expect(play({troubles, seed: 6})).not.toEqual(first);
+  const disturbances = DISTURBANCE_SCHEDULES['mixed'] ?? [];
+  const first = simulate({disturbances});
+  expect(simulate({disturbances})).toEqual(first);
+  expect(simulate({disturbances, seed: 6})).not.toEqual(first);
 });
 
 test('callers of a fleet that is well are served', () => {
-  expect(play({}).servedPercent).toBeGreaterThan(99);
+  expect(simulate({}).servedPercent).toBeGreaterThan(99);
 });
 
 test('callers notice a fleet without gateways', () => {
   const restart = {kind: 'restart', atMs: 4_000, downMs: 4_000} as const;
-  expect(play({troubles: [restart]}).servedPercent).toBeLessThan(90);
+  expect(simulate({disturbances: [restart]}).servedPercent).toBeLessThan(90);
 });
 
 test('without taking contexts over, more is read again', () => {
   const variant = {name: 'contexts not taken over', noFetch: true};
-  const result = play({variant});
+  const result = simulate({variant});
   expect(result.fetchedThousands).toBe(0);
-  expect(result.rereadThousands).toBeGreaterThan(play({}).rereadThousands);
+  expect(result.rereadThousands).toBeGreaterThan(simulate({}).rereadThousands);
 });
 
 // Each caller's prompt is one of some hundred documents behind a template of its
@@ -56,7 +64,7 @@
     (sum, {tokens: {mean}, count}) => sum + mean * count,
     0,
   );
-  const {readThousands, rereadThousands} = play({endMs: 34_000});
+  const {readThousands, rereadThousands} = simulate({endMs: 34_000});
   const firstThousands = readThousands - rereadThousands;
   expect(firstThousands).toBeGreaterThan((0.5 * tokens) / 1_000);
   expect(firstThousands).toBeLessThan((1.5 * tokens) / 1_000);
@@ -67,11 +75,11 @@
 // it to another engine unless all know one home for it: 1,864,000 tokens are then
 // read again over these plays, and 1,649,000 with homes.
 test('a prompt that is held nowhere is read at its home', () => {
-  const readAgain = (variant: PlaySettings['variant']): number => {
-    const troubles = PLAY_DAYS['release'] ?? [];
-    const results = PLAY_LOADS.flatMap(load =>
+  const readAgain = (variant: GatewaySimulationSettings['variant']): number => {
+    const disturbances = DISTURBANCE_SCHEDULES['release'] ?? [];
+    const results = GATEWAY_LOADS.flatMap(load =>
       [501, 502, 503, 504].map(seed =>
-        play({load, variant, seed, troubles, endMs: 34_000}),
+        simulate({load, variant, seed, disturbances, endMs: 34_000}),
       ),
     );
     return results.reduce((sum, one) => sum + one.rereadThousands, 0);
@@ -84,11 +92,11 @@
 // answers told apart 99.16 in a hundred callers are answered on time on these days,
 // 98.58 without: their load alone doesn't give them away.
 test('slow services get less of the work', () => {
-  const onTime = (variant: PlaySettings['variant']): number => {
-    const troubles = PLAY_DAYS['slow'] ?? [];
-    const results = PLAY_LOADS.flatMap(load =>
+  const onTime = (variant: GatewaySimulationSettings['variant']): number => {
+    const disturbances = DISTURBANCE_SCHEDULES['slow'] ?? [];
+    const results = GATEWAY_LOADS.flatMap(load =>
       [501, 502, 503].map(seed =>
-        play({load, variant, seed, troubles, endMs: 24_000}),
+        simulate({load, variant, seed, disturbances, endMs: 24_000}),
       ),
     );
     const sum = results.reduce((all, one) => all + one.onTimePercent, 0);
@@ -98,31 +106,31 @@
   expect(onTime({name: 'in use'})).toBeGreaterThan(without + 0.2);
 });
 
-interface EnginePlay {
+interface EngineBench {
   readonly time: VirtualTime;
-  readonly account: PlayAccount;
-  make(memoryTokens?: number): PlayEngine;
+  readonly statistics: GatewaySimulationStatistics;
+  make(memoryTokens?: number): DirectEngine;
   /** @returns time until the first event of a prompt with this shared part */
-  firstMs(engine: PlayEngine, part: string, source?: PlayEngine): number;
+  firstMs(engine: DirectEngine, part: string, source?: DirectEngine): number;
 }
 
-function makeEnginePlay(): EnginePlay {
+function makeEngineBench(): EngineBench {
   const time = new VirtualTime();
-  const account = new PlayAccount();
+  const statistics = new GatewaySimulationStatistics();
   return {
     time,
-    account,
+    statistics,
     make: (memoryTokens = 100_000) =>
-      new PlayEngine(
+      new DirectEngine(
         {...LETTERS.engines, firstMs: 0, readTokensPerMs: 10, memoryTokens},
         time,
-        account,
+        statistics,
         () => 1,
       ),
     firstMs: (engine, part, source) => {
       const from = time.now;
       let at = Infinity;
-      const run: PlayRun = {
+      const request: EngineRequest = {
         parts: [
           {id: part, tokens: 1_000},
           {id: `own-${from}`, tokens: 100},
@@ -135,7 +143,7 @@
         onBroken: () => {},
         onRefused: () => {},
       };
-      engine.start(run);
+      engine.start(request);
       time.runUntil(from + 10_000);
       return at - from;
     },
@@ -143,7 +151,7 @@
 }
 
 test('an engine reads a shared part once, and takes it over from another', () => {
-  const {make, firstMs, account} = makeEnginePlay();
+  const {make, firstMs, statistics: account} = makeEngineBench();
   const [one, other] = [make(), make()];
   expect(firstMs(one, 'a')).toBeCloseTo(110);
   expect(firstMs(one, 'a')).toBeCloseTo(10);
@@ -156,7 +164,7 @@
 });
 
 test('an engine forgets what was used longest ago', () => {
-  const {make, firstMs} = makeEnginePlay();
+  const {make, firstMs} = makeEngineBench();
   const engine = make(2_500);
   for (const part of ['a', 'b', 'c']) firstMs(engine, part);
   expect(firstMs(engine, 'c')).toBeCloseTo(10);
--- a/packages/lovagepond-measure/src/caller_measure.ts
+++ b/packages/lovagepond-measure/src/caller_measure.ts
@@ -76,7 +76,7 @@
 }
 
 /** A caller front whose answers the measure writes itself. */
-class Bench {
+class CallerBench {
   readonly sinks: AnswerSink[] = [];
   readonly sockets: Socket[] = [];
   readonly #server: CallerServer;
@@ -125,7 +125,7 @@
 }
 
 async function measureOpenStreams(count: number): Promise<number> {
-  const bench = new Bench();
+  const bench = new CallerBench();
   const before = await usedBytes();
   await bench.open(count, true);
   await Promise.all(bench.sinks.map(sink => sink.write(makeEvent('r', 0))));
@@ -139,7 +139,7 @@
   count: number,
   offeredBytes: number,
 ): Promise<{used: number; taken: number}> {
-  const bench = new Bench();
+  const bench = new CallerBench();
   const before = await usedBytes();
   await bench.open(count, false);
   const event = makeEvent('r', 0);
@@ -176,7 +176,7 @@
 }
 
 async function measureRelay(): Promise<number> {
-  const bench = new Bench();
+  const bench = new CallerBench();
   await bench.open(RELAY_STREAMS, true);
   const micros = await relay(bench.sinks.map(sink => e => sink.write(e)));
   await bench.close();
--- a/packages/lovagepond-measure/src/claim_rate_measure.ts
+++ b/packages/lovagepond-measure/src/claim_rate_measure.ts
@@ -3,7 +3,7 @@
  * in the same run to a bare append and sync of the same batches.
  */
 import {join} from 'node:path';
-import {startLedgerGroup} from './control_fleet.js';
+import {startLedgerGroup} from './control_group.js';
 import {measureBareAppends, withTemporaryFolder} from './measure_disk.js';
 import {roundTo} from './measure_statistics.js';
 import {type MeasureSection} from './measure_types.js';
--- a/packages/lovagepond-measure/src/consensus_commit_measure.ts
+++ b/packages/lovagepond-measure/src/consensus_commit_measure.ts
@@ -109,7 +109,7 @@
 }
 
 /** @returns syncs a second of each of several writers at once */
-async function runBare(
+async function measureBareSyncs(
   folder: string,
   bytes: number,
   writers: number,
@@ -129,8 +129,8 @@
       await runCommits(group, underWay);
       const run = await runCommits(group, underWay);
       const bytes = RECORD_BYTES * run.batch;
-      const alone = await runBare(folder, bytes, 1);
-      const together = await runBare(folder, bytes, size);
+      const alone = await measureBareSyncs(folder, bytes, 1);
+      const together = await measureBareSyncs(folder, bytes, size);
       rows.push([
         size,
         underWay,
--- a/packages/lovagepond-measure/src/consensus_failover_measure.ts
+++ b/packages/lovagepond-measure/src/consensus_failover_measure.ts
@@ -21,21 +21,21 @@
 const SYNC_MS = 2;
 const TICK_MS = 25;
 const SETTLE_TIMEOUTS = 6;
-const GIVE_UP_TIMEOUTS = 60;
+const MAX_WAIT_TIMEOUTS = 60;
 /** Time from a process's start to its member's, and between first and last. */
 const START_MS = 300;
-const START_SPREAD_MS = 200;
+const START_WINDOW_MS = 200;
 const TIMINGS = DEFAULT_CONSENSUS_TIMINGS;
 const TIMEOUT = TIMINGS.electionTimeoutMs;
 
 /** How the leader is lost. */
-const LOSSES = {
+const LEADER_FAULTS = {
   crash: 'the leader crashes',
-  deaf: 'the leader sends and hears nobody',
-  mute: 'the leader hears and reaches nobody',
+  inboundCut: 'the leader sends and hears nobody',
+  outboundCut: 'the leader hears and reaches nobody',
 } as const;
 
-type Loss = keyof typeof LOSSES;
+type LeaderFault = keyof typeof LEADER_FAULTS;
 
 interface Peer {
   readonly member: Member;
@@ -47,8 +47,8 @@
   readonly time = new VirtualTime();
   readonly #random: Random;
   #peers: Peer[] = [];
-  #lost: Peer | undefined;
-  #loss: Loss | undefined;
+  #faulty: Peer | undefined;
+  #fault: LeaderFault | undefined;
 
   constructor(size: number, random: Random) {
     const members = Array.from({length: size}, (_, at): Member => {
@@ -70,30 +70,30 @@
   /** @returns the leader that nothing has happened to */
   findLeader(): Peer | undefined {
     return this.#peers.find(peer => {
-      const isWorking = peer !== this.#lost;
+      const isWorking = peer !== this.#faulty;
       return isWorking && peer.core.status(this.time.now).leaseValid;
     });
   }
 
-  lose(peer: Peer, loss: Loss): void {
-    this.#lost = peer;
-    this.#loss = loss;
+  injectFault(peer: Peer, fault: LeaderFault): void {
+    this.#faulty = peer;
+    this.#fault = fault;
   }
 
   /**
    * Stops all members, and starts them again one after the other.
    *
-   * @param knowsStart members know when their process was there
+   * @param fromProcessStart members know when their process was there
    */
-  restartAll(knowsStart: boolean): void {
+  restartAll(fromProcessStart: boolean): void {
     const members = this.#peers.map(({member}) => member);
     this.#peers = [];
     const snapshot = {index: 1, term: 1, members, data: new Uint8Array()};
     const hardState = {term: 1, vote: ''};
     for (const {id, address} of members) {
-      const startedAt = this.time.now + this.#random.next() * START_SPREAD_MS;
+      const startedAt = this.time.now + this.#random.next() * START_WINDOW_MS;
       this.time.at(startedAt + START_MS, () => {
-        const silentSince = knowsStart ? startedAt : this.time.now;
+        const silentSince = fromProcessStart ? startedAt : this.time.now;
         const stored = {id, hardState, snapshot, entries: []};
         this.#start(stored, address, silentSince);
       });
@@ -102,8 +102,14 @@
 
   #start(stored: StoredState, address: string, silentSince = 0): void {
     const random = this.#random;
-    const parts = {stored, address, timings: TIMINGS, random, silentSince};
-    const core = new ConsensusCore(parts, this.time.now);
+    const dependencies = {
+      stored,
+      address,
+      timings: TIMINGS,
+      random,
+      silentSince,
+    };
+    const core = new ConsensusCore(dependencies, this.time.now);
     const peer = {member: {id: stored.id, address, voter: true}, core};
     this.#peers.push(peer);
     this.time.every(TICK_MS, this.time.now + random.next() * TICK_MS, () => {
@@ -115,7 +121,7 @@
   }
 
   #run(peer: Peer, step: (core: ConsensusCore) => void): void {
-    if (peer === this.#lost && this.#loss === 'crash') return;
+    if (peer === this.#faulty && this.#fault === 'crash') return;
     step(peer.core);
     for (;;) {
       const actions = peer.core.takeActions();
@@ -126,11 +132,11 @@
 
   #perform(peer: Peer, action: ConsensusAction): void {
     if (action.kind === 'send') {
-      if (peer === this.#lost && this.#loss === 'mute') return;
+      if (peer === this.#faulty && this.#fault === 'outboundCut') return;
       const to = this.#peers.find(
         ({member}) => member.address === action.address,
       );
-      if (!to || (to === this.#lost && this.#loss === 'deaf')) return;
+      if (!to || (to === this.#faulty && this.#fault === 'inboundCut')) return;
       this.time.after(LATENCY_MS, () => {
         this.#run(to, core => {
           core.receive(action.message, this.time.now);
@@ -147,43 +153,47 @@
 }
 
 /** @returns milliseconds until another leader has committed */
-function runOnce(size: number, loss: Loss, seed: number): number {
+function runOnce(size: number, fault: LeaderFault, seed: number): number {
   const random = new Random(seed);
   const group = new FailoverGroup(size, random);
   const settled = TIMEOUT * (SETTLE_TIMEOUTS + random.next());
   group.time.runUntil(settled);
   const leader = group.findLeader();
   if (!leader) throw new Error(`no leader with seed ${seed}`);
-  const lostAt = group.time.now;
-  group.lose(leader, loss);
-  const giveUpAt = lostAt + TIMEOUT * GIVE_UP_TIMEOUTS;
-  while (!group.findLeader() && group.time.now < giveUpAt) {
+  const faultAt = group.time.now;
+  group.injectFault(leader, fault);
+  const waitUntil = faultAt + TIMEOUT * MAX_WAIT_TIMEOUTS;
+  while (!group.findLeader() && group.time.now < waitUntil) {
     group.time.runUntil(group.time.now + 1);
   }
-  return group.time.now - lostAt;
+  return group.time.now - faultAt;
 }
 
-function measureCase(size: number, loss: Loss): (string | number)[] {
+function measureCase(size: number, fault: LeaderFault): (string | number)[] {
   const times = new Distribution(0.001);
   for (let seed = 1; seed <= SEEDS; seed += 1) {
-    times.record(runOnce(size, loss, seed) / TIMEOUT);
+    times.record(runOnce(size, fault, seed) / TIMEOUT);
   }
   const shown = [times.mean, times.percentile(50), times.percentile(95)];
   return [
     size,
-    LOSSES[loss],
+    LEADER_FAULTS[fault],
     ...[...shown, times.max].map(value => roundTo(value, 2)),
   ];
 }
 
 /** @returns milliseconds from when all processes are there to a leader */
-function runRestart(size: number, knowsStart: boolean, seed: number): number {
+function runRestart(
+  size: number,
+  fromProcessStart: boolean,
+  seed: number,
+): number {
   const group = new FailoverGroup(size, new Random(seed));
   group.time.runUntil(TIMEOUT * SETTLE_TIMEOUTS);
-  const from = group.time.now + START_SPREAD_MS;
-  group.restartAll(knowsStart);
-  const giveUpAt = from + TIMEOUT * GIVE_UP_TIMEOUTS;
-  while (!group.findLeader() && group.time.now < giveUpAt) {
+  const from = group.time.now + START_WINDOW_MS;
+  group.restartAll(fromProcessStart);
+  const waitUntil = from + TIMEOUT * MAX_WAIT_TIMEOUTS;
+  while (!group.findLeader() && group.time.now < waitUntil) {
     group.time.runUntil(group.time.now + 1);
   }
   return group.time.now - from;
@@ -195,15 +205,15 @@
     title: 'All members stop and start: time until one has committed',
     columns: ['members', 'promise counted from', 'mean', 'p50', 'p95', 'max'],
     rows: RESTART_SIZES.flatMap(size =>
-      [false, true].map(knowsStart => {
+      [false, true].map(fromProcessStart => {
         const times = new Distribution(0.1);
         for (let seed = 1; seed <= SEEDS; seed += 1) {
-          times.record(runRestart(size, knowsStart, seed));
+          times.record(runRestart(size, fromProcessStart, seed));
         }
         const shown = [times.mean, times.percentile(50), times.percentile(95)];
         return [
           size,
-          knowsStart ? "the process's start" : "the member's start",
+          fromProcessStart ? "the process's start" : "the member's start",
           ...[...shown, times.max].map(value => roundTo(value, 0)),
         ];
       }),
@@ -211,7 +221,7 @@
     notes: [
       `milliseconds after the last process started, virtual time; election ` +
         `timeout ${TIMEOUT} ms`,
-      `seeds 1 to ${SEEDS}; processes start within ${START_SPREAD_MS} ms and ` +
+      `seeds 1 to ${SEEDS}; processes start within ${START_WINDOW_MS} ms and ` +
         `take ${START_MS} ms until their member is there`,
     ],
   };
@@ -219,12 +229,12 @@
 
 /** @returns time without a leader, by group size and kind of loss */
 export function measureFailover(): MeasureSection {
-  const losses = Object.keys(LOSSES) as Loss[];
+  const faults = Object.keys(LEADER_FAULTS) as LeaderFault[];
   return {
     title: 'Failover: time until another leader has committed',
     columns: ['members', 'what happens', 'mean', 'p50', 'p95', 'max'],
     rows: GROUP_SIZES.flatMap(size =>
-      losses.map(loss => measureCase(size, loss)),
+      faults.map(fault => measureCase(size, fault)),
     ),
     notes: [
       `in election timeouts of ${TIMEOUT} ms, virtual time`,
--- a/packages/lovagepond-measure/src/control_announce_measure.ts
+++ b/packages/lovagepond-measure/src/control_announce_measure.ts
@@ -9,7 +9,7 @@
 } from '@lovagepond/control';
 import {Random} from '@lovagepond/core';
 import {announce, announcementOf} from './control_announcements.js';
-import {aloneSettings} from './control_fleet.js';
+import {singleMemberSettings} from './control_group.js';
 import {withTemporaryFolder} from './measure_disk.js';
 import {MEASURE_CLOCK, NO_LOG, waitUntil} from './measure_environment.js';
 import {roundTo} from './measure_statistics.js';
@@ -31,8 +31,12 @@
 
 async function measureOverSockets(): Promise<number> {
   return withTemporaryFolder(async folder => {
-    const parts = {clock: MEASURE_CLOCK, log: NO_LOG, random: new Random(1)};
-    const role = new ControlRole(aloneSettings(folder), parts);
+    const dependencies = {
+      clock: MEASURE_CLOCK,
+      log: NO_LOG,
+      random: new Random(1),
+    };
+    const role = new ControlRole(singleMemberSettings(folder), dependencies);
     await role.start();
     await waitUntil(() => role.isReady());
     const target = `127.0.0.1:${role.port}`;
@@ -64,7 +68,7 @@
   }));
   const run = (round: number): void => {
     const now = round * 1_000;
-    for (const said of announcements) registry.announce(said, 'ready', now);
+    for (const server of announcements) registry.announce(server, 'ready', now);
     registry.tick(now);
   };
   for (let round = 0; round < 20; round += 1) run(round);
--- a/packages/lovagepond-measure/src/control_fleet.ts
+++ b/packages/lovagepond-measure/src/control_group.ts
@@ -106,7 +106,7 @@
 }
 
 /** Settings of a member that is alone. */
-export function aloneSettings(
+export function singleMemberSettings(
   folder: string,
 ): ConstructorParameters<typeof ControlRole>[0] {
   return {
--- a/packages/lovagepond-measure/src/control_measure.ts
+++ b/packages/lovagepond-measure/src/control_measure.ts
@@ -6,9 +6,9 @@
 import {measureAnnouncements} from './control_announce_measure.js';
 import {measureControlMemory} from './control_memory_measure.js';
 import {
-  measureChangeSpread,
+  measureChangePropagation,
   measureIdleSubscribers,
-} from './control_spread_measure.js';
+} from './control_propagation_measure.js';
 import {measureLedgerForms} from './ledger_form_measure.js';
 import {measureLedgerSnapshots} from './ledger_snapshot_measure.js';
 import {type MeasureSection} from './measure_types.js';
@@ -19,7 +19,7 @@
     await measureClaimRate(),
     measureLedgerForms(),
     measureLedgerSnapshots(),
-    await measureChangeSpread(),
+    await measureChangePropagation(),
     await measureIdleSubscribers(),
     await measureAnnouncements(),
     measureControlMemory(),
--- a/packages/lovagepond-measure/src/control_memory_measure.ts
+++ b/packages/lovagepond-measure/src/control_memory_measure.ts
@@ -10,7 +10,7 @@
   MembershipRegistry,
 } from '@lovagepond/control';
 import {describeServer} from './control_announcements.js';
-import {makeContent} from './control_spread_measure.js';
+import {makeContent} from './control_propagation_measure.js';
 import {measureHeap} from './measure_heap.js';
 import {roundTo} from './measure_statistics.js';
 import {type MeasureSection} from './measure_types.js';
@@ -32,8 +32,8 @@
       runningTokens: 20_000,
       queuedTokens: 0,
     });
-    type Said = Parameters<MembershipRegistry['announce']>[0];
-    registry.announce(JSON.parse(text) as Said, 'ready', 0);
+    type Announcement = Parameters<MembershipRegistry['announce']>[0];
+    registry.announce(JSON.parse(text) as Announcement, 'ready', 0);
   }
   return registry;
 }
--- a/packages/lovagepond-measure/src/control_spread_measure.ts
+++ b/packages/lovagepond-measure/src/control_propagation_measure.ts
@@ -4,11 +4,11 @@
 import {ControlRole} from '@lovagepond/control';
 import {type ConfigurationContent, Random} from '@lovagepond/core';
 import {announceServers} from './control_announcements.js';
-import {aloneSettings} from './control_fleet.js';
-import {CountingForwarder, MeasuredSubscriber} from './control_subscribers.js';
+import {singleMemberSettings} from './control_group.js';
+import {CountingForwarder, StubSubscriber} from './control_subscribers.js';
+import {withTemporaryFolder} from './measure_disk.js';
 import {MEASURE_CLOCK, NO_LOG, waitUntil} from './measure_environment.js';
 import {Distribution, roundTo} from './measure_statistics.js';
-import {withTemporaryFolder} from './measure_disk.js';
 import {type MeasureSection} from './measure_types.js';
 
 const SUBSCRIBERS = [10, 100, 1_000] as const;
@@ -61,9 +61,13 @@
   run: (role: ControlRole) => Promise<Value>,
 ): Promise<Value> {
   return withTemporaryFolder(async folder => {
-    const settings = {...aloneSettings(folder), leaseMs: LEASE_MS};
-    const parts = {clock: MEASURE_CLOCK, log: NO_LOG, random: new Random(1)};
-    const role = new ControlRole(settings, parts);
+    const settings = {...singleMemberSettings(folder), leaseMs: LEASE_MS};
+    const dependencies = {
+      clock: MEASURE_CLOCK,
+      log: NO_LOG,
+      random: new Random(1),
+    };
+    const role = new ControlRole(settings, dependencies);
     await role.start();
     await waitUntil(() => role.isReady());
     try {
@@ -91,25 +95,25 @@
 async function subscribe(
   target: string,
   count: number,
-): Promise<MeasuredSubscriber[]> {
+): Promise<StubSubscriber[]> {
   const subscribers = Array.from(
     {length: count},
-    (_, n) => new MeasuredSubscriber(target, `router-${n}`),
+    (_, n) => new StubSubscriber(target, `router-${n}`),
   );
   await waitUntil(() => subscribers.every(one => one.confirmed));
   return subscribers;
 }
 
 /** Resolves when the last subscriber holds the revision. */
-function allHold(
-  subscribers: readonly MeasuredSubscriber[],
+function waitForRevision(
+  subscribers: readonly StubSubscriber[],
   revision: number,
 ): Promise<void> {
   return new Promise(resolve => {
     let missing = subscribers.length;
     for (const subscriber of subscribers) {
-      subscriber.onRevision = held => {
-        if (held !== revision) return;
+      subscriber.onRevision = applied => {
+        if (applied !== revision) return;
         missing -= 1;
         if (missing === 0) resolve();
       };
@@ -117,34 +121,34 @@
   });
 }
 
-async function measureSpread(count: number): Promise<(string | number)[]> {
+async function measurePropagation(count: number): Promise<(string | number)[]> {
   return withRole(async role => {
     const subscribers = await subscribe(`127.0.0.1:${role.port}`, count);
     const accept = new Distribution(0.01);
-    const spread = new Distribution(0.01);
+    const propagation = new Distribution(0.01);
     for (let revision = 1; revision <= CHANGES; revision += 1) {
-      const held = allHold(subscribers, revision);
+      const propagated = waitForRevision(subscribers, revision);
       const started = performance.now();
       await change(role, revision);
       const accepted = performance.now();
-      await held;
+      await propagated;
       accept.record(accepted - started);
-      spread.record(performance.now() - accepted);
+      propagation.record(performance.now() - accepted);
     }
     for (const subscriber of subscribers) subscriber.close();
     return [
       count,
       roundTo(accept.percentile(50), 1),
-      roundTo(spread.percentile(50), 1),
-      roundTo(spread.max, 1),
+      roundTo(propagation.percentile(50), 1),
+      roundTo(propagation.max, 1),
     ];
   });
 }
 
 /** @returns time from accepted to in force at the last subscriber */
-export async function measureChangeSpread(): Promise<MeasureSection> {
+export async function measureChangePropagation(): Promise<MeasureSection> {
   const rows: (string | number)[][] = [];
-  for (const count of SUBSCRIBERS) rows.push(await measureSpread(count));
+  for (const count of SUBSCRIBERS) rows.push(await measurePropagation(count));
   return {
     title: 'From accepted to in force at the last subscriber, over sockets',
     columns: ['subscribers', 'accept p50 ms', 'spread p50 ms', 'spread max ms'],
@@ -176,17 +180,18 @@
     const cpu = process.cpuUsage();
     await pause(IDLE_MS);
     const used = process.cpuUsage(cpu);
-    const idle = forwarder.bytesToClients + forwarder.bytesToServer - bytes;
-    const held = allHold(subscribers, 2);
+    const idleBytes =
+      forwarder.bytesToClients + forwarder.bytesToServer - bytes;
+    const propagated = waitForRevision(subscribers, 2);
     const before = forwarder.bytesToClients;
     await change(role, 2);
-    await held;
+    await propagated;
     const pushed = forwarder.bytesToClients - before;
     for (const subscriber of subscribers) subscriber.close();
     forwarder.close();
     const subscriberSeconds = (IDLE_SUBSCRIBERS * IDLE_MS) / 1000;
     return {
-      bytesPerSecond: idle / subscriberSeconds,
+      bytesPerSecond: idleBytes / subscriberSeconds,
       microsecondsPerSecond: (used.user + used.system) / subscriberSeconds,
       bytesPerChange: pushed / IDLE_SUBSCRIBERS,
     };
--- a/packages/lovagepond-measure/src/control_subscribers.ts
+++ b/packages/lovagepond-measure/src/control_subscribers.ts
@@ -15,7 +15,7 @@
 const {v1} = lovagepond;
 
 /** One router's stream. */
-export class MeasuredSubscriber {
+export class StubSubscriber {
   revision = -1;
   confirmed = false;
   onRevision: (revision: number) => void = () => undefined;
--- a/packages/lovagepond-measure/src/crash_play.ts
+++ b/packages/lovagepond-measure/src/crash_simulation.ts
@@ -21,17 +21,18 @@
 import {VirtualTime} from './virtual_time.js';
 
 /** How far what gateways see of crashes goes. */
-export const KNOWLEDGE = {
+export const EVIDENCE_SCOPE = {
   NONE: 'none',
   GATEWAY: 'gateway',
   FLEET: 'fleet',
 } as const;
 
-/** One of the values of {@link KNOWLEDGE}. */
-export type Knowledge = (typeof KNOWLEDGE)[keyof typeof KNOWLEDGE];
+/** One of the values of {@link EVIDENCE_SCOPE}. */
+export type EvidenceScope =
+  (typeof EVIDENCE_SCOPE)[keyof typeof EVIDENCE_SCOPE];
 
 /** What happens beside requests that crash servers. */
-export interface CrashTroubles {
+export interface CrashDisturbances {
   /** Mean time between two crashes without a cause in a request, ms. */
   readonly crashEveryMs?: number;
   /** Share of answers whose connection breaks though the server goes on. */
@@ -43,11 +44,11 @@
 }
 
 /** One play. */
-export interface CrashPlay {
-  readonly knowledge: Knowledge;
+export interface CrashScenario {
+  readonly evidenceScope: EvidenceScope;
   /** Requests that crash what runs them. */
-  readonly guilty: number;
-  readonly troubles: CrashTroubles;
+  readonly crashingRequests: number;
+  readonly disturbances: CrashDisturbances;
 }
 
 /** What came of it. */
@@ -64,29 +65,29 @@
 const GATEWAYS = 12;
 const SERVERS = 24;
 const END_MS = 60_000;
-const GUILTY_FROM_MS = 5_000;
-const GUILTY_EVERY_MS = 800;
+const CRASHING_FROM_MS = 5_000;
+const CRASHING_EVERY_MS = 800;
 const REQUEST_EVERY_MS = 8;
 const RUN_MS = 1_500;
 const CRASH_AFTER_MS = 300;
 const RESTART_MS = 3_000;
-const LEAVE_MS = 2_000;
+const DRAIN_MS = 2_000;
 const TICK_MS = 100;
 const PROBE_MS = 1;
-const REPORT_MS = 20;
-const TOLD_MS = 40;
-const REPORT_LOST = 0.1;
-const MAX_REPEATS = 3;
-const REPEAT_AFTER_MS = 500;
+const REPORT_LAG_MS = 20;
+const SUSPECTS_LAG_MS = 40;
+const REPORT_LOSS = 0.1;
+const MAX_RETRIES = 3;
+const RETRY_DELAY_MS = 500;
 /** Share of requests that all have one of a few contents, such as a status. */
 const FREQUENT_SHARE = 0.1;
 const FREQUENT_CONTENTS = 5;
-const SECOND_TRY_SHARE = 0.5;
+const SECOND_ATTEMPT_SHARE = 0.5;
 
 interface Request {
   readonly fingerprint: string;
-  readonly isGuilty: boolean;
-  readonly repeats: number;
+  readonly isCrashing: boolean;
+  readonly retries: number;
 }
 
 interface Run {
@@ -108,26 +109,26 @@
 }
 
 /** Runs one play. */
-export class CrashPlayRun {
-  readonly #play: CrashPlay;
+export class CrashSimulation {
+  readonly #scenario: CrashScenario;
   readonly #random: Random;
   readonly #time = new VirtualTime();
   readonly #control = new CrashEvidence();
   readonly #gateways: Gateway[] = [];
   #servers: Server[] = [];
-  #lives = 0;
-  #contents = 0;
+  #lastServer = 0;
+  #lastContent = 0;
   #crashed = 0;
   #requests = 0;
   #refused = 0;
   #lost = 0;
 
   /**
-   * @param play what is played
+   * @param scenario what is played
    * @param random seeded
    */
-  constructor(play: CrashPlay, random: Random) {
-    this.#play = play;
+  constructor(scenario: CrashScenario, random: Random) {
+    this.#scenario = scenario;
     this.#random = random;
     for (let n = 0; n < SERVERS; n += 1) this.#startServer();
     for (let n = 0; n < GATEWAYS; n += 1) {
@@ -141,16 +142,16 @@
     time.every(TICK_MS, TICK_MS, () => {
       this.#tick();
     });
-    this.#repeatedly(REQUEST_EVERY_MS, 0, () => {
-      this.#ask(this.#draw());
+    this.#scheduleRandomly(REQUEST_EVERY_MS, 0, () => {
+      this.#send(this.#drawRequest());
     });
-    for (let n = 0; n < this.#play.guilty; n += 1) {
+    for (let n = 0; n < this.#scenario.crashingRequests; n += 1) {
       const fingerprint = toFingerprint(`guilty-${n}`);
-      this.#repeatedly(GUILTY_EVERY_MS, GUILTY_FROM_MS, () => {
-        this.#ask({fingerprint, isGuilty: true, repeats: MAX_REPEATS});
+      this.#scheduleRandomly(CRASHING_EVERY_MS, CRASHING_FROM_MS, () => {
+        this.#send({fingerprint, isCrashing: true, retries: MAX_RETRIES});
       });
     }
-    this.#startTroubles();
+    this.#startDisturbances();
     time.runUntil(END_MS);
     return {
       crashed: this.#crashed,
@@ -160,11 +161,12 @@
     };
   }
 
-  #startTroubles(): void {
-    const {crashEveryMs, powerLossAtMs, leaveEveryMs} = this.#play.troubles;
+  #startDisturbances(): void {
+    const {crashEveryMs, powerLossAtMs, leaveEveryMs} =
+      this.#scenario.disturbances;
     const up = (): Server[] => this.#servers.filter(({isUp}) => isUp);
     if (crashEveryMs !== undefined) {
-      this.#repeatedly(crashEveryMs, 0, () => {
+      this.#scheduleRandomly(crashEveryMs, 0, () => {
         this.#crash(this.#random.pick(up()));
       });
     }
@@ -180,18 +182,18 @@
     }
   }
 
-  #repeatedly(meanMs: number, from: number, run: () => void): void {
+  #scheduleRandomly(meanMs: number, from: number, run: () => void): void {
     const gap = -Math.log(1 - this.#random.next()) * meanMs;
     this.#time.at(from + gap, () => {
       run();
-      this.#repeatedly(meanMs, this.#time.now, run);
+      this.#scheduleRandomly(meanMs, this.#time.now, run);
     });
   }
 
   #makeGateway(): Gateway {
     const quarantine = new RequestQuarantine();
     const watch = new GatewayCrashWatch((crash, now) => {
-      if (this.#play.knowledge === KNOWLEDGE.NONE) return;
+      if (this.#scenario.evidenceScope === EVIDENCE_SCOPE.NONE) return;
       quarantine.noteCrash(crash, now);
       this.#report(quarantine);
     });
@@ -199,8 +201,8 @@
   }
 
   #startServer(): void {
-    this.#lives += 1;
-    const server = makeServer(`s${this.#lives}`);
+    this.#lastServer += 1;
+    const server = makeServer(`s${this.#lastServer}`);
     this.#servers.push({
       state: new ServerState(server),
       runs: new Set(),
@@ -208,38 +210,38 @@
     });
   }
 
-  #draw(): Request {
+  #drawRequest(): Request {
     this.#requests += 1;
     const isFrequent = this.#random.next() < FREQUENT_SHARE;
     const content = Math.floor(this.#random.next() * FREQUENT_CONTENTS);
-    this.#contents += 1;
-    const name = isFrequent ? `frequent-${content}` : `${this.#contents}`;
+    this.#lastContent += 1;
+    const name = isFrequent ? `frequent-${content}` : `${this.#lastContent}`;
     const fingerprint = toFingerprint(name);
-    return {fingerprint, isGuilty: false, repeats: 0};
+    return {fingerprint, isCrashing: false, retries: 0};
   }
 
-  #ask(request: Request): void {
+  #send(request: Request): void {
     this.#offer(request, this.#random.pick(this.#gateways), false);
   }
 
   #offer(request: Request, gateway: Gateway, isSecond: boolean): void {
     const {now} = this.#time;
-    const {fingerprint, isGuilty} = request;
+    const {fingerprint, isCrashing} = request;
     if (gateway.quarantine.quarantinedForMs(fingerprint, now) !== undefined) {
-      if (!isGuilty) this.#refused += 1;
+      if (!isCrashing) this.#refused += 1;
       return;
     }
     const ready = this.#servers.filter(
       ({isUp, state}) => isUp && state.server.state === SERVER_STATE.READY,
     );
     if (ready.length === 0) {
-      this.#repeat(request);
+      this.#retry(request);
       return;
     }
     const server = this.#random.pick(ready);
     const run = {request, gateway, isSecond, isOver: false};
     server.runs.add(run);
-    const meanMs = isGuilty ? CRASH_AFTER_MS : RUN_MS;
+    const meanMs = isCrashing ? CRASH_AFTER_MS : RUN_MS;
     const lengthMs = meanMs * (0.5 + this.#random.next());
     this.#time.after(lengthMs, () => {
       this.#end(server, run);
@@ -248,8 +250,8 @@
 
   #end(server: Server, run: Run): void {
     if (run.isOver) return;
-    const {lostAnswers = 0} = this.#play.troubles;
-    if (run.request.isGuilty) {
+    const {lostAnswers = 0} = this.#scenario.disturbances;
+    if (run.request.isCrashing) {
       this.#crashed += 1;
       this.#crash(server);
       return;
@@ -278,7 +280,7 @@
     if (!server) return;
     const {state} = server;
     state.server = {...state.server, state: SERVER_STATE.DRAINING};
-    this.#time.after(LEAVE_MS, () => {
+    this.#time.after(DRAIN_MS, () => {
       if (!server.isUp) return;
       server.isUp = false;
       this.#breakAll(server);
@@ -309,21 +311,21 @@
     this.#probe(gateway.watch);
     const crashes = gateway.quarantine.find(fingerprint, now)?.crashes ?? 0;
     const isSuspect =
-      this.#play.knowledge !== KNOWLEDGE.NONE &&
+      this.#scenario.evidenceScope !== EVIDENCE_SCOPE.NONE &&
       crashes + gateway.watch.undecided(fingerprint) >= SUSPECT_CRASHES;
-    const mayTryAgain = !isSecond && this.#random.next() < SECOND_TRY_SHARE;
+    const mayTryAgain = !isSecond && this.#random.next() < SECOND_ATTEMPT_SHARE;
     if (mayTryAgain && !isSuspect) this.#offer(request, gateway, true);
-    else this.#repeat(request);
+    else this.#retry(request);
   }
 
-  #repeat(request: Request): void {
-    if (request.isGuilty) return;
-    if (request.repeats >= MAX_REPEATS) {
+  #retry(request: Request): void {
+    if (request.isCrashing) return;
+    if (request.retries >= MAX_RETRIES) {
       this.#lost += 1;
       return;
     }
-    this.#time.after(REPEAT_AFTER_MS * (0.5 + this.#random.next()), () => {
-      this.#ask({...request, repeats: request.repeats + 1});
+    this.#time.after(RETRY_DELAY_MS * (0.5 + this.#random.next()), () => {
+      this.#send({...request, retries: request.retries + 1});
     });
   }
 
@@ -341,13 +343,13 @@
         const isUp = this.#servers.some(
           one => one.isUp && one.state.server.name === server.name,
         );
-        const shown = isUp ? REACHABILITY.ACCEPTS : REACHABILITY.REFUSES;
-        watch.noteProbe(server.name, shown, this.#time.now);
+        const reachability = isUp ? REACHABILITY.ACCEPTS : REACHABILITY.REFUSES;
+        watch.noteProbe(server.name, reachability, this.#time.now);
       });
     }
   }
 
-  #takeBack(quarantine: RequestQuarantine, fingerprint: string): void {
+  #cancel(quarantine: RequestQuarantine, fingerprint: string): void {
     for (const {runs} of this.#servers) {
       for (const run of runs) {
         const {request, gateway} = run;
@@ -355,17 +357,17 @@
         if (request.fingerprint !== fingerprint) continue;
         run.isOver = true;
         runs.delete(run);
-        if (!request.isGuilty) this.#refused += 1;
+        if (!request.isCrashing) this.#refused += 1;
       }
     }
   }
 
   #report(quarantine: RequestQuarantine): void {
-    if (this.#play.knowledge !== KNOWLEDGE.FLEET) return;
+    if (this.#scenario.evidenceScope !== EVIDENCE_SCOPE.FLEET) return;
     const report = quarantine.takeReport(this.#time.now);
     if (!report) return;
-    this.#time.after(REPORT_MS, () => {
-      const isLost = this.#random.next() < REPORT_LOST;
+    this.#time.after(REPORT_LAG_MS, () => {
+      const isLost = this.#random.next() < REPORT_LOSS;
       quarantine.endReport(!isLost);
       if (isLost) return;
       this.#report(quarantine);
@@ -383,11 +385,11 @@
         };
         this.#control.noteCrash(crash, now);
       }
-      this.#tell();
+      this.#publishSuspects();
     });
   }
 
-  #tell(): void {
+  #publishSuspects(): void {
     const {now} = this.#time;
     const suspects = this.#control.suspects(now).map(suspect => ({
       request: Buffer.from(suspect.request, 'hex'),
@@ -395,9 +397,9 @@
       quarantinedForMs: Math.max(0, (suspect.quarantinedUntil ?? now) - now),
     }));
     for (const {quarantine} of this.#gateways) {
-      this.#time.after(TOLD_MS * this.#random.next(), () => {
-        const held = quarantine.apply({suspects}, this.#time.now);
-        for (const fingerprint of held) this.#takeBack(quarantine, fingerprint);
+      this.#time.after(SUSPECTS_LAG_MS * this.#random.next(), () => {
+        const added = quarantine.apply({suspects}, this.#time.now);
+        for (const fingerprint of added) this.#cancel(quarantine, fingerprint);
       });
     }
   }
--- a/packages/lovagepond-measure/src/play_engine.ts
+++ b/packages/lovagepond-measure/src/direct_servers.ts
@@ -4,18 +4,18 @@
  * its memory lasts, and takes contexts over from other engines.
  */
 import {type PromptPart} from '@lovagepond/gateway/deciders';
-import {type PlayAccount} from './play_account.js';
-import {type EngineFacts} from './play_types.js';
+import {type GatewaySimulationStatistics} from './gateway_simulation_statistics.js';
+import {type EngineProfile} from './gateway_simulation_types.js';
 import {type VirtualTime} from './virtual_time.js';
 
 /** One request at an engine. */
-export interface PlayRun {
+export interface EngineRequest {
   /** Shared parts, then the request's own. */
   readonly parts: readonly PromptPart[];
   readonly events: number;
   /** 0 (lowest) to 9. */
   readonly priority: number;
-  readonly source: PlayEngine | undefined;
+  readonly source: DirectEngine | undefined;
   onFirst(): void;
   onEnd(): void;
   /** It fails or the engine ends. */
@@ -24,49 +24,49 @@
   onRefused(): void;
 }
 
-interface Waiting {
-  readonly run: PlayRun;
+interface QueuedRequest {
+  readonly run: EngineRequest;
   readonly order: number;
 }
 
-function tokensOf(run: PlayRun): number {
+function tokensOf(run: EngineRequest): number {
   return run.parts.reduce((sum, {tokens}) => sum + tokens, 0);
 }
 
 /** One engine. */
-export class PlayEngine {
-  readonly #facts: EngineFacts;
+export class DirectEngine {
+  readonly #profile: EngineProfile;
   readonly #time: VirtualTime;
-  readonly #account: PlayAccount;
-  readonly #running = new Set<PlayRun>();
-  #waiting: Waiting[] = [];
+  readonly #statistics: GatewaySimulationStatistics;
+  readonly #running = new Set<EngineRequest>();
+  #waiting: QueuedRequest[] = [];
   /** Shared parts by the ids of all parts up to them; the oldest use first. */
   readonly #held = new Map<string, number>();
   #heldTokens = 0;
   #runningTokens = 0;
   #readsUntil = 0;
   #isUp = true;
-  #orders = 0;
+  #lastOrder = 0;
   /** Part of its requests that it fails. */
-  failingPart = 0;
-  readonly #fails: () => number;
+  failureShare = 0;
+  readonly #draw: () => number;
 
   /**
-   * @param facts what it can do
+   * @param profile what it can do
    * @param time the play's time
-   * @param account where readings are counted
+   * @param statistics where readings are counted
    * @param draw draws from 0 to 1, for failures
    */
   constructor(
-    facts: EngineFacts,
+    profile: EngineProfile,
     time: VirtualTime,
-    account: PlayAccount,
+    statistics: GatewaySimulationStatistics,
     draw: () => number,
   ) {
-    this.#facts = facts;
+    this.#profile = profile;
     this.#time = time;
-    this.#account = account;
-    this.#fails = draw;
+    this.#statistics = statistics;
+    this.#draw = draw;
   }
 
   /** Requests that it processes, and those that wait. */
@@ -84,23 +84,23 @@
   }
 
   /** @param run a request that arrives now */
-  start(run: PlayRun): void {
+  start(run: EngineRequest): void {
     if (!this.#isUp) {
       run.onBroken();
       return;
     }
-    if (this.failingPart > 0 && this.#fails() < this.failingPart) {
-      this.#time.after(this.#facts.stepMs, () => {
+    if (this.failureShare > 0 && this.#draw() < this.failureShare) {
+      this.#time.after(this.#profile.stepMs, () => {
         run.onBroken();
       });
       return;
     }
-    if (this.#waiting.length >= this.#facts.queue) {
+    if (this.#waiting.length >= this.#profile.queue) {
       run.onRefused();
       return;
     }
-    this.#orders += 1;
-    this.#waiting.push({run, order: this.#orders});
+    this.#lastOrder += 1;
+    this.#waiting.push({run, order: this.#lastOrder});
     this.#waiting.sort(
       (left, right) =>
         right.run.priority - left.run.priority || left.order - right.order,
@@ -118,32 +118,32 @@
   }
 
   #admit(): void {
-    while (this.#running.size < this.#facts.slots) {
+    while (this.#running.size < this.#profile.slots) {
       const next = this.#waiting.shift();
       if (!next) return;
       this.#begin(next.run);
     }
   }
 
-  #begin(run: PlayRun): void {
-    const {readTokensPerMs, fetchTokensPerMs, firstMs} = this.#facts;
+  #begin(run: EngineRequest): void {
+    const {readTokensPerMs, fetchTokensPerMs, firstMs} = this.#profile;
     const now = this.#time.now;
     this.#running.add(run);
     this.#runningTokens += tokensOf(run);
-    const {unread, fetched} = this.#takeParts(run, now);
+    const {unread, fetched} = this.#loadParts(run, now);
     const workMs = firstMs + unread / readTokensPerMs;
     this.#readsUntil = Math.max(now, this.#readsUntil) + workMs;
     const readAt = this.#readsUntil + fetched / fetchTokensPerMs;
     this.#time.at(readAt, () => {
       if (!this.#running.has(run)) return;
-      this.#keep(run);
+      this.#storeParts(run);
       run.onFirst();
       this.#generate(run);
     });
   }
 
-  #takeParts(
-    {parts, source}: PlayRun,
+  #loadParts(
+    {parts, source}: EngineRequest,
     now: number,
   ): {readonly unread: number; readonly fetched: number} {
     let prefix = '';
@@ -158,20 +158,20 @@
       const how = isHeld ? 'held' : isAtSource ? 'fetched' : 'read';
       if (how === 'read') unread += tokens;
       if (how === 'fetched') fetched += tokens;
-      this.#account.used(prefix, tokens, how, now);
+      this.#statistics.recordSharedPart(prefix, tokens, how, now);
     }
     return {unread, fetched};
   }
 
   /** What has been read stays until what is used later needs its place. */
-  #keep({parts}: PlayRun): void {
+  #storeParts({parts}: EngineRequest): void {
     let prefix = '';
     for (const {id, tokens} of parts.slice(0, -1)) {
       prefix += `/${id}`;
       if (!this.#held.delete(prefix)) this.#heldTokens += tokens;
       this.#held.set(prefix, tokens);
     }
-    const {memoryTokens} = this.#facts;
+    const {memoryTokens} = this.#profile;
     for (const [oldest, tokens] of this.#held) {
       if (this.#heldTokens + this.#runningTokens <= memoryTokens) return;
       this.#held.delete(oldest);
@@ -179,8 +179,8 @@
     }
   }
 
-  #generate(run: PlayRun): void {
-    const {tokensPerEvent, stepMs, stepMsPerRequest} = this.#facts;
+  #generate(run: EngineRequest): void {
+    const {tokensPerEvent, stepMs, stepMsPerRequest} = this.#profile;
     const perToken = stepMs + stepMsPerRequest * this.#running.size;
     const lengthMs = (run.events - 1) * tokensPerEvent * perToken;
     this.#time.after(Math.max(0, lengthMs), () => {
@@ -193,14 +193,14 @@
 }
 
 /** A server of plain calls in virtual time: slots, and a queue before them. */
-export class PlayService {
+export class DirectService {
   readonly #slots: number;
   readonly #queue: number;
   readonly #time: VirtualTime;
   readonly #waiting: (() => void)[] = [];
   readonly #draw: () => number;
   #running = 0;
-  failingPart = 0;
+  failureShare = 0;
   /** It works so many times as long as it should. */
   slowness = 1;
   #isUp = true;
@@ -261,7 +261,7 @@
     this.#time.after(workMs * this.slowness, () => {
       this.#running -= 1;
       this.#waiting.shift()?.();
-      const part = Math.max(this.failingPart, usualFailures);
+      const part = Math.max(this.failureShare, usualFailures);
       if (!this.#isUp) onEnd('broken');
       else onEnd(this.#draw() < part ? 'failed' : 'ok');
     });
--- a/packages/lovagepond-measure/src/gateway_crashes_measure.ts
+++ b/packages/lovagepond-measure/src/gateway_crashes_measure.ts
@@ -4,18 +4,18 @@
  */
 import {Random} from '@lovagepond/core';
 import {
+  type CrashDisturbances,
   type CrashOutcome,
-  type CrashPlay,
-  CrashPlayRun,
-  type CrashTroubles,
-  KNOWLEDGE,
-} from './crash_play.js';
+  type CrashScenario,
+  CrashSimulation,
+  EVIDENCE_SCOPE,
+} from './crash_simulation.js';
 import {roundTo} from './measure_statistics.js';
 import {type MeasureSection} from './measure_types.js';
 
 const SEEDS = 20;
 
-const TROUBLES: Readonly<Record<string, CrashTroubles>> = {
+const DISTURBANCES: Readonly<Record<string, CrashDisturbances>> = {
   none: {},
   'other crashes': {crashEveryMs: 4_000},
   'lost answers': {lostAnswers: 0.025},
@@ -29,7 +29,7 @@
   },
 };
 
-const GUILTY = [0, 1, 3] as const;
+const CRASHING_COUNTS = [0, 1, 3] as const;
 
 function meanOf(
   outcomes: readonly CrashOutcome[],
@@ -38,26 +38,30 @@
   return outcomes.reduce((sum, one) => sum + read(one), 0) / outcomes.length;
 }
 
-function playSeeds(play: CrashPlay): readonly CrashOutcome[] {
+function simulateSeeds(scenario: CrashScenario): readonly CrashOutcome[] {
   return Array.from({length: SEEDS}, (_, seed) =>
-    new CrashPlayRun(play, new Random(seed + 1)).run(),
+    new CrashSimulation(scenario, new Random(seed + 1)).run(),
   );
 }
 
 /** @returns servers crashed and requests refused, by troubles and knowledge */
 export function measureGatewayCrashes(): Promise<readonly MeasureSection[]> {
-  const rows = Object.entries(TROUBLES).flatMap(([name, troubles]) =>
-    GUILTY.flatMap(guilty =>
-      Object.values(KNOWLEDGE).map(knowledge => {
-        const outcomes = playSeeds({knowledge, guilty, troubles});
+  const rows = Object.entries(DISTURBANCES).flatMap(([name, disturbances]) =>
+    CRASHING_COUNTS.flatMap(crashingRequests =>
+      Object.values(EVIDENCE_SCOPE).map(evidenceScope => {
+        const outcomes = simulateSeeds({
+          evidenceScope,
+          crashingRequests,
+          disturbances,
+        });
         const crashed = meanOf(outcomes, one => one.crashed);
         const most = Math.max(...outcomes.map(one => one.crashed));
         return [
           name,
-          guilty,
-          knowledge,
-          guilty === 0 ? '' : roundTo(crashed / guilty, 2),
-          guilty === 0 ? '' : most,
+          crashingRequests,
+          evidenceScope,
+          crashingRequests === 0 ? '' : roundTo(crashed / crashingRequests, 2),
+          crashingRequests === 0 ? '' : most,
           roundTo(
             meanOf(outcomes, one => one.refused),
             2,
@@ -71,7 +75,11 @@
     ),
   );
   const requests = meanOf(
-    playSeeds({knowledge: KNOWLEDGE.FLEET, guilty: 0, troubles: {}}),
+    simulateSeeds({
+      evidenceScope: EVIDENCE_SCOPE.FLEET,
+      crashingRequests: 0,
+      disturbances: {},
+    }),
     one => one.requests,
   );
   return Promise.resolve([
--- a/packages/lovagepond-measure/src/play_fleet.ts
+++ b/packages/lovagepond-measure/src/gateway_simulation.ts
@@ -20,15 +20,18 @@
 } from '@lovagepond/control/deciders';
 import {type PromptPart} from '@lovagepond/gateway/deciders';
 import {type KeyHasher} from '@lovagepond/router';
-import {PlayAccount, type PlayResult} from './play_account.js';
-import {PlayEngine, PlayService} from './play_engine.js';
-import {PlayGateway, type PlayRequest} from './play_gateway.js';
+import {DirectEngine, DirectService} from './direct_servers.js';
 import {
-  type DrawnLength,
-  type PlayKind,
-  type PlaySettings,
-  type PlayTrouble,
-} from './play_types.js';
+  type GatewaySimulationResult,
+  GatewaySimulationStatistics,
+} from './gateway_simulation_statistics.js';
+import {
+  type Disturbance,
+  type GatewaySimulationSettings,
+  type LengthDistribution,
+  type SimulatedRequestKind,
+} from './gateway_simulation_types.js';
+import {SimulatedGateway, type SimulatedRequest} from './simulated_gateway.js';
 import {VirtualTime} from './virtual_time.js';
 
 const ENGINES = 'engines';
@@ -37,11 +40,11 @@
 /** Time until gateways hear of a change of the list, milliseconds. */
 const LIST_LAG_MS = 50;
 /** Time until they hear what another one told. */
-const TOLD_LAG_MS = 25;
-const TELL_MS = 20;
+const REPORT_LAG_MS = 25;
+const REPORT_INTERVAL_MS = 20;
 
 /** Members of control collect changes of sums so long. */
-const SUMS_MS = 20;
+const TOTALS_INTERVAL_MS = 20;
 const TICK_MS = 100;
 
 /** A server that leaves serves so long after it has said so, milliseconds. */
@@ -53,38 +56,38 @@
 
 const MS_PER_SECOND = 1_000;
 
-type Trouble<Kind extends PlayTrouble['kind']> = Extract<
-  PlayTrouble,
+type DisturbanceOf<Kind extends Disturbance['kind']> = Extract<
+  Disturbance,
   {kind: Kind}
 >;
 
-type TroubleHandlers = {
-  readonly [Kind in PlayTrouble['kind']]: (trouble: Trouble<Kind>) => void;
+type DisturbanceHandlers = {
+  readonly [Kind in Disturbance['kind']]: (event: DisturbanceOf<Kind>) => void;
 };
 
 /** One play from its start to its result. */
-export class PlayFleet {
-  readonly #settings: PlaySettings;
+export class GatewaySimulation {
+  readonly #settings: GatewaySimulationSettings;
   readonly #time = new VirtualTime();
   readonly #random: Random;
-  readonly #account = new PlayAccount();
+  readonly #statistics = new GatewaySimulationStatistics();
   readonly #table = new DirectServerTable();
-  readonly #engines = new Map<string, PlayEngine>();
-  readonly #services = new Map<string, PlayService>();
-  readonly #gateways: readonly PlayGateway[];
+  readonly #engines = new Map<string, DirectEngine>();
+  readonly #services = new Map<string, DirectService>();
+  readonly #gateways: readonly SimulatedGateway[];
   readonly #totals = new RunningTotals();
   readonly #feeds: readonly RunningFeed[];
-  readonly #lengths = new Map<string, number>();
+  readonly #partLengths = new Map<string, number>();
   #version = 0;
-  #named = 0;
-  #times = 1;
+  #lastId = 0;
+  #rateFactor = 1;
   #hotShare = 0;
 
   /**
    * @param settings the load, the variant, what goes wrong, and the seed
    * @param hasher finds homes
    */
-  constructor(settings: PlaySettings, hasher: KeyHasher) {
+  constructor(settings: GatewaySimulationSettings, hasher: KeyHasher) {
     this.#settings = settings;
     this.#random = new Random(settings.seed);
     const pools = makePools(settings);
@@ -92,7 +95,7 @@
     this.#gateways = Array.from(
       {length: load.gateways},
       (_, at) =>
-        new PlayGateway({
+        new SimulatedGateway({
           name: `gateway-${at}`,
           zone: `zone-${at % load.zones}`,
           pools,
@@ -104,7 +107,7 @@
             engine: name => this.#engines.get(name),
             service: name => this.#services.get(name),
           },
-          account: this.#account,
+          statistics: this.#statistics,
         }),
     );
     this.#feeds = this.#gateways.map(
@@ -113,29 +116,29 @@
   }
 
   /** @returns what callers got */
-  run(): PlayResult {
-    const {load, troubles, endMs} = this.#settings;
+  run(): GatewaySimulationResult {
+    const {load, disturbances, endMs} = this.#settings;
     for (let at = 0; at < load.engines.count; at += 1) this.#addEngine();
     for (let at = 0; at < load.services.count; at += 1) this.#addService();
-    this.#time.every(TELL_MS, TELL_MS, () => {
-      this.#tell();
+    this.#time.every(REPORT_INTERVAL_MS, REPORT_INTERVAL_MS, () => {
+      this.#sendReports();
     });
-    this.#time.every(SUMS_MS, SUMS_MS, () => {
-      this.#tellSums();
+    this.#time.every(TOTALS_INTERVAL_MS, TOTALS_INTERVAL_MS, () => {
+      this.#sendTotals();
     });
     this.#time.every(TICK_MS, TICK_MS, () => {
       this.#tick();
     });
-    for (const trouble of troubles) this.#plan(trouble);
-    for (const kind of load.kinds) this.#arrive(kind);
+    for (const disturbance of disturbances) this.#schedule(disturbance);
+    for (const kind of load.kinds) this.#scheduleArrival(kind);
     const longest = Math.max(...load.kinds.map(kind => kind.deadlineMs));
     this.#time.runUntil(LIST_LAG_MS + endMs + longest);
-    return this.#account.result();
+    return this.#statistics.result();
   }
 
-  readonly #handlers: TroubleHandlers = {
+  readonly #handlers: DisturbanceHandlers = {
     release: ({share, gapMs}) => {
-      const old = this.#draw(share);
+      const old = this.#drawEngines(share);
       for (const [at, name] of old.entries()) {
         this.#time.after(at * gapMs, () => {
           this.#replace(name);
@@ -143,10 +146,10 @@
       }
     },
     crash: ({share, forMs}) => {
-      for (const name of this.#draw(share)) {
+      for (const name of this.#drawEngines(share)) {
         this.#engines.get(name)?.crash();
         this.#time.after(LEASE_MS, () => {
-          this.#drop(name);
+          this.#deregister(name);
         });
         this.#time.after(forMs, () => {
           this.#addEngine();
@@ -154,26 +157,26 @@
       }
     },
     failing: ({share, forMs, part}) => {
-      const ill = [
-        ...this.#draw(share).map(name => this.#engines.get(name)),
-        ...this.#drawOf([...this.#services.values()], share),
+      const failing = [
+        ...this.#drawEngines(share).map(name => this.#engines.get(name)),
+        ...this.#drawItems([...this.#services.values()], share),
       ];
-      for (const server of ill) if (server) server.failingPart = part;
+      for (const server of failing) if (server) server.failureShare = part;
       this.#time.after(forMs, () => {
-        for (const server of ill) if (server) server.failingPart = 0;
+        for (const server of failing) if (server) server.failureShare = 0;
       });
     },
     slow: ({share, forMs, times}) => {
-      const slow = this.#drawOf([...this.#services.values()], share);
+      const slow = this.#drawItems([...this.#services.values()], share);
       for (const server of slow) server.slowness = times;
       this.#time.after(forMs, () => {
         for (const server of slow) server.slowness = 1;
       });
     },
     burst: ({times, forMs}) => {
-      this.#times = times;
+      this.#rateFactor = times;
       this.#time.after(forMs, () => {
-        this.#times = 1;
+        this.#rateFactor = 1;
       });
     },
     hotKey: ({share, forMs}) => {
@@ -188,31 +191,31 @@
     },
     restart: ({downMs}) => {
       for (const gateway of this.#gateways) {
-        gateway.forget();
+        gateway.restart();
         gateway.readyAt = this.#time.now + downMs;
       }
-      this.#publish();
+      this.#publishList();
     },
   };
 
-  #plan(trouble: PlayTrouble): void {
-    const handle = this.#handlers[trouble.kind] as (one: PlayTrouble) => void;
-    this.#time.at(trouble.atMs, () => {
-      handle(trouble);
+  #schedule(event: Disturbance): void {
+    const handle = this.#handlers[event.kind] as (one: Disturbance) => void;
+    this.#time.at(event.atMs, () => {
+      handle(event);
     });
   }
 
   /** @returns engines drawn from those that stay */
-  #draw(share: number): readonly string[] {
+  #drawEngines(share: number): readonly string[] {
     const staying = this.#table
       .list()
       .filter(({server, leaving}) => server.pool === ENGINES && !leaving)
       .map(({server}) => server.name)
       .filter(name => this.#engines.get(name)?.isUp);
-    return this.#drawOf(staying, share);
+    return this.#drawItems(staying, share);
   }
 
-  #drawOf<Item>(items: readonly Item[], share: number): readonly Item[] {
+  #drawItems<Item>(items: readonly Item[], share: number): readonly Item[] {
     const left = [...items];
     const drawn: Item[] = [];
     const count = Math.max(1, Math.round(share * items.length));
@@ -226,43 +229,43 @@
     this.#addEngine();
     this.#time.after(OVERLAP_MS, () => {
       this.#table.leave(name, this.#time.now);
-      this.#publish();
+      this.#publishList();
     });
     this.#time.after(OVERLAP_MS + DRAIN_MS, () => {
       this.#engines.get(name)?.crash();
-      this.#drop(name);
+      this.#deregister(name);
     });
   }
 
-  #drop(name: string): void {
+  #deregister(name: string): void {
     this.#table.end(name, this.#time.now);
     this.#engines.delete(name);
-    this.#publish();
+    this.#publishList();
   }
 
   #addEngine(): void {
     const {load} = this.#settings;
-    const name = this.#join(ENGINES, load.engines.slots);
+    const name = this.#register(ENGINES, load.engines.slots);
     const draw = (): number => this.#random.next();
     this.#engines.set(
       name,
-      new PlayEngine(load.engines, this.#time, this.#account, draw),
+      new DirectEngine(load.engines, this.#time, this.#statistics, draw),
     );
-    this.#publish();
+    this.#publishList();
   }
 
   #addService(): void {
     const {slots, queue} = this.#settings.load.services;
-    const name = this.#join(SERVICES, slots);
+    const name = this.#register(SERVICES, slots);
     const draw = (): number => this.#random.next();
-    this.#services.set(name, new PlayService(slots, queue, this.#time, draw));
-    this.#publish();
+    this.#services.set(name, new DirectService(slots, queue, this.#time, draw));
+    this.#publishList();
   }
 
-  #join(pool: string, slots: number): string {
-    this.#named += 1;
-    const name = `${pool}-${this.#named}`;
-    const zone = this.#named % this.#settings.load.zones;
+  #register(pool: string, slots: number): string {
+    this.#lastId += 1;
+    const name = `${pool}-${this.#lastId}`;
+    const zone = this.#lastId % this.#settings.load.zones;
     const server: JoiningServer = {
       name,
       incarnation: name,
@@ -279,7 +282,7 @@
     return name;
   }
 
-  #publish(): void {
+  #publishList(): void {
     this.#version += 1;
     const version = this.#version;
     const servers = new Map(
@@ -300,43 +303,45 @@
     const {now} = this.#time;
     if (this.#table.hasPlacesToOpen(now)) {
       this.#table.openPlaces(now);
-      this.#publish();
+      this.#publishList();
     }
     for (const {fleet} of this.#gateways) fleet.forgetSilentRouters(now);
   }
 
-  #tell(): void {
+  #sendReports(): void {
     const {variant} = this.#settings;
     for (const [at, {readings}] of this.#gateways.entries()) {
       const report = readings.takeReport(this.#time.now);
       if (!report) continue;
-      const told: ReadingReport = readReadings({
+      const sentReport: ReadingReport = readReadings({
         ...report,
         node: `gateway-${at}`,
-        ...(variant.silentReadings && {readings: []}),
-        ...(variant.silentRunning && {running: []}),
+        ...(variant.noReadingReports && {readings: []}),
+        ...(variant.noRunningReports && {running: []}),
       });
-      this.#time.after(TOLD_LAG_MS, () => {
-        this.#passOn(told);
+      this.#time.after(REPORT_LAG_MS, () => {
+        this.#relayReport(sentReport);
       });
     }
   }
 
   /** As a member of control does. */
-  #passOn(told: ReadingReport): void {
+  #relayReport(sentReport: ReadingReport): void {
     const {now} = this.#time;
     const {variant} = this.#settings;
-    this.#totals.note(told, now);
-    const report = variant.eachRunning ? told : {...told, running: []};
+    this.#totals.note(sentReport, now);
+    const report = variant.individualReports
+      ? sentReport
+      : {...sentReport, running: []};
     if (report.readings.length + report.running.length === 0) return;
     for (const {readings} of this.#gateways) {
       readings.apply(toWireDigest([report]), now);
     }
   }
 
-  #tellSums(): void {
+  #sendTotals(): void {
     const {now} = this.#time;
-    if (this.#settings.variant.eachRunning) return;
+    if (this.#settings.variant.individualReports) return;
     this.#totals.forgetSilent(now);
     this.#gateways.forEach(({readings}, at) => {
       const running = this.#feeds[at]?.next(this.#totals, now) ?? [];
@@ -345,18 +350,18 @@
     });
   }
 
-  #arrive(kind: PlayKind): void {
-    const perMs = (kind.perSecond * this.#times) / MS_PER_SECOND;
+  #scheduleArrival(kind: SimulatedRequestKind): void {
+    const perMs = (kind.perSecond * this.#rateFactor) / MS_PER_SECOND;
     this.#time.after(this.#random.exponential(1 / perMs), () => {
       if (this.#time.now >= this.#settings.endMs) return;
-      this.#arrive(kind);
+      this.#scheduleArrival(kind);
       const req = this.#drawRequest(kind);
-      this.#account.asked(kind, this.#time.now);
+      this.#statistics.recordRequest(kind, this.#time.now);
       this.#random.pick(this.#gateways).serve(req);
     });
   }
 
-  #drawRequest(kind: PlayKind): PlayRequest {
+  #drawRequest(kind: SimulatedRequestKind): SimulatedRequest {
     const {prompt, workMs} = kind;
     return {
       kind,
@@ -368,8 +373,8 @@
   }
 
   #drawParts(
-    {name}: PlayKind,
-    {shared, own}: NonNullable<PlayKind['prompt']>,
+    {name}: SimulatedRequestKind,
+    {shared, own}: NonNullable<SimulatedRequestKind['prompt']>,
   ): readonly PromptPart[] {
     const isHot = this.#random.next() < this.#hotShare;
     // A part follows the same parts in all prompts: servers know it by its id.
@@ -377,17 +382,17 @@
     const parts = shared.map(({tokens, count}, level) => {
       const number = last % count;
       const id = `${name}.${level}.${number}`;
-      const length = this.#lengths.get(id) ?? this.#drawLength(tokens);
-      this.#lengths.set(id, length);
+      const length = this.#partLengths.get(id) ?? this.#drawLength(tokens);
+      this.#partLengths.set(id, length);
       return {id, tokens: length};
     });
-    this.#named += 1;
-    const ownPart = {id: `own.${this.#named}`, tokens: this.#drawLength(own)};
+    this.#lastId += 1;
+    const ownPart = {id: `own.${this.#lastId}`, tokens: this.#drawLength(own)};
     return [...parts, ownPart];
   }
 
   /** Log-normal, by the sum of twelve draws for a normal one. */
-  #drawLength({mean, spread, max}: DrawnLength): number {
+  #drawLength({mean, spread, max}: LengthDistribution): number {
     let normal = -6;
     for (let draw = 0; draw < 12; draw += 1) normal += this.#random.next();
     const drawn = mean * Math.exp(spread * normal - spread ** 2 / 2);
@@ -395,7 +400,7 @@
   }
 }
 
-function makePools({load, variant}: PlaySettings): {
+function makePools({load, variant}: GatewaySimulationSettings): {
   readonly engines: Pool;
   readonly services: Pool;
 } {
--- a/packages/lovagepond-measure/src/play_loads.ts
+++ b/packages/lovagepond-measure/src/gateway_simulation_loads.ts
@@ -1,7 +1,11 @@
 /**
  * The three deployments that are played, as their users describe them.
  */
-import {type PlayKind, type PlayLoad, type PlayTrouble} from './play_types.js';
+import {
+  type Disturbance,
+  type GatewayLoad,
+  type SimulatedRequestKind,
+} from './gateway_simulation_types.js';
 
 const HIGH = 9;
 
@@ -11,10 +15,10 @@
   perSecond: number,
   worth: readonly [onTime: number, late: number],
   times: readonly [targetMs: number, deadlineMs: number],
-  prompt: NonNullable<PlayKind['prompt']>,
+  prompt: NonNullable<SimulatedRequestKind['prompt']>,
   rank: number,
   repeatable = false,
-): PlayKind {
+): SimulatedRequestKind {
   return {
     name,
     perSecond,
@@ -36,7 +40,7 @@
   lateWorth: number,
   times: readonly [targetMs: number, deadlineMs: number],
   repeatable: boolean,
-): PlayKind {
+): SimulatedRequestKind {
   return {
     name,
     perSecond,
@@ -91,7 +95,7 @@
 };
 
 /** Coupons: six engines, nine entry hosts, four zones. */
-const COUPONS: PlayLoad = {
+const COUPONS: GatewayLoad = {
   name: 'coupons',
   gateways: 9,
   zones: 4,
@@ -108,7 +112,7 @@
 };
 
 /** Spill reports: six engines, seven entry hosts, three zones. */
-const REPORTS: PlayLoad = {
+const REPORTS: GatewayLoad = {
   name: 'reports',
   gateways: 7,
   zones: 3,
@@ -125,7 +129,7 @@
 };
 
 /** Letters of credit: thirteen engines, eight entry hosts, three zones. */
-const LETTERS: PlayLoad = {
+const LETTERS: GatewayLoad = {
   name: 'letters',
   gateways: 8,
   zones: 3,
@@ -196,10 +200,16 @@
 };
 
 /** The loads by their names. */
-export const PLAY_LOADS: readonly PlayLoad[] = [COUPONS, REPORTS, LETTERS];
+export const GATEWAY_LOADS: readonly GatewayLoad[] = [
+  COUPONS,
+  REPORTS,
+  LETTERS,
+];
 
 /** Kinds of days, by what happens on them. */
-export const PLAY_DAYS: Readonly<Record<string, readonly PlayTrouble[]>> = {
+export const DISTURBANCE_SCHEDULES: Readonly<
+  Record<string, readonly Disturbance[]>
+> = {
   calm: [],
   release: [{kind: 'release', atMs: 12_000, share: 0.5, gapMs: 1_000}],
   crash: [{kind: 'crash', atMs: 12_000, share: 0.2, forMs: 4_000}],
--- a/packages/lovagepond-measure/src/gateway_play_measure.ts
+++ b/packages/lovagepond-measure/src/gateway_simulation_measure.ts
@@ -3,31 +3,34 @@
  * of day, over several seeds.
  */
 import {type KeyHasher, loadKeyHasher} from '@lovagepond/router';
+import {GatewaySimulation} from './gateway_simulation.js';
+import {
+  DISTURBANCE_SCHEDULES,
+  GATEWAY_LOADS,
+} from './gateway_simulation_loads.js';
+import {type GatewaySimulationResult} from './gateway_simulation_statistics.js';
+import {
+  type GatewayLoad,
+  type GatewaySimulationSettings,
+  type GatewayVariant,
+} from './gateway_simulation_types.js';
 import {roundTo} from './measure_statistics.js';
 import {type MeasureSection} from './measure_types.js';
-import {type PlayResult} from './play_account.js';
-import {PlayFleet} from './play_fleet.js';
-import {PLAY_DAYS, PLAY_LOADS} from './play_loads.js';
-import {
-  type PlayLoad,
-  type PlaySettings,
-  type PlayVariant,
-} from './play_types.js';
 
 const FIRST_SEED = 401;
 const SEEDS = 8;
 const END_MS = 34_000;
 
 /** As it is in production. */
-const AS_IT_IS: PlayVariant = {name: 'as it is'};
+const BASELINE: GatewayVariant = {name: 'as it is'};
 
 /** One mechanism switched off at a time. */
-const ABLATIONS: readonly PlayVariant[] = [
+const ABLATIONS: readonly GatewayVariant[] = [
   {name: 'no homes', weights: {home: 0}},
   {name: 'contexts not taken over', noFetch: true},
-  {name: 'readings not told', silentReadings: true},
-  {name: 'requests not told', silentRunning: true},
-  {name: 'requests told one by one', eachRunning: true},
+  {name: 'readings not told', noReadingReports: true},
+  {name: 'requests not told', noRunningReports: true},
+  {name: 'requests told one by one', individualReports: true},
   {name: 'no load in answers', noLoadHeader: true},
   {name: 'lateness not weighed', weights: {late: 0}},
   {name: 'requests not weighed', weights: {runningRequestMs: 0}},
@@ -40,52 +43,58 @@
 ];
 
 /** Means over the seeds, and the spread of one of them. */
-export interface PlayRow {
-  readonly mean: PlayResult;
-  readonly worthSpread: number;
+export interface SeedSummary {
+  readonly mean: GatewaySimulationResult;
+  readonly worthDeviation: number;
 }
 
-function meanOf(results: readonly PlayResult[]): PlayRow {
-  const keys = Object.keys(results[0] ?? {}) as (keyof PlayResult)[];
+function meanOf(results: readonly GatewaySimulationResult[]): SeedSummary {
+  const keys = Object.keys(
+    results[0] ?? {},
+  ) as (keyof GatewaySimulationResult)[];
   const sums = keys.map(key => [
     key,
     results.reduce((sum, result) => sum + result[key], 0) / results.length,
   ]);
-  const mean = Object.fromEntries(sums) as unknown as PlayResult;
+  const mean = Object.fromEntries(sums) as unknown as GatewaySimulationResult;
   const squares = results.map(
     ({worthPercent}) => (worthPercent - mean.worthPercent) ** 2,
   );
   const variance =
     squares.reduce((sum, square) => sum + square, 0) /
     Math.max(1, results.length - 1);
-  return {mean, worthSpread: Math.sqrt(variance)};
+  return {mean, worthDeviation: Math.sqrt(variance)};
 }
 
 /**
- * @param play what is played
+ * @param settings what is played
  * @param hasher finds homes
  * @param seeds how many, from the first one on
  * @returns means over the seeds
  */
-export function playSeeds(
-  play: Omit<PlaySettings, 'seed'>,
+export function simulateSeeds(
+  settings: Omit<GatewaySimulationSettings, 'seed'>,
   hasher: KeyHasher,
   seeds: number,
-): PlayRow {
+): SeedSummary {
   const results = Array.from({length: seeds}, (_, at) =>
-    new PlayFleet({...play, seed: FIRST_SEED + at}, hasher).run(),
+    new GatewaySimulation({...settings, seed: FIRST_SEED + at}, hasher).run(),
   );
   return meanOf(results);
 }
 
-function playAll(
-  load: PlayLoad,
+function simulateDay(
+  load: GatewayLoad,
   day: string,
-  variant: PlayVariant,
+  variant: GatewayVariant,
   hasher: KeyHasher,
-): PlayRow {
-  const troubles = PLAY_DAYS[day] ?? [];
-  return playSeeds({load, variant, troubles, endMs: END_MS}, hasher, SEEDS);
+): SeedSummary {
+  const disturbances = DISTURBANCE_SCHEDULES[day] ?? [];
+  return simulateSeeds(
+    {load, variant, disturbances, endMs: END_MS},
+    hasher,
+    SEEDS,
+  );
 }
 
 const COLUMNS = [
@@ -100,12 +109,12 @@
   '1,000 tokens taken over',
 ];
 
-function cellsOf({mean, worthSpread}: PlayRow): number[] {
+function cellsOf({mean, worthDeviation}: SeedSummary): number[] {
   return [
     roundTo(mean.servedPercent, 2),
     roundTo(mean.onTimePercent, 2),
     roundTo(mean.worthPercent, 2),
-    roundTo(worthSpread, 2),
+    roundTo(worthDeviation, 2),
     roundTo(mean.worstPercent, 1),
     roundTo(mean.firstP50Ms, 0),
     roundTo(mean.firstP99Ms, 0),
@@ -119,13 +128,13 @@
 ];
 
 /** @returns each load on each kind of day, as it is in production */
-export async function measureGatewayPlays(): Promise<MeasureSection[]> {
+export async function measureGatewaySimulations(): Promise<MeasureSection[]> {
   const hasher = await loadKeyHasher();
-  const rows = PLAY_LOADS.flatMap(load =>
-    Object.keys(PLAY_DAYS).map(day => [
+  const rows = GATEWAY_LOADS.flatMap(load =>
+    Object.keys(DISTURBANCE_SCHEDULES).map(day => [
       load.name,
       day,
-      ...cellsOf(playAll(load, day, AS_IT_IS, hasher)),
+      ...cellsOf(simulateDay(load, day, BASELINE, hasher)),
     ]),
   );
   return [
@@ -141,12 +150,12 @@
 /** @returns each mechanism switched off alone, on the mixed day */
 export async function measureGatewayAblation(): Promise<MeasureSection[]> {
   const hasher = await loadKeyHasher();
-  return PLAY_LOADS.map(load => ({
+  return GATEWAY_LOADS.map(load => ({
     title: `Mechanisms switched off alone: ${load.name}`,
     columns: ['variant', ...COLUMNS],
-    rows: [AS_IT_IS, ...ABLATIONS].map(variant => [
+    rows: [BASELINE, ...ABLATIONS].map(variant => [
       variant.name,
-      ...cellsOf(playAll(load, 'mixed', variant, hasher)),
+      ...cellsOf(simulateDay(load, 'mixed', variant, hasher)),
     ]),
     notes: ['npm run measure -- gateway-ablation', 'mixed day', ...NOTES],
   }));
--- a/packages/lovagepond-measure/src/play_account.ts
+++ b/packages/lovagepond-measure/src/gateway_simulation_statistics.ts
@@ -1,8 +1,8 @@
 /**
  * What callers got, and what it cost, in one play.
  */
+import {type SimulatedRequestKind} from './gateway_simulation_types.js';
 import {Distribution, percentOf} from './measure_statistics.js';
-import {type PlayKind} from './play_types.js';
 
 /** Length of the windows of which the worst counts, milliseconds. */
 const WINDOW_MS = 2_000;
@@ -11,30 +11,30 @@
 const REREAD_WITHIN_MS = 10_000;
 
 interface Window {
-  owed: number;
-  earned: number;
+  offeredWorth: number;
+  earnedWorth: number;
 }
 
 /** Counts one play. */
-export class PlayAccount {
+export class GatewaySimulationStatistics {
   readonly firstMs = new Distribution(0.1);
-  #asked = 0;
+  #requests = 0;
   #served = 0;
   #onTime = 0;
-  #owed = 0;
-  #earned = 0;
+  #offeredWorth = 0;
+  #earnedWorth = 0;
   readonly #windows = new Map<number, Window>();
   readonly #usedAt = new Map<string, number>();
-  readonly #readOnce = new Set<string>();
+  readonly #readParts = new Set<string>();
   #readTokens = 0;
   #rereadTokens = 0;
   #fetchedTokens = 0;
 
   /** A request came. */
-  asked(kind: PlayKind, at: number): void {
-    this.#asked += 1;
-    this.#owed += kind.worth;
-    this.#windowAt(at).owed += kind.worth;
+  recordRequest(kind: SimulatedRequestKind, at: number): void {
+    this.#requests += 1;
+    this.#offeredWorth += kind.worth;
+    this.#windowAt(at).offeredWorth += kind.worth;
   }
 
   /**
@@ -44,14 +44,14 @@
    * @param at when it came
    * @param firstMs time until its answer, or the first event of it
    */
-  served(kind: PlayKind, at: number, firstMs: number): void {
+  recordAnswer(kind: SimulatedRequestKind, at: number, firstMs: number): void {
     this.#served += 1;
     this.firstMs.record(firstMs);
     const isOnTime = firstMs <= kind.targetLatencyMs;
     if (isOnTime) this.#onTime += 1;
     const worth = isOnTime ? kind.worth : kind.lateWorth;
-    this.#earned += worth;
-    this.#windowAt(at).earned += worth;
+    this.#earnedWorth += worth;
+    this.#windowAt(at).earnedWorth += worth;
   }
 
   /**
@@ -62,7 +62,7 @@
    * @param how whether the engine holds it, takes it over or reads it
    * @param at virtual time
    */
-  used(
+  recordSharedPart(
     id: string,
     tokens: number,
     how: 'held' | 'fetched' | 'read',
@@ -73,28 +73,28 @@
     if (how === 'fetched') this.#fetchedTokens += tokens;
     if (how !== 'read') return;
     this.#readTokens += tokens;
-    const isAgain = this.#readOnce.has(id) && at - last < REREAD_WITHIN_MS;
+    const isAgain = this.#readParts.has(id) && at - last < REREAD_WITHIN_MS;
     if (isAgain) this.#rereadTokens += tokens;
-    this.#readOnce.add(id);
+    this.#readParts.add(id);
   }
 
   /** Engines forgot what they held, all of them: nobody could have kept it. */
-  forgetReadings(): void {
-    this.#readOnce.clear();
+  clearReadParts(): void {
+    this.#readParts.clear();
   }
 
   /** @returns the figures of the play */
-  result(): PlayResult {
+  result(): GatewaySimulationResult {
     const shares = [...this.#windows.values()]
-      .filter(({owed}) => owed > 0)
-      .map(({owed, earned}) => earned / owed)
+      .filter(({offeredWorth}) => offeredWorth > 0)
+      .map(({offeredWorth: owed, earnedWorth}) => earnedWorth / owed)
       .sort((left, right) => left - right);
     const worst = shares.slice(0, 2);
     return {
-      asked: this.#asked,
-      servedPercent: percentOf(this.#served, this.#asked),
-      onTimePercent: percentOf(this.#onTime, this.#asked),
-      worthPercent: percentOf(this.#earned, this.#owed),
+      requests: this.#requests,
+      servedPercent: percentOf(this.#served, this.#requests),
+      onTimePercent: percentOf(this.#onTime, this.#requests),
+      worthPercent: percentOf(this.#earnedWorth, this.#offeredWorth),
       worstPercent:
         (100 * worst.reduce((sum, share) => sum + share, 0)) /
         Math.max(1, worst.length),
@@ -108,15 +108,15 @@
 
   #windowAt(at: number): Window {
     const key = Math.floor(at / WINDOW_MS);
-    const window = this.#windows.get(key) ?? {owed: 0, earned: 0};
+    const window = this.#windows.get(key) ?? {offeredWorth: 0, earnedWorth: 0};
     this.#windows.set(key, window);
     return window;
   }
 }
 
 /** Figures of one play. */
-export interface PlayResult {
-  readonly asked: number;
+export interface GatewaySimulationResult {
+  readonly requests: number;
   readonly servedPercent: number;
   readonly onTimePercent: number;
   /** Of the worth asked for. */
--- a/packages/lovagepond-measure/src/play_types.ts
+++ b/packages/lovagepond-measure/src/gateway_simulation_types.ts
@@ -5,7 +5,7 @@
 import {type EngineWeights} from '@lovagepond/gateway/deciders';
 
 /** A length drawn anew for each thing: log-normal around the mean, cut off. */
-export interface DrawnLength {
+export interface LengthDistribution {
   readonly mean: number;
   /** Standard deviation of the logarithm. */
   readonly spread: number;
@@ -14,13 +14,13 @@
 
 /** One part of prompts that several requests share. */
 export interface SharedPart {
-  readonly tokens: DrawnLength;
+  readonly tokens: LengthDistribution;
   /** How many of it there are; requests draw one. */
   readonly count: number;
 }
 
 /** Requests of one kind. */
-export interface PlayKind {
+export interface SimulatedRequestKind {
   readonly name: string;
   readonly perSecond: number;
   readonly targetLatencyMs: number;
@@ -35,17 +35,17 @@
   /** The prompt of a chat; absent for a call of a plain service. */
   readonly prompt?: {
     readonly shared: readonly SharedPart[];
-    readonly own: DrawnLength;
-    readonly events: DrawnLength;
+    readonly own: LengthDistribution;
+    readonly events: LengthDistribution;
   };
   /** Processing time of a call of a plain service, milliseconds. */
-  readonly workMs?: DrawnLength;
+  readonly workMs?: LengthDistribution;
   /** Part of the calls that a service that is well fails. */
   readonly failureShare?: number;
 }
 
 /** Engines of one pool. */
-export interface EngineFacts {
+export interface EngineProfile {
   readonly count: number;
   readonly slots: number;
   readonly queue: number;
@@ -61,14 +61,14 @@
 }
 
 /** Servers of one pool of plain calls. */
-export interface ServiceFacts {
+export interface ServiceProfile {
   readonly count: number;
   readonly slots: number;
   readonly queue: number;
 }
 
 /** Something that goes wrong, or planned work, at a moment of the play. */
-export type PlayTrouble =
+export type Disturbance =
   /** Servers are replaced one after the other; the new one comes first. */
   | {
       readonly kind: 'release';
@@ -119,28 +119,28 @@
   | {readonly kind: 'restart'; readonly atMs: number; readonly downMs: number};
 
 /** A deployment with its callers. */
-export interface PlayLoad {
+export interface GatewayLoad {
   readonly name: string;
   readonly gateways: number;
   readonly zones: number;
-  readonly engines: EngineFacts;
-  readonly services: ServiceFacts;
+  readonly engines: EngineProfile;
+  readonly services: ServiceProfile;
   readonly loadBound: number;
-  readonly kinds: readonly PlayKind[];
+  readonly kinds: readonly SimulatedRequestKind[];
 }
 
 /** One way to decide, played beside others. */
-export interface PlayVariant {
+export interface GatewayVariant {
   readonly name: string;
   readonly weights?: Partial<EngineWeights>;
   /** Gateways tell each other nothing of what servers read. */
-  readonly silentReadings?: boolean;
+  readonly noReadingReports?: boolean;
   /** Gateways tell each other nothing of their requests and outcomes. */
-  readonly silentRunning?: boolean;
+  readonly noRunningReports?: boolean;
   /** Late answers of services count as any other. */
   readonly noTiming?: boolean;
   /** Gateways hear each other's requests one by one, not their sums. */
-  readonly eachRunning?: boolean;
+  readonly individualReports?: boolean;
   /** Engines read anew what others hold. */
   readonly noFetch?: boolean;
   /** Answers don't say how loaded their server is. */
@@ -150,10 +150,10 @@
 }
 
 /** One play. */
-export interface PlaySettings {
-  readonly load: PlayLoad;
-  readonly variant: PlayVariant;
-  readonly troubles: readonly PlayTrouble[];
+export interface GatewaySimulationSettings {
+  readonly load: GatewayLoad;
+  readonly variant: GatewayVariant;
+  readonly disturbances: readonly Disturbance[];
   readonly seed: number;
   readonly endMs: number;
 }
--- a/packages/lovagepond-measure/src/gateway_size_measure.ts
+++ b/packages/lovagepond-measure/src/gateway_size_measure.ts
@@ -3,32 +3,35 @@
  * load for each, from one size to eight times it.
  */
 import {loadKeyHasher} from '@lovagepond/router';
-import {playSeeds} from './gateway_play_measure.js';
+import {GATEWAY_LOADS} from './gateway_simulation_loads.js';
+import {simulateSeeds} from './gateway_simulation_measure.js';
+import {
+  type GatewayLoad,
+  type GatewayVariant,
+} from './gateway_simulation_types.js';
 import {roundTo} from './measure_statistics.js';
 import {type MeasureSection} from './measure_types.js';
-import {PLAY_LOADS} from './play_loads.js';
-import {type PlayLoad, type PlayVariant} from './play_types.js';
 
-const TIMES = [1, 4, 8] as const;
+const SCALES = [1, 4, 8] as const;
 const SEEDS = 3;
 const END_MS = 20_000;
 
-const VARIANTS: readonly PlayVariant[] = [
+const VARIANTS: readonly GatewayVariant[] = [
   {name: 'sums'},
-  {name: 'one by one', eachRunning: true},
-  {name: 'not told', silentRunning: true},
+  {name: 'one by one', individualReports: true},
+  {name: 'not told', noRunningReports: true},
 ];
 
-function enlarge(load: PlayLoad, times: number): PlayLoad {
+function scaleLoad(load: GatewayLoad, scale: number): GatewayLoad {
   const {engines, services} = load;
   return {
     ...load,
-    gateways: load.gateways * times,
-    engines: {...engines, count: engines.count * times},
-    services: {...services, count: services.count * times},
+    gateways: load.gateways * scale,
+    engines: {...engines, count: engines.count * scale},
+    services: {...services, count: services.count * scale},
     kinds: load.kinds.map(kind => ({
       ...kind,
-      perSecond: kind.perSecond * times,
+      perSecond: kind.perSecond * scale,
     })),
   };
 }
@@ -36,19 +39,19 @@
 /** @returns what callers get by the number of gateways and what they hear */
 export async function measureGatewaySize(): Promise<readonly MeasureSection[]> {
   const hasher = await loadKeyHasher();
-  const [base] = PLAY_LOADS;
+  const [base] = GATEWAY_LOADS;
   if (!base) return [];
-  const rows = TIMES.flatMap(times => {
-    const load = enlarge(base, times);
+  const rows = SCALES.flatMap(scale => {
+    const load = scaleLoad(base, scale);
     return VARIANTS.map(variant => {
-      const play = {load, variant, troubles: [], endMs: END_MS};
-      const {mean} = playSeeds(play, hasher, SEEDS);
+      const settings = {load, variant, disturbances: [], endMs: END_MS};
+      const {mean} = simulateSeeds(settings, hasher, SEEDS);
       return [
         load.gateways,
         variant.name,
         roundTo(mean.onTimePercent, 1),
         roundTo(mean.firstP99Ms, 0),
-        roundTo(mean.rereadThousands / times, 1),
+        roundTo(mean.rereadThousands / scale, 1),
       ];
     });
   });
--- a/packages/lovagepond-measure/src/ledger_form_measure.ts
+++ b/packages/lovagepond-measure/src/ledger_form_measure.ts
@@ -56,7 +56,7 @@
 const RECORDED = {status: 200, answer: ANSWER, contentType: 'application/json'};
 
 /** @returns the payload as a member reads it from its log */
-function passLog<Payload>(
+function encodeAndDecode<Payload>(
   command: Command<Payload>,
   payload: Payload,
 ): Payload {
@@ -81,8 +81,8 @@
   return {
     title: 'records by key (in use)',
     run: n => {
-      ledger.claim(passLog(CLAIM_COMMAND, makeClaim(n)), n);
-      ledger.record(passLog(RECORD_COMMAND, makeRecord(n)), n);
+      ledger.claim(encodeAndDecode(CLAIM_COMMAND, makeClaim(n)), n);
+      ledger.record(encodeAndDecode(RECORD_COMMAND, makeRecord(n)), n);
     },
     logBytes:
       encodeCommand(CLAIM_COMMAND, makeClaim(1), STAMP).length +
@@ -114,8 +114,8 @@
   return {
     title: 'sessions, with records by key for repeats',
     run: n => {
-      ledger.claim(passLog(claimCommand, makeClaim(n)), n);
-      ledger.record(passLog(recordCommand, makeRecord(n)), n);
+      ledger.claim(encodeAndDecode(claimCommand, makeClaim(n)), n);
+      ledger.record(encodeAndDecode(recordCommand, makeRecord(n)), n);
     },
     logBytes:
       encodeCommand(claimCommand, makeClaim(last), STAMP).length +
@@ -124,10 +124,10 @@
 }
 
 function measureForm(makeForm: () => LedgerForm): (string | number)[] {
-  const warm = makeForm();
-  for (let n = 0; n < 20_000; n += 1) warm.run(n);
+  const warmUpForm = makeForm();
+  for (let n = 0; n < 20_000; n += 1) warmUpForm.run(n);
   let seconds = 0;
-  const {kept, bytes} = measureHeap(() => {
+  const {value: measuredForm, bytes} = measureHeap(() => {
     const form = makeForm();
     const started = performance.now();
     for (let n = 0; n < CALLS; n += 1) form.run(n);
@@ -135,8 +135,8 @@
     return form;
   });
   return [
-    kept.title,
-    kept.logBytes,
+    measuredForm.title,
+    measuredForm.logBytes,
     roundTo(bytes / CALLS, 0),
     Math.round(CALLS / seconds),
   ];
--- a/packages/lovagepond-measure/src/measure_environment.ts
+++ b/packages/lovagepond-measure/src/measure_environment.ts
@@ -19,7 +19,7 @@
   error: () => undefined,
 };
 
-/** @param holds says whether the wait is over */
-export async function waitUntil(holds: () => boolean): Promise<void> {
-  while (!holds()) await new Promise(resolve => setTimeout(resolve, POLL_MS));
+/** @param isMet says whether the wait is over */
+export async function waitUntil(isMet: () => boolean): Promise<void> {
+  while (!isMet()) await new Promise(resolve => setTimeout(resolve, POLL_MS));
 }
--- a/packages/lovagepond-measure/src/measure_heap.ts
+++ b/packages/lovagepond-measure/src/measure_heap.ts
@@ -5,8 +5,8 @@
 import {runInNewContext} from 'node:vm';
 
 /** What was made, and what it keeps on the heap. */
-export interface KeptHeap<Value> {
-  readonly kept: Value;
+export interface HeapMeasurement<Value> {
+  readonly value: Value;
   /** Bytes, of buffers too. */
   readonly bytes: number;
 }
@@ -28,8 +28,8 @@
  * @param make makes what is measured
  * @returns it, with the bytes that it keeps
  */
-export function measureHeap<Value>(make: () => Value): KeptHeap<Value> {
+export function measureHeap<Value>(make: () => Value): HeapMeasurement<Value> {
   const before = usedBytes();
-  const kept = make();
-  return {kept, bytes: usedBytes() - before};
+  const value = make();
+  return {value, bytes: usedBytes() - before};
 }
--- a/packages/lovagepond-measure/src/measure_main.ts
+++ b/packages/lovagepond-measure/src/measure_main.ts
@@ -2,19 +2,19 @@
  * `npm run measure`: runs the measures named on the command line, or all.
  */
 import {formatSection} from './measure_print.js';
-import {MEASURES} from './measure_table.js';
+import {MEASUREMENTS} from './measure_table.js';
 
 async function runMeasures(names: readonly string[]): Promise<number> {
-  const unknown = names.filter(name => !Object.hasOwn(MEASURES, name));
+  const unknown = names.filter(name => !Object.hasOwn(MEASUREMENTS, name));
   if (unknown.length > 0) {
-    const known = Object.keys(MEASURES).join(', ');
+    const known = Object.keys(MEASUREMENTS).join(', ');
     console.error(`no measure "${unknown.join('", "')}"; there are: ${known}`);
     return 2;
   }
-  const wanted = names.length > 0 ? names : Object.keys(MEASURES);
+  const wanted = names.length > 0 ? names : Object.keys(MEASUREMENTS);
   for (const name of wanted) {
     const started = performance.now();
-    const sections = (await MEASURES[name]?.()) ?? [];
+    const sections = (await MEASUREMENTS[name]?.()) ?? [];
     for (const section of sections) console.log(formatSection(section));
     const seconds = (performance.now() - started) / 1000;
     console.log(`(${name}: ${seconds.toFixed(1)} s)\n`);
--- a/packages/lovagepond-measure/src/measure_table.ts
+++ b/packages/lovagepond-measure/src/measure_table.ts
@@ -8,12 +8,12 @@
 import {measureConsensus} from './consensus_measure.js';
 import {measureControl} from './control_measure.js';
 import {measureDecisionCost} from './decision_cost_measure.js';
-import {measureGatewayCrashes} from './gateway_crashes_measure.js';
 import {measureGatewayConfiguration} from './gateway_configuration_measure.js';
+import {measureGatewayCrashes} from './gateway_crashes_measure.js';
 import {
   measureGatewayAblation,
-  measureGatewayPlays,
-} from './gateway_play_measure.js';
+  measureGatewaySimulations,
+} from './gateway_simulation_measure.js';
 import {measureGatewaySize} from './gateway_size_measure.js';
 import {type MeasureFunction} from './measure_types.js';
 import {measureMemory} from './memory_measure.js';
@@ -23,7 +23,7 @@
 import {measureSidecar} from './sidecar_measure.js';
 
 /** Name to measure; run in this order when no name is given. */
-export const MEASURES: Readonly<Record<string, MeasureFunction>> = {
+export const MEASUREMENTS: Readonly<Record<string, MeasureFunction>> = {
   placement: measurePlacement,
   'placement-scale': measurePlacementScale,
   consensus: measureConsensus,
@@ -33,7 +33,7 @@
   caller: measureCaller,
   backend: measureBackend,
   'gateway-configuration': measureGatewayConfiguration,
-  'gateway-plays': measureGatewayPlays,
+  'gateway-plays': measureGatewaySimulations,
   'gateway-ablation': measureGatewayAblation,
   'gateway-crashes': measureGatewayCrashes,
   'gateway-size': measureGatewaySize,
--- a/packages/lovagepond-measure/src/memory_measure.ts
+++ b/packages/lovagepond-measure/src/memory_measure.ts
@@ -65,12 +65,12 @@
  */
 function writeIdleSettings({role, file}: RoleExample, folder: string): string {
   const text = readFileSync(join(EXAMPLES, file), 'utf8');
-  const moved = text
+  const settings = text
     .replace(/^(listen|address)\s*=\s*(\S+):\d+/gm, '$1 = $2:0')
     .replace(/^dataFolder\s*=.*$/m, `dataFolder = ${join(folder, role)}`);
   const path = join(folder, file);
   mkdirSync(join(folder, role), {recursive: true});
-  writeFileSync(path, moved);
+  writeFileSync(path, settings);
   return path;
 }
 
--- a/packages/lovagepond-measure/src/measure_churn.ts
+++ b/packages/lovagepond-measure/src/placement_churn.ts
@@ -3,7 +3,7 @@
  * that control loses for seconds while they go on serving.
  */
 import {type Random} from '@lovagepond/core';
-import {type MeasureFleet} from './measure_fleet.js';
+import {type PlacementSimulation} from './placement_simulation.js';
 
 const REPLACEMENT_DELAY_MS = 10_000;
 const FLAP_MS = 4_000;
@@ -14,7 +14,10 @@
  * @param fleet the run
  * @param random draws the servers
  */
-export function planChurn(fleet: MeasureFleet, random: Random): void {
+export function scheduleChurn(
+  fleet: PlacementSimulation,
+  random: Random,
+): void {
   const {replaceEveryMs, flapEveryMs} = fleet.settings;
   if (replaceEveryMs > 0) {
     let replaced = 0;
@@ -29,8 +32,8 @@
   if (flapEveryMs > 0) {
     fleet.time.every(flapEveryMs, flapEveryMs, () => {
       const server = random.pick(fleet.ready);
-      fleet.leaveList(server);
-      fleet.time.after(FLAP_MS, () => fleet.returnToList(server));
+      fleet.delist(server);
+      fleet.time.after(FLAP_MS, () => fleet.relist(server));
     });
   }
 }
--- a/packages/lovagepond-measure/src/placement_measure.ts
+++ b/packages/lovagepond-measure/src/placement_measure.ts
@@ -2,11 +2,21 @@
  * Cache reuse against skew, for every policy on both users' deployments.
  */
 import {type KeyHasher, loadKeyHasher} from '@lovagepond/router';
-import {type FleetResult, MeasureFleet} from './measure_fleet.js';
-import {type FleetSettings, type Variant} from './measure_fleet_types.js';
 import {roundTo} from './measure_statistics.js';
 import {type MeasureSection} from './measure_types.js';
-import {type Arrival, makeStorm, makeWake} from './measure_workload.js';
+import {
+  type PlacementResult,
+  PlacementSimulation,
+} from './placement_simulation.js';
+import {
+  type PlacementSimulationSettings,
+  type PlacementVariant,
+} from './placement_simulation_types.js';
+import {
+  type Arrival,
+  makeKioskArrivals,
+  makeStormArrivals,
+} from './placement_workload.js';
 
 const SEED = 820;
 const END_MS = 900_000;
@@ -37,15 +47,15 @@
 /** One user's deployment with its arrivals. */
 export interface Deployment {
   readonly title: string;
-  readonly settings: FleetSettings;
+  readonly settings: PlacementSimulationSettings;
   readonly arrivals: readonly Arrival[];
 }
 
 /** @returns the hourly wake; skew is weighed most */
-export function makeWakeDeployment(endMs: number, seed: number): Deployment {
+export function makeKioskDeployment(endMs: number, seed: number): Deployment {
   return {
     title: 'Hourly wake (Gutscheinwerk, skew first)',
-    arrivals: makeWake({endMs, scale: 1}, seed),
+    arrivals: makeKioskArrivals({endMs, scale: 1}, seed),
     settings: {
       ...COMMON,
       seed,
@@ -61,7 +71,7 @@
 export function makeStormDeployment(endMs: number, seed: number): Deployment {
   return {
     title: 'Storm (Sigurðsson & Synir, reuse first)',
-    arrivals: makeStorm({endMs, scale: 1}, seed),
+    arrivals: makeStormArrivals({endMs, scale: 1}, seed),
     settings: {
       ...COMMON,
       seed,
@@ -73,38 +83,38 @@
   };
 }
 
-const OPEN = {
+const UNGATED = {
   gated: false,
   pointers: false,
   take: false,
   moveCache: false,
   exact: false,
 };
-const GATED = {...OPEN, gated: true};
-const POINTED = {...GATED, pointers: true};
+const GATED = {...UNGATED, gated: true};
+const WITH_POINTERS = {...GATED, pointers: true};
 
 /** Name of the variant that the router's default policy makes. */
-export const CHOSEN = 'hold and take';
+export const DEFAULT_VARIANT = 'hold and take';
 
 /** What is measured side by side. */
-export const VARIANTS: readonly Variant[] = [
-  {...OPEN, name: 'round robin', policy: 'roundRobin'},
-  {...OPEN, name: 'rendezvous', policy: 'rendezvous'},
-  {...OPEN, name: 'least loaded', policy: 'leastLoaded'},
-  {...OPEN, name: 'two choices', policy: 'twoChoices'},
-  {...OPEN, name: 'bounded rendezvous', policy: 'boundedRendezvous'},
-  {...POINTED, name: 'bounded + gate', policy: 'boundedRendezvous'},
-  {...POINTED, name: 'cost score + gate', policy: 'costScore'},
-  {...POINTED, name: 'pointers + gate', policy: 'pointers'},
-  {...POINTED, name: CHOSEN, policy: 'holdAndTake', take: true},
+export const VARIANTS: readonly PlacementVariant[] = [
+  {...UNGATED, name: 'round robin', policy: 'roundRobin'},
+  {...UNGATED, name: 'rendezvous', policy: 'rendezvous'},
+  {...UNGATED, name: 'least loaded', policy: 'leastLoaded'},
+  {...UNGATED, name: 'two choices', policy: 'twoChoices'},
+  {...UNGATED, name: 'bounded rendezvous', policy: 'boundedRendezvous'},
+  {...WITH_POINTERS, name: 'bounded + gate', policy: 'boundedRendezvous'},
+  {...WITH_POINTERS, name: 'cost score + gate', policy: 'costScore'},
+  {...WITH_POINTERS, name: 'pointers + gate', policy: 'pointers'},
+  {...WITH_POINTERS, name: DEFAULT_VARIANT, policy: 'holdAndTake', take: true},
   {
-    ...POINTED,
+    ...WITH_POINTERS,
     name: 'the same, moving caches',
     policy: 'holdAndTake',
     take: true,
     moveCache: true,
   },
-  {...OPEN, name: 'knows all: warmest', policy: 'warmest', exact: true},
+  {...UNGATED, name: 'knows all: warmest', policy: 'warmest', exact: true},
   {
     ...GATED,
     name: 'knows all: within the bound',
@@ -137,8 +147,8 @@
  * @returns the row for {@link COLUMNS}
  */
 export function summarize(
-  variant: Variant,
-  {outcomes, skew, controlBytesPerSecond}: FleetResult,
+  variant: PlacementVariant,
+  {outcomes, skew, controlBytesPerSecond}: PlacementResult,
 ): (string | number)[] {
   const {firstTokenMs} = outcomes;
   return [
@@ -168,8 +178,8 @@
     title,
     columns: COLUMNS,
     rows: VARIANTS.map(variant => {
-      const fleet = new MeasureFleet(settings, variant, hasher);
-      return summarize(variant, fleet.run(arrivals));
+      const simulation = new PlacementSimulation(settings, variant, hasher);
+      return summarize(variant, simulation.run(arrivals));
     }),
     notes: [
       `seed ${SEED}; npm run measure -- placement`,
@@ -194,12 +204,12 @@
   deployments: readonly Deployment[],
   hasher: KeyHasher,
 ): MeasureSection {
-  const variant = VARIANTS.find(({name}) => name === CHOSEN);
-  if (!variant) throw new Error(`no variant is named ${CHOSEN}`);
+  const variant = VARIANTS.find(({name}) => name === DEFAULT_VARIANT);
+  if (!variant) throw new Error(`no variant is named ${DEFAULT_VARIANT}`);
   const rows = deployments.flatMap(({title, settings, arrivals}) =>
     WEIGHTS.map(({name, ...weights}) => {
       const pool = {...settings.pool, ...weights};
-      const run = new MeasureFleet({...settings, pool}, variant, hasher);
+      const run = new PlacementSimulation({...settings, pool}, variant, hasher);
       const row = summarize(variant, run.run(arrivals));
       return [`${title.split(' (')[0] ?? title}: ${name}`, ...row.slice(1)];
     }),
@@ -209,7 +219,7 @@
     columns: ['settings', ...COLUMNS.slice(1)],
     rows,
     notes: [
-      `seed ${SEED}; npm run measure -- placement; policy: ${CHOSEN}`,
+      `seed ${SEED}; npm run measure -- placement; policy: ${DEFAULT_VARIANT}`,
       'skew of a row counts a mean under floor/bound as floor/bound',
     ],
   };
@@ -219,7 +229,7 @@
 export async function measurePlacement(): Promise<MeasureSection[]> {
   const hasher = await loadKeyHasher();
   const deployments = [
-    makeWakeDeployment(END_MS, SEED),
+    makeKioskDeployment(END_MS, SEED),
     makeStormDeployment(END_MS, SEED),
   ];
   const sections = deployments.map(deployment =>
--- a/packages/lovagepond-measure/src/measure_outcomes.ts
+++ b/packages/lovagepond-measure/src/placement_outcomes.ts
@@ -2,13 +2,13 @@
  * Counts what became of requests and how loads were spread.
  */
 import {Distribution, percentOf} from './measure_statistics.js';
-import {type Arrival} from './measure_workload.js';
+import {type Arrival} from './placement_workload.js';
 
 /** A context found to this share counts as warm. */
 const WARM_SHARE = 0.8;
 
 /** Counters of one run. */
-export class MeasureOutcomes {
+export class PlacementOutcomes {
   readonly firstTokenMs = new Distribution(0.1);
   readonly hops = new Distribution(0.01);
   #arrivals = 0;
@@ -144,7 +144,7 @@
    * @param now virtual time
    */
   change(loads: readonly number[], now: number): void {
-    this.#close(now);
+    this.#recordElapsed(now);
     let total = 0;
     let most = 0;
     for (const load of loads) {
@@ -167,7 +167,7 @@
     return percentOf(this.#overMs, this.#totalMs);
   }
 
-  #close(now: number): void {
+  #recordElapsed(now: number): void {
     const lasted = now - this.#since;
     this.#since = now;
     if (lasted <= 0) return;
--- a/packages/lovagepond-measure/src/placement_scale_measure.ts
+++ b/packages/lovagepond-measure/src/placement_scale_measure.ts
@@ -3,18 +3,18 @@
  * of routers that each see a sliver of the traffic.
  */
 import {loadKeyHasher} from '@lovagepond/router';
-import {MeasureFleet} from './measure_fleet.js';
-import {type FleetSettings} from './measure_fleet_types.js';
 import {roundTo} from './measure_statistics.js';
 import {type MeasureSection} from './measure_types.js';
-import {makeWake} from './measure_workload.js';
 import {
-  CHOSEN,
   COLUMNS,
-  makeWakeDeployment,
+  DEFAULT_VARIANT,
+  makeKioskDeployment,
   summarize,
   VARIANTS,
 } from './placement_measure.js';
+import {PlacementSimulation} from './placement_simulation.js';
+import {type PlacementSimulationSettings} from './placement_simulation_types.js';
+import {makeKioskArrivals} from './placement_workload.js';
 
 const SEED = 830;
 const SERVERS = 640;
@@ -27,9 +27,9 @@
 /** @returns one table at the letter's size */
 export async function measurePlacementScale(): Promise<MeasureSection[]> {
   const hasher = await loadKeyHasher();
-  const arrivals = makeWake({endMs: END_MS, scale: SCALE}, SEED);
-  const settings: FleetSettings = {
-    ...makeWakeDeployment(0, SEED).settings,
+  const arrivals = makeKioskArrivals({endMs: END_MS, scale: SCALE}, SEED);
+  const settings: PlacementSimulationSettings = {
+    ...makeKioskDeployment(0, SEED).settings,
     endMs: END_MS,
     warmUpMs: WARM_UP_MS,
     servers: SERVERS,
@@ -37,12 +37,16 @@
     replaceEveryMs: 20_000,
     flapEveryMs: 15_000,
   };
-  const rows = VARIANTS.filter(({name}) => name === CHOSEN).map(variant => {
-    const started = performance.now();
-    const result = new MeasureFleet(settings, variant, hasher).run(arrivals);
-    const seconds = (performance.now() - started) / 1000;
-    return [...summarize(variant, result), roundTo(seconds, 1)];
-  });
+  const rows = VARIANTS.filter(({name}) => name === DEFAULT_VARIANT).map(
+    variant => {
+      const started = performance.now();
+      const result = new PlacementSimulation(settings, variant, hasher).run(
+        arrivals,
+      );
+      const seconds = (performance.now() - started) / 1000;
+      return [...summarize(variant, result), roundTo(seconds, 1)];
+    },
+  );
   const perSecond = Math.round(arrivals.length / (END_MS / 1000));
   return [
     {
--- a/packages/lovagepond-measure/src/measure_fleet.ts
+++ b/packages/lovagepond-measure/src/placement_simulation.ts
@@ -10,17 +10,20 @@
   type PlacementPolicy,
   type PlacementPolicyName,
 } from '@lovagepond/router';
-import {planChurn} from './measure_churn.js';
+import {scheduleChurn} from './placement_churn.js';
+import {OraclePolicy} from './placement_oracle.js';
+import {PlacementOutcomes, SkewSampler} from './placement_outcomes.js';
 import {
-  type FleetSettings,
   HOP_MS,
-  type Variant,
-} from './measure_fleet_types.js';
-import {MeasureOutcomes, SkewSampler} from './measure_outcomes.js';
-import {WarmestPolicy} from './measure_reference.js';
-import {MeasureRouter} from './measure_router.js';
-import {MeasureServer, type ServerPort} from './measure_server.js';
-import {type Arrival} from './measure_workload.js';
+  type PlacementSimulationSettings,
+  type PlacementVariant,
+} from './placement_simulation_types.js';
+import {type Arrival} from './placement_workload.js';
+import {SimulatedRouter} from './simulated_router.js';
+import {
+  SimulatedServer,
+  type SimulatedServerDependencies,
+} from './simulated_server.js';
 import {VirtualTime} from './virtual_time.js';
 
 const ANNOUNCE_INTERVAL_MS = 1_000;
@@ -38,15 +41,15 @@
 const CACHE_MOVE_TOKENS_PER_SECOND = 40_000;
 
 /** What a server announced last. */
-interface Announced {
+interface LastAnnouncement {
   readonly runningTokens: number;
   readonly queuedTokens: number;
   readonly at: number;
 }
 
 /** The figures of one run. */
-export interface FleetResult {
-  readonly outcomes: MeasureOutcomes;
+export interface PlacementResult {
+  readonly outcomes: PlacementOutcomes;
   readonly skew: SkewSampler;
   /** For each router. */
   readonly controlBytesPerSecond: number;
@@ -54,18 +57,18 @@
 }
 
 /** The run. */
-export class MeasureFleet implements ServerPort {
+export class PlacementSimulation implements SimulatedServerDependencies {
   readonly time = new VirtualTime();
-  readonly settings: FleetSettings;
-  readonly variant: Variant;
+  readonly settings: PlacementSimulationSettings;
+  readonly variant: PlacementVariant;
   readonly #hasher: KeyHasher;
-  readonly #outcomes: MeasureOutcomes;
+  readonly #outcomes: PlacementOutcomes;
   readonly #skew: SkewSampler;
   readonly #random: Random;
-  readonly #servers = new Map<string, MeasureServer>();
-  readonly #ready = new Set<MeasureServer>();
-  readonly #announced = new Map<MeasureServer, Announced>();
-  readonly #routers: MeasureRouter[];
+  readonly #servers = new Map<string, SimulatedServer>();
+  readonly #ready = new Set<SimulatedServer>();
+  readonly #announced = new Map<SimulatedServer, LastAnnouncement>();
+  readonly #routers: SimulatedRouter[];
   #slots = 0;
   /**
    * A server that leaves the list keeps its last byte: read as idle by routers
@@ -73,17 +76,21 @@
    */
   #digest = new Uint8Array(0);
   #controlBytes = 0;
-  #refreshPlanned = false;
+  #refreshScheduled = false;
 
-  constructor(settings: FleetSettings, variant: Variant, hasher: KeyHasher) {
+  constructor(
+    settings: PlacementSimulationSettings,
+    variant: PlacementVariant,
+    hasher: KeyHasher,
+  ) {
     this.settings = settings;
     this.variant = variant;
     this.#hasher = hasher;
     this.#random = new Random(settings.seed);
     const {floorTokens, pool, warmUpMs} = settings;
-    this.#outcomes = new MeasureOutcomes(warmUpMs);
+    this.#outcomes = new PlacementOutcomes(warmUpMs);
     this.#skew = new SkewSampler(floorTokens, pool.loadBound, warmUpMs);
-    const port = {
+    const routerDependencies = {
       time: this.time,
       settings,
       hasher,
@@ -92,7 +99,11 @@
     this.#routers = Array.from(
       {length: settings.routers},
       (_, index) =>
-        new MeasureRouter(port, this.#makePolicy(), settings.seed + index),
+        new SimulatedRouter(
+          routerDependencies,
+          this.#makePolicy(),
+          settings.seed + index,
+        ),
     );
   }
 
@@ -100,15 +111,15 @@
    * @param arrivals requests in order of time; each comes to any router
    * @returns the figures
    */
-  run(arrivals: readonly Arrival[]): FleetResult {
+  run(arrivals: readonly Arrival[]): PlacementResult {
     const {servers, endMs} = this.settings;
     for (let index = 0; index < servers; index++) this.#addServer();
     for (const router of this.#routers) router.setList([...this.#ready]);
     for (const arrival of arrivals) {
       const router = this.#random.pick(this.#routers);
-      this.time.at(arrival.at, () => router.arrive(arrival));
+      this.time.at(arrival.at, () => router.dispatch(arrival));
     }
-    planChurn(this, new Random(this.settings.seed + CHURN_SEED_STEP));
+    scheduleChurn(this, new Random(this.settings.seed + CHURN_SEED_STEP));
     this.time.every(DIGEST_INTERVAL_MS, 500, () => this.#publishDigest());
     if (servers > SAMPLE_EACH_CHANGE_UP_TO) {
       this.time.every(SAMPLE_INTERVAL_MS, 0, () => this.#sampleSkew());
@@ -122,18 +133,18 @@
     return {outcomes, skew: this.#skew, controlBytesPerSecond, events};
   }
 
-  findServer(name: string): MeasureServer | undefined {
+  findServer(name: string): SimulatedServer | undefined {
     return this.#servers.get(name);
   }
 
   /** @returns the servers that control counts as ready */
-  get ready(): readonly MeasureServer[] {
+  get ready(): readonly SimulatedServer[] {
     return [...this.#ready];
   }
 
-  changed(_server: MeasureServer): void {
+  changed(_server: SimulatedServer): void {
     if (this.settings.servers <= SAMPLE_EACH_CHANGE_UP_TO) this.#sampleSkew();
-    if (this.variant.exact && this.variant.gated) this.#planRefresh();
+    if (this.variant.exact && this.variant.gated) this.#scheduleRefresh();
   }
 
   /** A new server under a new name comes up and joins the list. */
@@ -143,14 +154,14 @@
   }
 
   /** @param server loses its process at once */
-  crash(server: MeasureServer): void {
+  crash(server: SimulatedServer): void {
     server.crash();
-    this.leaveList(server);
+    this.delist(server);
   }
 
   /** @param server finishes what it has and gets nothing new */
-  drain(server: MeasureServer): void {
-    this.leaveList(server);
+  drain(server: SimulatedServer): void {
+    this.delist(server);
     if (this.variant.moveCache) this.#moveCaches(server);
     server.drain(DRAIN_LIMIT_MS);
     this.time.after(DRAIN_LIMIT_MS, () => {
@@ -159,14 +170,14 @@
   }
 
   /** @param server is no longer on control's list */
-  leaveList(server: MeasureServer): void {
+  delist(server: SimulatedServer): void {
     this.#ready.delete(server);
     this.#announced.delete(server);
     this.#publishList();
   }
 
   /** @param server is on control's list again */
-  returnToList(server: MeasureServer): void {
+  relist(server: SimulatedServer): void {
     if (!server.alive || server.gate.draining) return;
     this.#ready.add(server);
     this.#publishList();
@@ -177,12 +188,12 @@
     if (Object.hasOwn(PLACEMENT_POLICIES, name)) {
       return PLACEMENT_POLICIES[name as PlacementPolicyName](this.#hasher);
     }
-    return new WarmestPolicy(server => this.#servers.get(server)?.engine);
+    return new OraclePolicy(server => this.#servers.get(server)?.engine);
   }
 
   #addServer(): void {
     const slot = this.#slots++;
-    const server = new MeasureServer(`server-${slot}`, slot, this);
+    const server = new SimulatedServer(`server-${slot}`, slot, this);
     this.#servers.set(server.name, server);
     this.#ready.add(server);
     const phase = this.#random.below(ANNOUNCE_INTERVAL_MS);
@@ -190,7 +201,7 @@
     this.time.every(ANNOUNCE_INTERVAL_MS, first, () => this.#announce(server));
   }
 
-  #announce(server: MeasureServer): void {
+  #announce(server: SimulatedServer): void {
     if (!server.alive || !this.#ready.has(server)) return;
     const {now} = this.time;
     const {runningTokens, queuedTokens} = server.gate.load(now);
@@ -247,7 +258,7 @@
   #publishList(): void {
     const {maxListLagMs} = this.settings;
     this.#controlBytes += MEMBER_BYTES * this.#routers.length;
-    if (this.variant.exact) this.#planRefresh();
+    if (this.variant.exact) this.#scheduleRefresh();
     for (const router of this.#routers) {
       const lag = this.variant.exact ? 0 : this.#random.next() * maxListLagMs;
       this.time.after(lag, () => router.setList([...this.#ready]));
@@ -263,11 +274,11 @@
     this.#skew.change(loads, this.time.now);
   }
 
-  #planRefresh(): void {
-    if (this.#refreshPlanned) return;
-    this.#refreshPlanned = true;
+  #scheduleRefresh(): void {
+    if (this.#refreshScheduled) return;
+    this.#refreshScheduled = true;
     this.time.after(0, () => {
-      this.#refreshPlanned = false;
+      this.#refreshScheduled = false;
       this.#refreshExact();
     });
   }
@@ -298,7 +309,7 @@
   }
 
   /** Brings the most recent chats to where they will land next, in order. */
-  #moveCaches(leaving: MeasureServer): void {
+  #moveCaches(leaving: SimulatedServer): void {
     const router = this.#routers[0];
     if (!router) return;
     let delayMs = 0;
--- a/packages/lovagepond-measure/src/measure_fleet_types.ts
+++ b/packages/lovagepond-measure/src/placement_simulation_types.ts
@@ -4,11 +4,11 @@
  */
 import {type ErrorKind} from '@lovagepond/core';
 import {type PlacementSettings} from '@lovagepond/router';
-import {type MeasureEngineSettings} from './measure_engine.js';
-import {type Arrival} from './measure_workload.js';
+import {type Arrival} from './placement_workload.js';
+import {type SimulatedEngineSettings} from './simulated_engine.js';
 
 /** One way to serve, measured beside others. */
-export interface Variant {
+export interface PlacementVariant {
   readonly name: string;
   /** A policy of the table, or the reference that knows all. */
   readonly policy: string;
@@ -25,14 +25,14 @@
 }
 
 /** The deployment and what is wrong with it. */
-export interface FleetSettings {
+export interface PlacementSimulationSettings {
   readonly seed: number;
   readonly endMs: number;
   /** What comes or lasts before this time is not counted. */
   readonly warmUpMs: number;
   readonly servers: number;
   readonly routers: number;
-  readonly engine: MeasureEngineSettings;
+  readonly engine: SimulatedEngineSettings;
   /** Load of an engine that counts as no skew, tokens. */
   readonly floorTokens: number;
   readonly pool: PlacementSettings;
--- a/packages/lovagepond-measure/src/measure_workload.ts
+++ b/packages/lovagepond-measure/src/placement_workload.ts
@@ -32,7 +32,7 @@
 }
 
 /** Makes the turns of chats, each with its growing context. */
-class ChatWriter {
+class ChatGenerator {
   readonly arrivals: Arrival[] = [];
   readonly random: Random;
 
@@ -57,7 +57,7 @@
    * @param number tells the chat from others of its kind
    * @param times virtual time of each turn
    */
-  writeChat(
+  addChat(
     kind: ChatKind,
     workspace: string,
     number: number,
@@ -102,16 +102,16 @@
 }
 
 /** Chats that start one by one all the time. */
-function writeSteadyChats(
-  writer: ChatWriter,
+function addSteadyChats(
+  generator: ChatGenerator,
   kind: ChatKind,
   options: {endMs: number; perSecond: number; turns: number; pauseMs: number},
 ): void {
-  const {random} = writer;
+  const {random} = generator;
   let at = random.exponential(1000 / options.perSecond);
   for (let number = 0; at < options.endMs; number++) {
     const times = turnTimes(random, at, options.turns, 3_000, options.pauseMs);
-    writer.writeChat(kind, writer.pickWorkspace(), number, times);
+    generator.addChat(kind, generator.pickWorkspace(), number, times);
     at += random.exponential(1000 / options.perSecond);
   }
 }
@@ -123,17 +123,21 @@
   readonly scale: number;
 }
 
-const WAKE_PERIOD_MS = 60_000;
+const RESUME_PERIOD_MS = 60_000;
 /** Kiosks are switched on one by one during the first period. */
 const SWITCH_ON_MS = 50_000;
 const KIOSKS = 2_000;
-const KIOSK_WAKES = 0.8;
-const WAKE_SPREAD_MS = 1_500;
+const RESUME_PROBABILITY = 0.8;
+const RESUME_DELAY_MS = 1_500;
 const KIOSK_TURNS_BEFORE_RESET = 8;
 
 /** One kiosk's wakes; it starts a new chat after some turns. */
-function writeKiosk(writer: ChatWriter, kiosk: number, endMs: number): void {
-  const {random} = writer;
+function addKiosk(
+  generator: ChatGenerator,
+  kiosk: number,
+  endMs: number,
+): void {
+  const {random} = generator;
   const kind = {
     prefix: `kiosk-${kiosk}`,
     firstContext: () => 300 + random.below(500),
@@ -141,20 +145,20 @@
     answerTokens: 40,
     deadlineMs: 20_000,
   };
-  const workspace = writer.pickWorkspace();
+  const workspace = generator.pickWorkspace();
   const offset = random.below(KIOSK_TURNS_BEFORE_RESET);
   const chats = new Map<number, number[]>();
   chats.set(0, [random.next() * SWITCH_ON_MS]);
-  for (let wake = 1; wake * WAKE_PERIOD_MS < endMs; wake++) {
-    if (random.next() >= KIOSK_WAKES) continue;
-    const chat = Math.floor((wake + offset) / KIOSK_TURNS_BEFORE_RESET);
+  for (let period = 1; period * RESUME_PERIOD_MS < endMs; period++) {
+    if (random.next() >= RESUME_PROBABILITY) continue;
+    const chat = Math.floor((period + offset) / KIOSK_TURNS_BEFORE_RESET);
     const times = chats.get(chat) ?? [];
-    const late = random.exponential(WAKE_SPREAD_MS);
-    times.push(wake * WAKE_PERIOD_MS + late);
+    const delayMs = random.exponential(RESUME_DELAY_MS);
+    times.push(period * RESUME_PERIOD_MS + delayMs);
     chats.set(chat, times);
   }
   for (const [chat, times] of chats) {
-    writer.writeChat(kind, workspace, chat, times);
+    generator.addChat(kind, workspace, chat, times);
   }
 }
 
@@ -166,11 +170,11 @@
  * @param seed of all draws
  * @returns the arrivals in order of time
  */
-export function makeWake(size: WorkloadSize, seed: number): Arrival[] {
-  const writer = new ChatWriter(seed);
-  const {random} = writer;
+export function makeKioskArrivals(size: WorkloadSize, seed: number): Arrival[] {
+  const generator = new ChatGenerator(seed);
+  const {random} = generator;
   for (let kiosk = 0; kiosk < KIOSKS * size.scale; kiosk++) {
-    writeKiosk(writer, kiosk, size.endMs);
+    addKiosk(generator, kiosk, size.endMs);
   }
   const shopper = {
     prefix: 'shopper',
@@ -182,14 +186,14 @@
   const perSecond = 3 * size.scale;
   const {endMs} = size;
   const options = {endMs, perSecond, turns: 4, pauseMs: 20_000};
-  writeSteadyChats(writer, shopper, options);
-  return writer.finish(endMs);
+  addSteadyChats(generator, shopper, options);
+  return generator.finish(endMs);
 }
 
 const STORM_PERIOD_MS = 150_000;
 const FIRST_STORM_MS = 20_000;
 const STORM_CHATS = 80;
-const STORM_SPREAD_MS = 10_000;
+const STORM_START_DELAY_MS = 10_000;
 const REPORT_TURNS = 6;
 
 /**
@@ -200,9 +204,9 @@
  * @param seed of all draws
  * @returns the arrivals in order of time
  */
-export function makeStorm(size: WorkloadSize, seed: number): Arrival[] {
-  const writer = new ChatWriter(seed);
-  const {random} = writer;
+export function makeStormArrivals(size: WorkloadSize, seed: number): Arrival[] {
+  const generator = new ChatGenerator(seed);
+  const {random} = generator;
   const report = {
     prefix: 'report',
     firstContext: () => 6_000 + random.below(10_000),
@@ -214,14 +218,14 @@
   const {endMs} = size;
   for (let at = FIRST_STORM_MS; at < endMs; at += STORM_PERIOD_MS) {
     for (let chat = 0; chat < STORM_CHATS * size.scale; chat++) {
-      const start = at + random.exponential(STORM_SPREAD_MS);
+      const start = at + random.exponential(STORM_START_DELAY_MS);
       const times = turnTimes(random, start, REPORT_TURNS, 6_000, 10_000);
-      writer.writeChat(report, writer.pickWorkspace(), number++, times);
+      generator.addChat(report, generator.pickWorkspace(), number++, times);
     }
   }
   const inspector = {...report, prefix: 'inspector'};
   const perSecond = 0.2 * size.scale;
   const options = {endMs, perSecond, turns: 6, pauseMs: 20_000};
-  writeSteadyChats(writer, inspector, options);
-  return writer.finish(endMs);
+  addSteadyChats(generator, inspector, options);
+  return generator.finish(endMs);
 }
--- a/packages/lovagepond-measure/src/router_bench.ts
+++ b/packages/lovagepond-measure/src/router_bench.ts
@@ -169,8 +169,8 @@
       backendKind: kind,
       backendUrl,
     };
-    const parts = {clock: MEASURE_CLOCK, log: NO_LOG, random, backend};
-    const role = new SidecarRole(settings, parts);
+    const dependencies = {clock: MEASURE_CLOCK, log: NO_LOG, random, backend};
+    const role = new SidecarRole(settings, dependencies);
     await this.#start(role);
     await waitUntil(() => role.isReady());
   }
--- a/packages/lovagepond-measure/src/router_latency_measure.ts
+++ b/packages/lovagepond-measure/src/router_latency_measure.ts
@@ -13,7 +13,7 @@
 const COMMAND = 'npm run measure -- router';
 
 /** One kind of call, both ways. */
-interface Pair {
+interface CallPair {
   readonly name: string;
   readonly stepMs: number;
   readonly calls: number;
@@ -29,7 +29,7 @@
   max_tokens: 1,
 });
 
-function makeChatPair(stepMs: number, calls: number): Pair {
+function makeChatPair(stepMs: number, calls: number): CallPair {
   const path = '/v1/chat/completions';
   return {
     name: `streamed chat, engine steps of ${stepMs} ms`,
@@ -41,7 +41,7 @@
   };
 }
 
-const PAIRS: readonly Pair[] = [
+const PAIRS: readonly CallPair[] = [
   {
     name: 'service call',
     stepMs: 1,
@@ -95,7 +95,7 @@
   });
 }
 
-async function measurePair(pair: Pair): Promise<(string | number)[][]> {
+async function measurePair(pair: CallPair): Promise<(string | number)[][]> {
   const bench = new RouterBench();
   const agent = new Agent();
   const direct = new Distribution(RESOLUTION_MS);
@@ -104,10 +104,10 @@
   try {
     for (let number = 0; number < WARM_UP + pair.calls; number += 1) {
       const {body} = pair;
-      const straight = {url: pair.direct(urls), body, number: 2 * number};
-      const through = {url: pair.routed(urls), body, number: 2 * number + 1};
-      const directMs = await timeCall(agent, straight);
-      const routedMs = await timeCall(agent, through);
+      const directCall = {url: pair.direct(urls), body, number: 2 * number};
+      const routedCall = {url: pair.routed(urls), body, number: 2 * number + 1};
+      const directMs = await timeCall(agent, directCall);
+      const routedMs = await timeCall(agent, routedCall);
       if (number < WARM_UP) continue;
       direct.record(directMs);
       routed.record(routedMs);
--- a/packages/lovagepond-measure/src/router_stub.ts
+++ b/packages/lovagepond-measure/src/router_stub.ts
@@ -101,8 +101,8 @@
         log: NO_LOG,
         random: new Random(SEED),
         createFront: handler => {
-          const parts = {clock: MEASURE_CLOCK, handler};
-          this.#front = new CallerServer(DEFAULT_CALLER_SETTINGS, parts);
+          const dependencies = {clock: MEASURE_CLOCK, handler};
+          this.#front = new CallerServer(DEFAULT_CALLER_SETTINGS, dependencies);
           return this.#front;
         },
       },
--- a/packages/lovagepond-measure/src/sidecar_control_measure.ts
+++ b/packages/lovagepond-measure/src/sidecar_control_measure.ts
@@ -2,8 +2,8 @@
  * What a sidecar spends on control traffic, by the size of its pool.
  */
 import {lovagepond} from '@lovagepond/protocol';
-import {type MeasureSection} from './measure_types.js';
 import {roundTo} from './measure_statistics.js';
+import {type MeasureSection} from './measure_types.js';
 
 const {v1} = lovagepond;
 
@@ -89,16 +89,16 @@
   // A replaced server is announced as joining, as ready and as gone.
   const churnADay = Math.min(REPLACED_A_DAY, size) * 3 * memberBytes();
   const changesADay = CHANGES_A_DAY * CONFIGURATION_BYTES;
-  const announce = announceBytes();
+  const announcement = announceBytes();
   const churn = churnADay / SECONDS_A_DAY;
   const changes = changesADay / SECONDS_A_DAY;
   return [
     size,
-    announce,
+    announcement,
     digest,
     roundTo(churn, 1),
     roundTo(changes, 0),
-    Math.round(announce + digest + churn + changes),
+    Math.round(announcement + digest + churn + changes),
   ];
 }
 
--- a/packages/lovagepond-measure/src/sidecar_cost_measure.ts
+++ b/packages/lovagepond-measure/src/sidecar_cost_measure.ts
@@ -2,8 +2,8 @@
  * What the gate's decisions cost against the length of its queue.
  */
 import {type GateAction, type SidecarGate} from '@lovagepond/sidecar';
-import {type MeasureSection} from './measure_types.js';
 import {roundTo} from './measure_statistics.js';
+import {type MeasureSection} from './measure_types.js';
 import {makeMeasuredGate, makeMeasuredOffer} from './sidecar_offer_utils.js';
 
 const QUEUE_LENGTHS = [0, 100, 1_000, 10_000] as const;
@@ -20,7 +20,7 @@
 class LoadedGate {
   readonly gate: SidecarGate;
   readonly #running: string[] = [];
-  #made = 0;
+  #offered = 0;
 
   constructor(queueLength: number) {
     this.gate = makeMeasuredGate(
@@ -33,21 +33,21 @@
 
   /** One more request comes. */
   offer(): void {
-    const number = this.#made++;
+    const number = this.#offered++;
     const workspace = `workspace-${number % WORKSPACES}`;
     const chat = `chat-${number % CHATS}`;
     const offer = makeMeasuredOffer(`attempt-${number}`, {workspace, chat});
-    this.#note(this.gate.offer(offer, 0));
+    this.#apply(this.gate.offer(offer, 0));
   }
 
   /** The oldest run ends, and the next request is dispatched. */
   finish(): void {
     const attemptId = this.#running.shift();
     if (attemptId === undefined) return;
-    this.#note(this.gate.finish(attemptId, {kind: 'failed'}, 0));
+    this.#apply(this.gate.finish(attemptId, {kind: 'failed'}, 0));
   }
 
-  #note(actions: readonly GateAction[]): void {
+  #apply(actions: readonly GateAction[]): void {
     for (const {kind, attemptId} of actions) {
       if (kind === 'dispatch') this.#running.push(attemptId);
     }
@@ -63,12 +63,12 @@
 
 function measureLength(length: number): (string | number)[] {
   const loaded = new LoadedGate(length);
-  const turn = (): void => {
+  const finishAndOffer = (): void => {
     loaded.finish();
     loaded.offer();
   };
-  timeEach(WARM_UP, turn);
-  const turnUs = timeEach(DECISIONS, turn);
+  timeEach(WARM_UP, finishAndOffer);
+  const pairUs = timeEach(DECISIONS, finishAndOffer);
   let now = 0;
   const reviewUs = timeEach(REVIEWS, () => {
     now += MICROSECONDS;
@@ -79,8 +79,8 @@
   });
   return [
     length,
-    roundTo(turnUs, 2),
-    Math.round((2 * 1e6) / turnUs),
+    roundTo(pairUs, 2),
+    Math.round((2 * 1e6) / pairUs),
     roundTo(reviewUs, 1),
     roundTo(takeUs, 1),
   ];
--- a/packages/lovagepond-measure/src/sidecar_fairness_measure.ts
+++ b/packages/lovagepond-measure/src/sidecar_fairness_measure.ts
@@ -3,8 +3,8 @@
  */
 import {type GateAction, type SidecarGate} from '@lovagepond/sidecar';
 import {Random} from '@lovagepond/core';
-import {type MeasureSection} from './measure_types.js';
 import {Distribution, percentOf, roundTo} from './measure_statistics.js';
+import {type MeasureSection} from './measure_types.js';
 import {makeMeasuredGate, makeMeasuredOffer} from './sidecar_offer_utils.js';
 
 const SEED = 417;
@@ -24,13 +24,13 @@
   /** Surging requests a second; the server finishes about 14. */
   readonly surge: number;
   /** All requests count as one workspace's: first come, first served. */
-  readonly together: boolean;
+  readonly singleWorkspace: boolean;
 }
 
 const CASES: readonly Case[] = [
-  {name: 'no surge', surge: 0, together: false},
-  {name: 'surge, first come first served', surge: 200, together: true},
-  {name: 'surge, fair queue', surge: 200, together: false},
+  {name: 'no surge', surge: 0, singleWorkspace: false},
+  {name: 'surge, first come first served', surge: 200, singleWorkspace: true},
+  {name: 'surge, fair queue', surge: 200, singleWorkspace: false},
 ];
 
 /** Finishes the oldest run at the server's rate, in virtual time. */
@@ -57,11 +57,11 @@
     this.offered[kindOf(attemptId)] += 1;
     this.#tokens.set(attemptId, tokens);
     const offer = makeMeasuredOffer(attemptId, {workspace, tokens});
-    this.note(this.#gate.offer(offer, now));
+    this.apply(this.#gate.offer(offer, now));
   }
 
   step(now: number): void {
-    this.note(this.#gate.tick(now));
+    this.apply(this.#gate.tick(now));
     this.#credit += this.#runs.length > 0 ? STEP_MS * TOKENS_PER_MS : 0;
     for (;;) {
       const [attemptId] = this.#runs;
@@ -69,11 +69,11 @@
       if (attemptId === undefined || tokens > this.#credit) return;
       this.#credit -= tokens;
       this.#runs.shift();
-      this.note(this.#gate.finish(attemptId, {kind: 'done'}, now));
+      this.apply(this.#gate.finish(attemptId, {kind: 'done'}, now));
     }
   }
 
-  note(actions: readonly GateAction[]): void {
+  apply(actions: readonly GateAction[]): void {
     for (const action of actions) {
       const kind = kindOf(action.attemptId);
       if (action.kind === 'dispatch') {
@@ -91,23 +91,23 @@
   return attemptId.startsWith('quiet') ? 'quiet' : 'surging';
 }
 
-function runCase({name, surge, together}: Case): (string | number)[] {
+function runCase({name, surge, singleWorkspace}: Case): (string | number)[] {
   const random = new Random(SEED);
   const gate = makeMeasuredGate({floorTokens: FLOOR_TOKENS});
   const server = new MeasuredServer(gate);
   let made = 0;
-  const arrive = (kind: string, chance: number, now: number): void => {
-    if (random.next() >= chance) return;
+  const maybeOffer = (kind: string, probability: number, now: number): void => {
+    if (random.next() >= probability) return;
     const tokens = 300 + random.below(800);
-    const workspace = together ? 'all' : kind;
+    const workspace = singleWorkspace ? 'all' : kind;
     server.offer(`${kind}-${made++}`, workspace, tokens, now);
   };
   for (let now = 0; now < LENGTH_MS; now += STEP_MS) {
     const surging = now >= SURGE_FROM_MS && now < SURGE_UNTIL_MS;
     for (let index = 0; index < QUIET_WORKSPACES; index++) {
-      arrive(`quiet${index}`, STEP_MS / QUIET_INTERVAL_MS, now);
+      maybeOffer(`quiet${index}`, STEP_MS / QUIET_INTERVAL_MS, now);
     }
-    if (surging) arrive('surging', (surge * STEP_MS) / 1_000, now);
+    if (surging) maybeOffer('surging', (surge * STEP_MS) / 1_000, now);
     server.step(now);
   }
   const {quietWaitMs, refused, offered, retryAfterMs} = server;
--- a/packages/lovagepond-measure/src/sidecar_measure.ts
+++ b/packages/lovagepond-measure/src/sidecar_measure.ts
@@ -3,8 +3,8 @@
  * traffic.
  */
 import {type MeasureSection} from './measure_types.js';
-import {measureGateCost} from './sidecar_cost_measure.js';
 import {measureSidecarControl} from './sidecar_control_measure.js';
+import {measureGateCost} from './sidecar_cost_measure.js';
 import {measureFairness} from './sidecar_fairness_measure.js';
 import {measureSidecarMemory} from './sidecar_memory_measure.js';
 
--- a/packages/lovagepond-measure/src/sidecar_memory_measure.ts
+++ b/packages/lovagepond-measure/src/sidecar_memory_measure.ts
@@ -8,8 +8,8 @@
   SidecarCacheIndex,
   SidecarPointers,
 } from '@lovagepond/sidecar';
-import {type MeasureSection} from './measure_types.js';
 import {roundTo} from './measure_statistics.js';
+import {type MeasureSection} from './measure_types.js';
 
 const SIZES = [20_000, 40_000, 80_000, 160_000] as const;
 const CHATS = 2_400_000;
--- a/packages/lovagepond-measure/src/sidecar_offer_utils.ts
+++ b/packages/lovagepond-measure/src/sidecar_offer_utils.ts
@@ -37,12 +37,12 @@
 
 /**
  * @param attemptId a new attempt
- * @param more what differs from a short chat request
+ * @param overrides what differs from a short chat request
  * @returns its offer
  */
 export function makeMeasuredOffer(
   attemptId: string,
-  more: Partial<Offer> = {},
+  overrides: Partial<Offer> = {},
 ): Offer {
   return {
     requestId: attemptId,
@@ -58,6 +58,6 @@
     firstChoice: '',
     handOvers: 0,
     poolMeanTokens: 0,
-    ...more,
+    ...overrides,
   };
 }
--- a/packages/lovagepond-measure/src/measure_engine.ts
+++ b/packages/lovagepond-measure/src/simulated_engine.ts
@@ -8,7 +8,7 @@
 const MS_PER_SECOND = 1000;
 
 /** What the engine can do. */
-export interface MeasureEngineSettings {
+export interface SimulatedEngineSettings {
   readonly prefillTokensPerSecond: number;
   /** Over all streams. */
   readonly decodeTokensPerSecond: number;
@@ -39,22 +39,22 @@
   readonly cachedTokens: number;
 }
 
-interface Active {
+interface ActiveRun {
   readonly run: EngineRun;
   cachedTokens: number;
 }
 
 interface Prefill {
-  readonly active: Active;
+  readonly active: ActiveRun;
   readonly readyAt: number;
 }
 
-function workOf(run: EngineRun): number {
+function totalTokens(run: EngineRun): number {
   return run.promptTokens + run.answerTokens;
 }
 
 /** Chats kept by recent use, within a bound of tokens. */
-export class MeasureCache {
+export class PrefixCache {
   readonly #limit: number;
   readonly #chats = new Map<string, number>();
   #tokens = 0;
@@ -90,22 +90,22 @@
 }
 
 /** The engine. Time is an argument; events are read by {@link advance}. */
-export class MeasureEngine {
-  readonly #settings: MeasureEngineSettings;
-  readonly cache: MeasureCache;
-  readonly #waiting: Active[] = [];
+export class SimulatedEngine {
+  readonly #settings: SimulatedEngineSettings;
+  readonly cache: PrefixCache;
+  readonly #waiting: ActiveRun[] = [];
   readonly #prefills: Prefill[] = [];
-  readonly #decoding = new MinHeap<Active>();
+  readonly #decoding = new MinHeap<ActiveRun>();
   /** Tokens that a stream which was there from the start would have. */
-  #attained = 0;
+  #decodedPerStream = 0;
   #advancedTo = 0;
   #inCapacity = 0;
   #loadTokens = 0;
   #evicted: string[] = [];
 
-  constructor(settings: MeasureEngineSettings) {
+  constructor(settings: SimulatedEngineSettings) {
     this.#settings = settings;
-    this.cache = new MeasureCache(settings.cacheTokens);
+    this.cache = new PrefixCache(settings.cacheTokens);
   }
 
   /** @returns tokens handed to the engine and not finished */
@@ -122,7 +122,7 @@
 
   /** @param run handed over now */
   start(run: EngineRun, now: number): void {
-    this.#loadTokens += workOf(run);
+    this.#loadTokens += totalTokens(run);
     this.#waiting.push({run, cachedTokens: 0});
     this.#admit(now);
   }
@@ -132,7 +132,7 @@
     const prefillAt = this.#prefills[0]?.readyAt ?? Infinity;
     const rate = this.#ratePerMs();
     if (rate === 0) return prefillAt;
-    const left = this.#decoding.leastKey - this.#attained;
+    const left = this.#decoding.leastKey - this.#decodedPerStream;
     return Math.min(prefillAt, this.#advancedTo + Math.max(0, left) / rate);
   }
 
@@ -162,7 +162,7 @@
   }
 
   #decodeUntil(time: number): void {
-    this.#attained += this.#ratePerMs() * (time - this.#advancedTo);
+    this.#decodedPerStream += this.#ratePerMs() * (time - this.#advancedTo);
     this.#advancedTo = time;
   }
 
@@ -170,18 +170,18 @@
     let head = this.#waiting[0];
     while (head && this.#fits(head.run)) {
       this.#waiting.shift();
-      this.#inCapacity += workOf(head.run);
+      this.#inCapacity += totalTokens(head.run);
       this.#beginPrefill(head, now);
       head = this.#waiting[0];
     }
   }
 
   #fits(run: EngineRun): boolean {
-    const total = this.#inCapacity + workOf(run);
+    const total = this.#inCapacity + totalTokens(run);
     return this.#inCapacity === 0 || total <= this.#settings.capacityTokens;
   }
 
-  #beginPrefill(active: Active, now: number): void {
+  #beginPrefill(active: ActiveRun, now: number): void {
     const {run} = active;
     const cached = this.cache.peek(run.chatKey);
     active.cachedTokens = Math.min(cached, run.contextTokens);
@@ -196,7 +196,7 @@
   #endPrefill({active}: Prefill): EngineEvent {
     this.#prefills.shift();
     const {run, cachedTokens} = active;
-    this.#decoding.push(this.#attained + run.answerTokens, active);
+    this.#decoding.push(this.#decodedPerStream + run.answerTokens, active);
     return {kind: 'firstToken', run, cachedTokens};
   }
 
@@ -204,7 +204,7 @@
     const active = this.#decoding.pop();
     if (!active) return [];
     const {run, cachedTokens} = active;
-    const work = workOf(run);
+    const work = totalTokens(run);
     this.#loadTokens -= work;
     this.#inCapacity -= work;
     this.#evicted.push(...this.cache.put(run.chatKey, work));
--- a/packages/lovagepond-measure/src/play_gateway.ts
+++ b/packages/lovagepond-measure/src/simulated_gateway.ts
@@ -21,14 +21,17 @@
   type ServerState,
 } from '@lovagepond/gateway/deciders';
 import {type KeyHasher} from '@lovagepond/router';
-import {type PlayAccount} from './play_account.js';
-import {type PlayEngine, type PlayService} from './play_engine.js';
-import {type PlayKind, type PlayVariant} from './play_types.js';
+import {type DirectEngine, type DirectService} from './direct_servers.js';
+import {type GatewaySimulationStatistics} from './gateway_simulation_statistics.js';
+import {
+  type GatewayVariant,
+  type SimulatedRequestKind,
+} from './gateway_simulation_types.js';
 import {type VirtualTime} from './virtual_time.js';
 
 /** What callers draw for one request. */
-export interface PlayRequest {
-  readonly kind: PlayKind;
+export interface SimulatedRequest {
+  readonly kind: SimulatedRequestKind;
   readonly at: number;
   readonly parts: readonly PromptPart[];
   readonly events: number;
@@ -36,31 +39,31 @@
 }
 
 /** Servers by their names. */
-export interface PlayServers {
-  engine(name: string): PlayEngine | undefined;
-  service(name: string): PlayService | undefined;
+export interface ServerLookup {
+  engine(name: string): DirectEngine | undefined;
+  service(name: string): DirectService | undefined;
 }
 
 /** What a gateway is made from. */
-export interface PlayGatewayParts {
+export interface SimulatedGatewayDependencies {
   readonly name: string;
   readonly zone: string;
   readonly pools: {readonly engines: Pool; readonly services: Pool};
-  readonly variant: PlayVariant;
+  readonly variant: GatewayVariant;
   readonly hasher: KeyHasher;
   readonly random: Random;
   readonly time: VirtualTime;
-  readonly servers: PlayServers;
-  readonly account: PlayAccount;
+  readonly servers: ServerLookup;
+  readonly statistics: GatewaySimulationStatistics;
 }
 
 /** One way between a gateway and a server, milliseconds. */
 const HOP_MS = 0.5;
 
 /** What engines are believed to read before any has been observed. */
-const FIRST_RATE = 40;
+const INITIAL_PREFILL_RATE = 40;
 
-const BUDGET = {
+const RETRY_BUDGET = {
   retryFraction: 0.2,
   retryWindowMs: 10_000,
   retrySlack: 64,
@@ -71,28 +74,28 @@
 const CALLER_RETRY_MS = 300;
 
 /** A gateway. Its memory can be lost as a whole. */
-export class PlayGateway {
-  readonly #parts: PlayGatewayParts;
+export class SimulatedGateway {
+  readonly #deps: SimulatedGatewayDependencies;
   fleet = new GatewayFleet();
   readings!: GatewayReadings;
   #choice!: GatewayChoice;
   #rate!: PrefillRate;
   #peers = new GatewayPeers();
-  #budget = new GatewayRetryBudget(BUDGET, this.#peers);
+  #budget = new GatewayRetryBudget(RETRY_BUDGET, this.#peers);
   /** Callers are refused until then. */
   readyAt = 0;
 
-  /** @param parts what it works with */
-  constructor(parts: PlayGatewayParts) {
-    this.#parts = parts;
-    this.forget();
+  /** @param deps what it works with */
+  constructor(deps: SimulatedGatewayDependencies) {
+    this.#deps = deps;
+    this.restart();
   }
 
   /** Starts again without a memory. */
-  forget(): void {
-    const {name, zone, variant, hasher, random} = this.#parts;
+  restart(): void {
+    const {name, zone, variant, hasher, random} = this.#deps;
     this.fleet = new GatewayFleet();
-    this.#rate = new PrefillRate(FIRST_RATE);
+    this.#rate = new PrefillRate(INITIAL_PREFILL_RATE);
     this.readings = new GatewayReadings(
       name,
       this.fleet,
@@ -103,12 +106,12 @@
     const settings = {availabilityZone: zone, rate: this.#rate, weights};
     this.#choice = new GatewayChoice(settings, hasher, random);
     this.#peers = new GatewayPeers();
-    this.#budget = new GatewayRetryBudget(BUDGET, this.#peers);
+    this.#budget = new GatewayRetryBudget(RETRY_BUDGET, this.#peers);
   }
 
   /** @param req a request that comes now */
-  serve(req: PlayRequest): void {
-    new PlayExchange(req, this.#parts, this).offer();
+  serve(req: SimulatedRequest): void {
+    new SimulatedExchange(req, this.#deps, this).offer();
   }
 
   get choice(): GatewayChoice {
@@ -125,39 +128,43 @@
 }
 
 /** One request at one gateway, from its arrival to its end. */
-class PlayExchange {
-  readonly #req: PlayRequest;
-  readonly #parts: PlayGatewayParts;
-  readonly #gateway: PlayGateway;
+class SimulatedExchange {
+  readonly #req: SimulatedRequest;
+  readonly #deps: SimulatedGatewayDependencies;
+  readonly #gateway: SimulatedGateway;
   readonly #tried = new Set<string>();
   #attempt = 0;
   #runs = 0;
   #offers = 0;
   #firstMs: number | undefined;
   #hasFailure = false;
-  #callerTries = 0;
+  #callerRetries = 0;
   #isDone = false;
 
-  constructor(req: PlayRequest, parts: PlayGatewayParts, gateway: PlayGateway) {
+  constructor(
+    req: SimulatedRequest,
+    deps: SimulatedGatewayDependencies,
+    gateway: SimulatedGateway,
+  ) {
     this.#req = req;
-    this.#parts = parts;
+    this.#deps = deps;
     this.#gateway = gateway;
     const {at, kind} = req;
-    parts.time.at(at + kind.deadlineMs, () => {
+    deps.time.at(at + kind.deadlineMs, () => {
       this.#end();
     });
   }
 
   get #now(): number {
-    return this.#parts.time.now;
+    return this.#deps.time.now;
   }
 
   offer(): void {
     const {kind, parts} = this.#req;
-    const {pools, variant} = this.#parts;
+    const {pools, variant} = this.#deps;
     const {fleet, choice, budget, readyAt} = this.#gateway;
     if (this.#now < readyAt) {
-      this.#refused();
+      this.#handleRefusal();
       return;
     }
     const isChat = kind.prompt !== undefined;
@@ -178,7 +185,7 @@
       this.#now,
     );
     if (!chosen) {
-      this.#refused();
+      this.#handleRefusal();
       return;
     }
     this.#offers += 1;
@@ -189,7 +196,7 @@
   }
 
   #runChat(state: ServerState, fetch: ContextFetch | undefined): void {
-    const {time, servers} = this.#parts;
+    const {time, servers} = this.#deps;
     const {readings, rate} = this.#gateway;
     const {kind, parts, events} = this.#req;
     const account = new PromptAccount(
@@ -200,7 +207,7 @@
       this.#now,
     );
     state.inFlight += 1;
-    const close = this.#guard(() => {
+    const close = this.#once(() => {
       account.close();
       state.inFlight -= 1;
     });
@@ -208,7 +215,7 @@
     const source = fetch?.source && servers.engine(fetch.source.server.name);
     time.after(HOP_MS, () => {
       if (!engine?.isUp) {
-        this.#ended(state, close, {kind: 'unsent'});
+        this.#handleFailure(state, close, {kind: 'unsent'});
         return;
       }
       engine.start({
@@ -224,32 +231,32 @@
         onEnd: () => {
           if (!close()) return;
           state.noteSuccess(this.#now);
-          this.#served();
+          this.#handleSuccess();
         },
         onBroken: () => {
-          this.#ended(state, close, {kind: 'broken'});
+          this.#handleFailure(state, close, {kind: 'broken'});
         },
         onRefused: () => {
-          this.#ended(state, close, {kind: 'notRun'});
+          this.#handleFailure(state, close, {kind: 'notRun'});
         },
       });
     });
   }
 
   #runCall(state: ServerState): void {
-    const {time, servers, variant} = this.#parts;
+    const {time, servers, variant} = this.#deps;
     const {kind, workMs} = this.#req;
     const timing = variant.noTiming
       ? undefined
       : new AnswerTiming(state, kind.targetLatencyMs, this.#now);
     state.inFlight += 1;
-    const close = this.#guard(() => {
+    const close = this.#once(() => {
       state.inFlight -= 1;
     });
     const service = servers.service(state.server.name);
     time.after(HOP_MS, () => {
       if (!service) {
-        this.#ended(state, close, {kind: 'unsent'});
+        this.#handleFailure(state, close, {kind: 'unsent'});
         return;
       }
       service.start(workMs, kind.failureShare ?? 0, outcome => {
@@ -259,18 +266,18 @@
           this.#firstMs = this.#now - this.#req.at + HOP_MS;
           if (timing) timing.noteAnswer(this.#now);
           else state.noteSuccess(this.#now);
-          this.#served();
+          this.#handleSuccess();
         } else if (outcome === 'failed') {
-          this.#ended(state, close, {kind: 'failedAnswer'});
+          this.#handleFailure(state, close, {kind: 'failedAnswer'});
         } else if (outcome === 'refused') {
-          this.#ended(state, close, {kind: 'notRun'});
-        } else this.#ended(state, close, {kind: 'broken'});
+          this.#handleFailure(state, close, {kind: 'notRun'});
+        } else this.#handleFailure(state, close, {kind: 'broken'});
       });
     });
   }
 
   /** @returns a function that runs once, and says whether it was this time */
-  #guard(run: () => void): () => boolean {
+  #once(run: () => void): () => boolean {
     const attempt = this.#attempt;
     let isOpen = true;
     return () => {
@@ -287,17 +294,17 @@
       load,
     }: {readonly load: {readonly running: number; readonly waiting: number}},
   ): void {
-    if (this.#parts.variant.noLoadHeader) return;
+    if (this.#deps.variant.noLoadHeader) return;
     state.noteLoad({...load, slots: state.slots}, this.#now);
   }
 
-  #served(): void {
+  #handleSuccess(): void {
     this.#isDone = true;
     const {kind, at} = this.#req;
-    this.#parts.account.served(kind, at, this.#firstMs ?? 0);
+    this.#deps.statistics.recordAnswer(kind, at, this.#firstMs ?? 0);
   }
 
-  #ended(
+  #handleFailure(
     state: ServerState,
     close: () => boolean,
     outcome: AttemptOutcome,
@@ -313,8 +320,8 @@
     }
     const {kind} = this.#req;
     const pool = kind.prompt
-      ? this.#parts.pools.engines
-      : this.#parts.pools.services;
+      ? this.#deps.pools.engines
+      : this.#deps.pools.services;
     const next = decideNext(outcome, {
       rule: ruleOf(kind),
       runs: this.#runs,
@@ -327,23 +334,23 @@
       trySpend: () => this.#gateway.budget.trySpend(pool.name, this.#now),
     });
     if (next.kind === 'retry' || next.kind === 'resume') this.offer();
-    else if (next.kind === 'refuse' && this.#runs === 0) this.#refused();
-    else if (kind.repeatable) this.#askAgain();
+    else if (next.kind === 'refuse' && this.#runs === 0) this.#handleRefusal();
+    else if (kind.repeatable) this.#retryAsCaller();
     else this.#end();
   }
 
   /** Nothing of it has run: the caller comes back once. */
-  #refused(): void {
-    this.#askAgain();
+  #handleRefusal(): void {
+    this.#retryAsCaller();
   }
 
-  #askAgain(): void {
-    if (this.#callerTries > 0) {
+  #retryAsCaller(): void {
+    if (this.#callerRetries > 0) {
       this.#end();
       return;
     }
-    this.#callerTries += 1;
-    this.#parts.time.after(CALLER_RETRY_MS, () => {
+    this.#callerRetries += 1;
+    this.#deps.time.after(CALLER_RETRY_MS, () => {
       if (this.#isDone) return;
       this.#tried.clear();
       this.#runs = 0;
@@ -358,7 +365,7 @@
   }
 }
 
-function ruleOf(kind: PlayKind): ForwardingRule {
+function ruleOf(kind: SimulatedRequestKind): ForwardingRule {
   const {name, priority, targetLatencyMs, deadlineMs, maxAttempts} = kind;
   const isChat = kind.prompt !== undefined;
   return {
--- a/packages/lovagepond-measure/src/measure_router.ts
+++ b/packages/lovagepond-measure/src/simulated_router.ts
@@ -11,27 +11,27 @@
   RendezvousTable,
   RouterLoadView,
 } from '@lovagepond/router';
+import {type PlacementOutcomes} from './placement_outcomes.js';
 import {
   type Attempt,
   type AttemptOwner,
-  type FleetSettings,
   HOP_MS,
+  type PlacementSimulationSettings,
   workOfArrival,
-} from './measure_fleet_types.js';
-import {type MeasureOutcomes} from './measure_outcomes.js';
-import {type MeasureServer} from './measure_server.js';
-import {type Arrival} from './measure_workload.js';
+} from './placement_simulation_types.js';
+import {type Arrival} from './placement_workload.js';
+import {type SimulatedServer} from './simulated_server.js';
 import {type VirtualTime} from './virtual_time.js';
 
 const MAX_ATTEMPTS = 5;
 
 /** A backend server on a router's list. */
 interface ListedServer extends PlacementServer {
-  readonly handle: MeasureServer;
+  readonly handle: SimulatedServer;
 }
 
 /** A request without its final answer. */
-interface Pending {
+interface PendingRequest {
   readonly arrival: Arrival;
   readonly candidates: readonly ListedServer[];
   readonly firstChoice: string;
@@ -42,33 +42,37 @@
 }
 
 /** What a router needs from the rest of the run. */
-export interface RouterPort {
+export interface SimulatedRouterDependencies {
   readonly time: VirtualTime;
-  readonly settings: FleetSettings;
+  readonly settings: PlacementSimulationSettings;
   readonly hasher: KeyHasher;
-  readonly outcomes: MeasureOutcomes;
+  readonly outcomes: PlacementOutcomes;
 }
 
 /** The router. */
-export class MeasureRouter implements AttemptOwner {
-  readonly #port: RouterPort;
+export class SimulatedRouter implements AttemptOwner {
+  readonly #deps: SimulatedRouterDependencies;
   readonly #policy: PlacementPolicy;
   readonly #random: Random;
   readonly #view = new RouterLoadView();
   readonly #readySince = new Map<string, number>();
   #listed = new Map<string, ListedServer>();
   #table: RendezvousTable<ListedServer> | undefined;
-  readonly #pending = new Map<string, Pending>();
-
-  constructor(port: RouterPort, policy: PlacementPolicy, seed: number) {
-    this.#port = port;
+  readonly #pending = new Map<string, PendingRequest>();
+
+  constructor(
+    deps: SimulatedRouterDependencies,
+    policy: PlacementPolicy,
+    seed: number,
+  ) {
+    this.#deps = deps;
     this.#policy = policy;
     this.#random = new Random(seed);
   }
 
   /** @param servers the list as it reaches this router */
-  setList(servers: readonly MeasureServer[]): void {
-    const since = this.#table ? this.#port.time.now : Number.NEGATIVE_INFINITY;
+  setList(servers: readonly SimulatedServer[]): void {
+    const since = this.#table ? this.#deps.time.now : Number.NEGATIVE_INFINITY;
     const listed = servers.map(handle => {
       const {name, slot} = handle;
       const readySince = this.#readySince.get(name) ?? since;
@@ -76,7 +80,7 @@
       return {name, slot, readySince, handle};
     });
     this.#listed = new Map(listed.map(server => [server.name, server]));
-    this.#table = new RendezvousTable(listed, this.#port.hasher);
+    this.#table = new RendezvousTable(listed, this.#deps.hasher);
   }
 
   /**
@@ -97,16 +101,16 @@
     workspace: string,
     chat: string,
     leaving: string,
-  ): MeasureServer | undefined {
-    const key = this.#port.hasher.hash(makeChatText(workspace, chat));
+  ): SimulatedServer | undefined {
+    const key = this.#deps.hasher.hash(makeChatText(workspace, chat));
     const order = this.#table?.order(key, 2) ?? [];
     const servers = order.map(index => this.#table?.servers[index]);
     return servers.find(server => server?.name !== leaving)?.handle;
   }
 
   /** @param arrival a request that reaches this router now */
-  arrive(arrival: Arrival): void {
-    const {time, settings, outcomes} = this.#port;
+  dispatch(arrival: Arrival): void {
+    const {time, settings, outcomes} = this.#deps;
     outcomes.arrived(arrival);
     if (!this.#table || this.#table.servers.length === 0) {
       outcomes.refused(arrival);
@@ -127,7 +131,7 @@
       random: this.#random,
     });
     const {candidates, firstChoice, warmCandidates = []} = placement;
-    const pending: Pending = {
+    const pending: PendingRequest = {
       arrival,
       candidates,
       firstChoice: firstChoice.name,
@@ -143,17 +147,17 @@
   refused(attempt: Attempt, kind: ErrorKind, pointer: string): void {
     const pending = this.#pending.get(attempt.arrival.id);
     if (!pending) return;
-    const pointed = this.#listed.get(pointer);
+    const pointerTarget = this.#listed.get(pointer);
     if (kind === 'handedOver') pending.handOvers++;
     if (kind === 'servedElsewhere') pending.tried.delete(pending.firstChoice);
-    if (pointed && pending.attempts < MAX_ATTEMPTS) {
-      this.#send(pending, pointed);
+    if (pointerTarget && pending.attempts < MAX_ATTEMPTS) {
+      this.#send(pending, pointerTarget);
     } else if (ERROR_ANSWERS[kind].anotherAttempt) this.#sendNext(pending);
-    else this.#giveUp(pending);
+    else this.#refuse(pending);
   }
 
   firstToken(attempt: Attempt, cachedTokens: number): void {
-    const {outcomes, time} = this.#port;
+    const {outcomes, time} = this.#deps;
     const pending = this.#pending.get(attempt.arrival.id);
     if (!pending) return;
     const {arrival, attempts} = pending;
@@ -162,7 +166,7 @@
 
   done({arrival}: Attempt): void {
     this.#pending.delete(arrival.id);
-    this.#port.outcomes.done(arrival, this.#port.time.now);
+    this.#deps.outcomes.done(arrival, this.#deps.time.now);
   }
 
   lost({arrival, streaming}: Attempt): void {
@@ -173,23 +177,23 @@
       return;
     }
     this.#pending.delete(arrival.id);
-    this.#port.outcomes.failed(arrival);
+    this.#deps.outcomes.failed(arrival);
   }
 
   observed(backendServer: string, tokens: number): void {
     const listed = this.#listed.get(backendServer);
     if (!listed) return;
-    this.#view.recordObserved(listed.slot, tokens, this.#port.time.now);
+    this.#view.recordObserved(listed.slot, tokens, this.#deps.time.now);
   }
 
-  #sendNext(pending: Pending): void {
+  #sendNext(pending: PendingRequest): void {
     const next = pending.candidates.find(({name}) => !pending.tried.has(name));
     if (next && pending.attempts < MAX_ATTEMPTS) this.#send(pending, next);
-    else this.#giveUp(pending);
+    else this.#refuse(pending);
   }
 
-  #send(pending: Pending, server: ListedServer): void {
-    const {time} = this.#port;
+  #send(pending: PendingRequest, server: ListedServer): void {
+    const {time} = this.#deps;
     const {arrival, firstChoice, handOvers} = pending;
     pending.attempts++;
     pending.tried.add(server.name);
@@ -212,8 +216,8 @@
     });
   }
 
-  #giveUp({arrival}: Pending): void {
+  #refuse({arrival}: PendingRequest): void {
     this.#pending.delete(arrival.id);
-    this.#port.outcomes.refused(arrival);
+    this.#deps.outcomes.refused(arrival);
   }
 }
--- a/packages/lovagepond-measure/src/measure_server.ts
+++ b/packages/lovagepond-measure/src/simulated_server.ts
@@ -12,15 +12,15 @@
   SidecarGate,
   SidecarTaker,
 } from '@lovagepond/sidecar';
-import {type EngineEvent, MeasureEngine} from './measure_engine.js';
 import {
   type Attempt,
   chatKeyOf,
-  type FleetSettings,
   HOP_MS,
-  type Variant,
+  type PlacementSimulationSettings,
+  type PlacementVariant,
   workOfArrival,
-} from './measure_fleet_types.js';
+} from './placement_simulation_types.js';
+import {type EngineEvent, SimulatedEngine} from './simulated_engine.js';
 import {type VirtualTime} from './virtual_time.js';
 
 const CACHE_EVENT_LAG_MS = 200;
@@ -29,37 +29,37 @@
 const REVISION = 1;
 
 /** What a server needs from the rest of the run. */
-export interface ServerPort {
+export interface SimulatedServerDependencies {
   readonly time: VirtualTime;
-  readonly settings: FleetSettings;
-  readonly variant: Variant;
-  findServer(name: string): MeasureServer | undefined;
+  readonly settings: PlacementSimulationSettings;
+  readonly variant: PlacementVariant;
+  findServer(name: string): SimulatedServer | undefined;
   /** The engine's load or its gate's queue has changed. */
-  changed(server: MeasureServer): void;
+  changed(server: SimulatedServer): void;
 }
 
 /** The server. */
-export class MeasureServer {
+export class SimulatedServer {
   readonly name: string;
   readonly slot: number;
   readonly gate: SidecarGate;
-  readonly engine: MeasureEngine;
+  readonly engine: SimulatedEngine;
   alive = true;
-  readonly #port: ServerPort;
+  readonly #deps: SimulatedServerDependencies;
   readonly #random: Random;
   readonly #taker: SidecarTaker;
-  readonly #open = new Map<string, Attempt>();
+  readonly #openAttempts = new Map<string, Attempt>();
   #peers: readonly PeerLoad[] = [];
   #engineEventAt = Infinity;
   #tickAt = Infinity;
-  #takePlanned = false;
+  #takeScheduled = false;
   #cacheSequence = 0;
 
-  constructor(name: string, slot: number, port: ServerPort) {
-    const {settings, variant} = port;
+  constructor(name: string, slot: number, deps: SimulatedServerDependencies) {
+    const {settings, variant} = deps;
     this.name = name;
     this.slot = slot;
-    this.#port = port;
+    this.#deps = deps;
     this.#random = new Random(settings.seed * 1000 + slot);
     const {capacityTokens} = settings.engine;
     const floorTokens = variant.gated ? settings.floorTokens : Infinity;
@@ -75,15 +75,15 @@
     );
     this.gate.configure({...settings.pool, workspaces: new Map()}, REVISION);
     this.gate.cache.reset();
-    this.engine = new MeasureEngine(settings.engine);
+    this.engine = new SimulatedEngine(settings.engine);
     this.#taker = new SidecarTaker(DEFAULT_TAKER_SETTINGS, this.#random);
   }
 
   /** @param attempt an attempt that arrives now */
   offer(attempt: Attempt): void {
-    const {time} = this.#port;
+    const {time} = this.#deps;
     const {arrival} = attempt;
-    this.#open.set(attempt.attemptId, attempt);
+    this.#openAttempts.set(attempt.attemptId, attempt);
     const offer: Offer = {
       requestId: arrival.id,
       attemptId: attempt.attemptId,
@@ -106,35 +106,35 @@
   /** @param actions what the gate wants done */
   perform(actions: readonly GateAction[]): void {
     for (const action of actions) this.#performOne(action);
-    this.#planTick();
-    if (actions.length > 0) this.#port.changed(this);
+    this.#scheduleTick();
+    if (actions.length > 0) this.#deps.changed(this);
   }
 
   /** @param peers loads of the others as the digest shows them */
   setPeers(peers: readonly PeerLoad[]): void {
-    const {floorTokens} = this.#port.settings;
+    const {floorTokens} = this.#deps.settings;
     this.#peers = peers.filter(({tokens}) => tokens > floorTokens);
-    this.planTake(0);
+    this.scheduleTake(0);
   }
 
   /** Runs what depends on time alone. */
   tick(): void {
-    if (this.alive) this.perform(this.gate.tick(this.#port.time.now));
+    if (this.alive) this.perform(this.gate.tick(this.#deps.time.now));
   }
 
   /** The process is gone with everything in it. */
   crash(): void {
     this.alive = false;
-    for (const attempt of this.#open.values()) {
-      this.#port.time.after(HOP_MS, () => attempt.owner.lost(attempt));
+    for (const attempt of this.#openAttempts.values()) {
+      this.#deps.time.after(HOP_MS, () => attempt.owner.lost(attempt));
     }
-    this.#open.clear();
-    this.#port.changed(this);
+    this.#openAttempts.clear();
+    this.#deps.changed(this);
   }
 
   /** @param limitMs time for what runs and waits here */
   drain(limitMs: number): void {
-    this.perform(this.gate.startDraining(this.#port.time.now, limitMs));
+    this.perform(this.gate.startDraining(this.#deps.time.now, limitMs));
   }
 
   /**
@@ -148,33 +148,33 @@
   }
 
   /** Asks for a held request after a pause, when there is room here. */
-  planTake(delayMs: number): void {
-    if (!this.#port.variant.take || this.#takePlanned) return;
-    this.#takePlanned = true;
-    this.#port.time.after(delayMs, () => {
-      this.#takePlanned = false;
+  scheduleTake(delayMs: number): void {
+    if (!this.#deps.variant.take || this.#takeScheduled) return;
+    this.#takeScheduled = true;
+    this.#deps.time.after(delayMs, () => {
+      this.#takeScheduled = false;
       if (this.alive) this.#take();
     });
   }
 
   #performOne(action: GateAction): void {
-    const attempt = this.#open.get(action.attemptId);
+    const attempt = this.#openAttempts.get(action.attemptId);
     if (!attempt) return;
     if (action.kind === 'dispatch') this.#dispatch(attempt);
-    else if (action.kind === 'accept') this.#observe(attempt);
-    else if (action.kind === 'point') this.#point(attempt);
+    else if (action.kind === 'accept') this.#reportLoad(attempt);
+    else if (action.kind === 'point') this.#storePointer(attempt);
     else if (action.kind === 'refuse') {
-      this.#open.delete(action.attemptId);
+      this.#openAttempts.delete(action.attemptId);
       const {failure, pointer} = action;
-      this.#observe(attempt);
-      this.#port.time.after(HOP_MS, () =>
+      this.#reportLoad(attempt);
+      this.#deps.time.after(HOP_MS, () =>
         attempt.owner.refused(attempt, failure.kind, pointer),
       );
     }
   }
 
-  #observe(attempt: Attempt): void {
-    const {time} = this.#port;
+  #reportLoad(attempt: Attempt): void {
+    const {time} = this.#deps;
     const {runningTokens, queuedTokens} = this.gate.load(time.now);
     const tokens = runningTokens + queuedTokens;
     time.after(HOP_MS, () => attempt.owner.observed(this.name, tokens));
@@ -186,29 +186,29 @@
     const chatKey = chatKeyOf(arrival);
     const id = attempt.attemptId;
     const run = {id, chatKey, promptTokens, contextTokens, answerTokens};
-    const {now} = this.#port.time;
+    const {now} = this.#deps.time;
     this.#applyEvents(this.engine.advance(now));
     this.engine.start(run, now);
-    this.#planEngine();
+    this.#scheduleEngine();
   }
 
   /** Plans the next event of the engine. */
-  #planEngine(): void {
+  #scheduleEngine(): void {
     const at = this.engine.nextEventAt();
     if (at === Infinity || at === this.#engineEventAt) return;
     this.#engineEventAt = at;
-    this.#port.time.at(at, () => {
+    this.#deps.time.at(at, () => {
       if (this.#engineEventAt !== at) return;
       this.#engineEventAt = Infinity;
       if (!this.alive) return;
-      this.#applyEvents(this.engine.advance(this.#port.time.now));
-      this.#planEngine();
+      this.#applyEvents(this.engine.advance(this.#deps.time.now));
+      this.#scheduleEngine();
     });
   }
 
   #applyEvents(events: readonly EngineEvent[]): void {
     for (const event of events) {
-      const attempt = this.#open.get(event.run.id);
+      const attempt = this.#openAttempts.get(event.run.id);
       if (!attempt) continue;
       if (event.kind === 'firstToken') {
         attempt.streaming = true;
@@ -225,17 +225,17 @@
     for (const chatKey of this.engine.takeEvicted()) {
       this.#publishCache(chatKey, 0);
     }
-    const {now} = this.#port.time;
+    const {now} = this.#deps.time;
     const end = {kind: 'done'} as const;
     this.perform(this.gate.finish(attempt.attemptId, end, now));
-    this.#open.delete(attempt.attemptId);
-    this.planTake(0);
+    this.#openAttempts.delete(attempt.attemptId);
+    this.scheduleTake(0);
   }
 
   /** The engine's cache events come late, and some never. */
   #publishCache(chatKey: string, tokens: number): void {
     const sequence = this.#cacheSequence++;
-    const {time, variant} = this.#port;
+    const {time, variant} = this.#deps;
     const lost = !variant.exact && this.#random.next() < CACHE_EVENT_LOSS;
     if (lost) return;
     const [workspace = '', chat = ''] = chatKey.split('\u0000');
@@ -244,22 +244,22 @@
     });
   }
 
-  #point({firstChoice, arrival}: Attempt): void {
-    const {time, variant} = this.#port;
+  #storePointer({firstChoice, arrival}: Attempt): void {
+    const {time, variant} = this.#deps;
     if (!variant.pointers) return;
     time.after(HOP_MS, () => {
-      const keeper = this.#port.findServer(firstChoice);
-      if (!keeper?.alive) return;
+      const pointerHolder = this.#deps.findServer(firstChoice);
+      if (!pointerHolder?.alive) return;
       const {workspace, chat} = arrival;
-      keeper.gate.pointers.put(workspace, chat, this.name, time.now);
+      pointerHolder.gate.pointers.put(workspace, chat, this.name, time.now);
     });
   }
 
-  #planTick(): void {
+  #scheduleTick(): void {
     const at = this.gate.nextTickAt();
     if (at === Infinity || at >= this.#tickAt) return;
     this.#tickAt = at;
-    this.#port.time.at(at, () => {
+    this.#deps.time.at(at, () => {
       if (this.#tickAt !== at) return;
       this.#tickAt = Infinity;
       this.tick();
@@ -267,7 +267,7 @@
   }
 
   #take(): void {
-    const {time} = this.#port;
+    const {time} = this.#deps;
     const room = this.gate.takeRoom(time.now);
     if (room <= 0) return;
     const {runningTokens} = this.gate.load(time.now);
@@ -276,29 +276,29 @@
       runningTokens,
       time.now,
     );
-    const victim = chosen && this.#port.findServer(chosen.backendServer);
+    const victim = chosen && this.#deps.findServer(chosen.backendServer);
     if (!victim) {
-      if (this.#peers.length > 0) this.planTake(TAKE_RETRY_MS);
+      if (this.#peers.length > 0) this.scheduleTake(TAKE_RETRY_MS);
       return;
     }
     time.after(HOP_MS, () => {
       const tokens = victim.alive ? victim.#handOver(this.name, room) : 0;
-      time.after(HOP_MS, () => this.#noteTaken(victim.name, tokens));
+      time.after(HOP_MS, () => this.#recordTake(victim.name, tokens));
     });
   }
 
   #handOver(taker: string, roomTokens: number): number {
-    const {now} = this.#port.time;
+    const {now} = this.#deps.time;
     const {tokens, actions} = this.gate.handOver(taker, roomTokens, now);
     this.perform(actions);
     return tokens;
   }
 
-  #noteTaken(victim: string, tokens: number): void {
-    const {now} = this.#port.time;
+  #recordTake(victim: string, tokens: number): void {
+    const {now} = this.#deps.time;
     const {reservationMs, takeIntervalMs} = DEFAULT_TAKER_SETTINGS;
     this.#taker.noteAnswer(tokens > 0 ? 1 : 0, now);
     if (tokens > 0) this.gate.reserve(victim, tokens, now + reservationMs);
-    this.planTake(tokens > 0 ? takeIntervalMs : TAKE_RETRY_MS);
+    this.scheduleTake(tokens > 0 ? takeIntervalMs : TAKE_RETRY_MS);
   }
 }
--- a/packages/lovagepond-measure/src/virtual_time.ts
+++ b/packages/lovagepond-measure/src/virtual_time.ts
@@ -2,20 +2,20 @@
  * Virtual time: events run in the order of their times, at no real speed.
  */
 
-interface HeapItem<Value> {
+interface HeapEntry<Value> {
   readonly key: number;
   /** Keeps items of one key in the order in which they came. */
   readonly order: number;
   readonly value: Value;
 }
 
-function precedes(a: HeapItem<unknown>, b: HeapItem<unknown>): boolean {
+function precedes(a: HeapEntry<unknown>, b: HeapEntry<unknown>): boolean {
   return a.key < b.key || (a.key === b.key && a.order < b.order);
 }
 
 /** A binary heap; items of equal keys leave in the order of their coming. */
 export class MinHeap<Value> {
-  readonly #items: HeapItem<Value>[] = [];
+  readonly #items: HeapEntry<Value>[] = [];
   #pushed = 0;
 
   /** @returns how many values are kept */
@@ -35,7 +35,7 @@
     items.push(item);
     while (index > 0) {
       const parent = (index - 1) >> 1;
-      const above = items[parent] as HeapItem<Value>;
+      const above = items[parent] as HeapEntry<Value>;
       if (!precedes(item, above)) break;
       items[index] = above;
       index = parent;
@@ -53,16 +53,16 @@
     return top.value;
   }
 
-  #sinkFromTop(item: HeapItem<Value>): void {
+  #sinkFromTop(item: HeapEntry<Value>): void {
     const items = this.#items;
     let index = 0;
     for (;;) {
       let child = 2 * index + 1;
       if (child >= items.length) break;
       const right = items[child + 1];
-      const left = items[child] as HeapItem<Value>;
+      const left = items[child] as HeapEntry<Value>;
       if (right && precedes(right, left)) child++;
-      const least = items[child] as HeapItem<Value>;
+      const least = items[child] as HeapEntry<Value>;
       if (!precedes(least, item)) break;
       items[index] = least;
       index = child;
