--- a/packages/lovagepond-measure/src/__tests__/unit/measure_statistics.test.ts
+++ b/packages/lovagepond-measure/src/__tests__/unit/measure_statistics.test.ts
@@ -3,7 +3,7 @@
 import {Distribution} from '../../measure_statistics.js';
 
 describe('Distribution', () => {
-  it('gives percentiles within its resolution and the exact maximum', () => {
+  it('returns percentiles within its resolution and the exact maximum', () => {
     const values = new Distribution(0.01);
     for (let value = 1; value <= 1000; value++) values.record(value / 100);
     expect(values.percentile(50)).toBeCloseTo(5, 1);
@@ -14,7 +14,7 @@
 });
 
 describe('formatSection', () => {
-  it('lines up columns as a Markdown table with its notes', () => {
+  it('aligns columns as a Markdown table, followed by the notes', () => {
     const text = formatSection({
       title: 'T',
       columns: ['policy', 'x'],
--- a/packages/lovagepond-measure/src/measure_disk.ts
+++ b/packages/lovagepond-measure/src/measure_disk.ts
@@ -1,14 +1,14 @@
 /**
- * The disk that the measures write to: a folder that is removed afterwards,
- * and what the disk gives to appends with nothing else around them.
+ * Disk access for measurements: a temporary folder, and the rate of appends
+ * with sync as a baseline for the disk alone.
  */
 import {mkdtemp, open, rm} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
 
 /**
- * @param run gets the path of a folder that is removed afterwards
- * @returns what it returned
+ * @param run receives the path of a folder that is removed afterwards
+ * @returns the result of `run`
  */
 export async function withTemporaryFolder<Value>(
   run: (folder: string) => Promise<Value>,
@@ -24,8 +24,8 @@
 /**
  * @param path a file to write
  * @param bytes size of each append; rounded, at least 1
- * @param runMs how long to go on, milliseconds
- * @returns appends with a sync each, a second
+ * @param runMs duration, milliseconds
+ * @returns appends a second, each followed by a sync
  */
 export async function measureBareAppends(
   path: string,
--- a/packages/lovagepond-measure/src/measure_environment.ts
+++ b/packages/lovagepond-measure/src/measure_environment.ts
@@ -1,17 +1,17 @@
 /**
- * Clock, log and waiting of the measures that run real parts in real time.
+ * Clock, logger and polling for measurements that run in real time.
  */
 import {type Clock, type Logger} from '@lovagepond/core';
 
 const POLL_MS = 20;
 
-/** Present time of this process. */
+/** The real clock of this process. */
 export const MEASURE_CLOCK: Clock = {
   now: () => performance.now(),
   wallTime: () => Date.now(),
 };
 
-/** Drops every line. */
+/** Discards every log entry. */
 export const NO_LOG: Logger = {
   debug: () => undefined,
   info: () => undefined,
@@ -19,7 +19,7 @@
   error: () => undefined,
 };
 
-/** @param isMet says whether the wait is over */
+/** @param isMet polled until it returns true */
 export async function waitUntil(isMet: () => boolean): Promise<void> {
   while (!isMet()) await new Promise(resolve => setTimeout(resolve, POLL_MS));
 }
--- a/packages/lovagepond-measure/src/measure_heap.ts
+++ b/packages/lovagepond-measure/src/measure_heap.ts
@@ -1,13 +1,13 @@
 /**
- * Heap that something keeps, after a full collection.
+ * Measures the heap that a value retains after a full garbage collection.
  */
 import {setFlagsFromString} from 'node:v8';
 import {runInNewContext} from 'node:vm';
 
-/** What was made, and what it keeps on the heap. */
+/** A value and the memory that it retains. */
 export interface HeapMeasurement<Value> {
   readonly value: Value;
-  /** Bytes, of buffers too. */
+  /** Bytes on the heap and in external buffers. */
   readonly bytes: number;
 }
 
@@ -25,8 +25,8 @@
 }
 
 /**
- * @param make makes what is measured
- * @returns it, with the bytes that it keeps
+ * @param make creates the value
+ * @returns the value and the bytes that it retains
  */
 export function measureHeap<Value>(make: () => Value): HeapMeasurement<Value> {
   const before = usedBytes();
--- a/packages/lovagepond-measure/src/measure_main.ts
+++ b/packages/lovagepond-measure/src/measure_main.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run measure`: runs the measures named on the command line, or all.
+ * Entry point of `npm run measure`: runs the named measurements, or all.
  */
 import {formatSection} from './measure_print.js';
 import {MEASUREMENTS} from './measure_table.js';
@@ -8,7 +8,9 @@
   const unknown = names.filter(name => !Object.hasOwn(MEASUREMENTS, name));
   if (unknown.length > 0) {
     const known = Object.keys(MEASUREMENTS).join(', ');
-    console.error(`no measure "${unknown.join('", "')}"; there are: ${known}`);
+    console.error(
+      `unknown measurement "${unknown.join('", "')}"; available: ${known}`,
+    );
     return 2;
   }
   const wanted = names.length > 0 ? names : Object.keys(MEASUREMENTS);
--- a/packages/lovagepond-measure/src/measure_print.ts
+++ b/packages/lovagepond-measure/src/measure_print.ts
@@ -1,5 +1,5 @@
 /**
- * Tables as text, in a form that stands as it is in docs/MEASURES.md.
+ * Formats tables as Markdown, ready to be copied into docs/MEASURES.md.
  */
 import {type MeasureSection} from './measure_types.js';
 
@@ -13,7 +13,7 @@
 
 /**
  * @param section a table
- * @returns its lines as Markdown
+ * @returns the table as Markdown
  */
 export function formatSection(section: MeasureSection): string {
   const rows = section.rows.map(row => row.map(String));
--- a/packages/lovagepond-measure/src/measure_statistics.ts
+++ b/packages/lovagepond-measure/src/measure_statistics.ts
@@ -1,19 +1,19 @@
 /**
- * Percentiles over a run, kept in a histogram of bounded size.
+ * Percentiles of samples, kept in a histogram of bounded size.
  */
 import {build, type Histogram} from 'hdr-histogram-js';
 
 const SIGNIFICANT_DIGITS = 3;
 
-/** Values recorded once each; percentiles are read at the end. */
+/** A distribution of recorded samples. */
 export class Distribution {
   readonly #histogram: Histogram;
   readonly #unit: number;
   #max = 0;
 
   /**
-   * @param resolution the smallest difference that matters, in the values'
-   *     own unit; for example 0.001 for a ratio
+   * @param resolution the smallest difference to distinguish, in the unit of
+   *     the values; for example 0.001 for a ratio
    */
   constructor(resolution: number) {
     this.#unit = resolution;
@@ -28,7 +28,7 @@
 
   /**
    * @param value zero or more
-   * @param count how often it counts
+   * @param count weight of the value
    */
   record(value: number, count = 1): void {
     const steps = Math.round(value / this.#unit);
@@ -36,24 +36,24 @@
     if (value > this.#max) this.#max = value;
   }
 
-  /** @returns how many values were recorded */
+  /** @returns the number of recorded values */
   get count(): number {
     return this.#histogram.totalCount;
   }
 
-  /** @returns the largest value recorded, exact; 0 when there is none */
+  /** @returns the exact largest value; 0 without values */
   get max(): number {
     return this.#max;
   }
 
-  /** @returns the mean of the values; 0 when there is none */
+  /** @returns the mean; 0 without values */
   get mean(): number {
     return this.count === 0 ? 0 : this.#histogram.mean * this.#unit;
   }
 
   /**
    * @param percent from 0 to 100
-   * @returns the value that this share of the values does not exceed
+   * @returns the percentile; 0 without values
    */
   percentile(percent: number): number {
     if (this.count === 0) return 0;
@@ -64,8 +64,8 @@
 
 /**
  * @param part a count
- * @param whole the count it is a part of
- * @returns the part in percent; 0 of nothing is 0
+ * @param whole the total that includes `part`
+ * @returns the part in percent; 0 when the total is 0
  */
 export function percentOf(part: number, whole: number): number {
   return whole === 0 ? 0 : (100 * part) / whole;
@@ -73,7 +73,7 @@
 
 /**
  * @param value any number
- * @param digits digits after the point
+ * @param digits digits after the decimal point
  * @returns the value rounded for a table
  */
 export function roundTo(value: number, digits: number): number {
--- a/packages/lovagepond-measure/src/measure_table.ts
+++ b/packages/lovagepond-measure/src/measure_table.ts
@@ -1,7 +1,7 @@
 /**
- * The measures by the name given on the command line.
+ * The measurements by their command-line names.
  *
- * A new measure is one `*_measure.ts` file and one line here.
+ * A new measurement is one `*_measure.ts` file and one line here.
  */
 import {measureBackend} from './backend_measure.js';
 import {measureCaller} from './caller_measure.js';
@@ -22,7 +22,7 @@
 import {measureRouter} from './router_measure.js';
 import {measureSidecar} from './sidecar_measure.js';
 
-/** Name to measure; run in this order when no name is given. */
+/** Measurements by name; all run in this order when none is named. */
 export const MEASUREMENTS: Readonly<Record<string, MeasureFunction>> = {
   placement: measurePlacement,
   'placement-scale': measurePlacementScale,
--- a/packages/lovagepond-measure/src/measure_types.ts
+++ b/packages/lovagepond-measure/src/measure_types.ts
@@ -1,5 +1,5 @@
 /**
- * What a measure returns and how it is found by name.
+ * The function type of a measurement and the tables that it returns.
  */
 
 /** One printed table. */
@@ -7,13 +7,13 @@
   readonly title: string;
   readonly columns: readonly string[];
   readonly rows: readonly (readonly (string | number)[])[];
-  /** Seed, command, units and what was scaled; one line each. */
+  /** Seed, command, units and scaling; one line each. */
   readonly notes: readonly string[];
 }
 
 /**
- * Runs one measure.
+ * Runs one measurement.
  *
- * @returns its tables, in the order in which they are printed
+ * @returns its tables in print order
  */
 export type MeasureFunction = () => Promise<readonly MeasureSection[]>;
--- a/packages/lovagepond-measure/src/virtual_time.ts
+++ b/packages/lovagepond-measure/src/virtual_time.ts
@@ -1,10 +1,10 @@
 /**
- * Virtual time: events run in the order of their times, at no real speed.
+ * The virtual clock and event queue of a discrete-event simulation.
  */
 
 interface HeapEntry<Value> {
   readonly key: number;
-  /** Keeps items of one key in the order in which they came. */
+  /** Insertion order, which breaks ties between equal keys. */
   readonly order: number;
   readonly value: Value;
 }
@@ -13,12 +13,12 @@
   return a.key < b.key || (a.key === b.key && a.order < b.order);
 }
 
-/** A binary heap; items of equal keys leave in the order of their coming. */
+/** A binary heap; entries with equal keys leave in insertion order. */
 export class MinHeap<Value> {
   readonly #items: HeapEntry<Value>[] = [];
   #pushed = 0;
 
-  /** @returns how many values are kept */
+  /** @returns the number of values */
   get size(): number {
     return this.#items.length;
   }
@@ -43,7 +43,7 @@
     items[index] = item;
   }
 
-  /** @returns the value with the smallest key, removed */
+  /** Removes and returns the value with the smallest key. */
   pop(): Value | undefined {
     const items = this.#items;
     const top = items[0];
@@ -71,25 +71,25 @@
   }
 }
 
-/** The event queue of one run. */
+/** The virtual clock and event queue of one simulation. */
 export class VirtualTime {
   readonly #events = new MinHeap<() => void>();
   #now = 0;
   #ran = 0;
 
-  /** @returns present virtual time, milliseconds */
+  /** @returns the current virtual time, milliseconds */
   get now(): number {
     return this.#now;
   }
 
-  /** @returns how many events have run */
+  /** @returns the number of events run so far */
   get ran(): number {
     return this.#ran;
   }
 
   /**
-   * @param time virtual time, not before now
-   * @param run what happens then
+   * @param time virtual time of the event; a past time counts as now
+   * @param run callback of the event
    */
   at(time: number, run: () => void): void {
     this.#events.push(Math.max(time, this.#now), run);
@@ -97,16 +97,16 @@
 
   /**
    * @param delayMs virtual milliseconds from now
-   * @param run what happens then
+   * @param run callback of the event
    */
   after(delayMs: number, run: () => void): void {
     this.at(this.#now + delayMs, run);
   }
 
   /**
-   * @param intervalMs virtual milliseconds between two runs
-   * @param startAt time of the first run
-   * @param run what happens each time
+   * @param intervalMs virtual milliseconds between two calls
+   * @param startAt virtual time of the first call
+   * @param run callback
    */
   every(intervalMs: number, startAt: number, run: () => void): void {
     this.at(startAt, () => {
@@ -115,7 +115,7 @@
     });
   }
 
-  /** @param end runs all events up to this time */
+  /** @param end virtual time up to which events are run */
   runUntil(end: number): void {
     while (this.#events.leastKey <= end) {
       this.#now = this.#events.leastKey;
