--- a/packages/lovagepond-measure/src/__tests__/unit/placement_measure.test.ts
+++ b/packages/lovagepond-measure/src/__tests__/unit/placement_measure.test.ts
@@ -25,26 +25,26 @@
   return new PlacementSimulation(settings, variant, hasher).run(arrivals);
 }
 
-// Kiosks wake, or report chats come with a storm, while servers leave, crash,
-// join and flap, lists differ for seconds and loads are a second old. A caller
-// would see an engine crawl that stands at a multiple of the others; within
-// the bound at every instant it never does, and returning chats stay warm.
+// Kiosks resume, or a storm brings report chats, while servers leave, crash,
+// join and flap, lists differ for seconds and loads are a second old. An engine
+// at a multiple of the mean load answers slowly, so the load bound must hold at
+// all times, and returning chats must still find their caches.
 describe.each([
   ['skew first', makeKioskDeployment(END_MS, SEED), 0],
   ['reuse first', makeStormDeployment(END_MS, SEED), 0.2],
-])('the chosen policy under %s', (_name, deployment, overShare) => {
-  it('holds the bound and keeps chats warm', () => {
+])('the default policy under %s', (_name, deployment, overShare) => {
+  it('holds the load bound and reuses caches', () => {
     const {outcomes, skew} = simulate(deployment);
     const {loadBound} = deployment.settings.pool;
     expect(skew.overShare).toBeLessThanOrEqual(overShare);
     expect(skew.ratios.percentile(99)).toBeLessThanOrEqual(loadBound);
     expect(outcomes.lateShare).toBe(0);
-    const best = simulate(deployment, 'knows all: within the bound');
+    const best = simulate(deployment, 'oracle: within the bound');
     const missing = best.outcomes.reuseOfTokens - outcomes.reuseOfTokens;
     expect(missing).toBeLessThanOrEqual(3);
   });
 
-  it('repeats itself from its seed', () => {
+  it('is deterministic by its seed', () => {
     const [first, second] = [simulate(deployment), simulate(deployment)];
     expect(first.events).toBe(second.events);
     expect(first.outcomes.reuseOfTokens).toBe(second.outcomes.reuseOfTokens);
@@ -52,7 +52,7 @@
   });
 });
 
-it('is the gate that holds the bound: without it the wake breaks it', () => {
+it('the load bound needs the gate: resuming kiosks exceed it without one', () => {
   const wake = makeKioskDeployment(END_MS, SEED);
   expect(simulate(wake, 'rendezvous').skew.max).toBeGreaterThan(3);
 });
--- a/packages/lovagepond-measure/src/decision_cost_measure.ts
+++ b/packages/lovagepond-measure/src/decision_cost_measure.ts
@@ -1,5 +1,5 @@
 /**
- * What one placement decision costs, by policy and number of servers.
+ * Processor time of one placement decision, by policy and number of servers.
  */
 import {encodeLoad, Random} from '@lovagepond/core';
 import {
@@ -30,7 +30,7 @@
   decodeTokensPerSecond: 2_400,
 };
 
-/** One policy with everything it decides from. */
+/** One policy with its inputs. */
 interface Bench {
   readonly policy: PlacementPolicy;
   readonly input: Omit<PlacementInput<PlacementServer>, 'request'>;
@@ -61,7 +61,7 @@
   return {policy: PLACEMENT_POLICIES[name](hasher), input, digests};
 }
 
-/** Decides, sends and now and then takes a digest, as a router does. */
+/** Decides, records sends and applies a digest at intervals, as a router. */
 function decide(bench: Bench, count: number): void {
   const {policy, input, digests} = bench;
   for (let index = 0; index < count; index++) {
@@ -90,7 +90,7 @@
   return ((performance.now() - started) * 1000) / DECISIONS;
 }
 
-/** @returns µs for each decision and decisions a second */
+/** @returns µs per decision, and decisions a second */
 export async function measureDecisionCost(): Promise<MeasureSection[]> {
   const hasher = await loadKeyHasher();
   const rows = POLICY_NAMES.map(name => {
@@ -116,7 +116,7 @@
       notes: [
         `seed ${SEED}; npm run measure -- decision-cost`,
         `${DECISIONS} decisions each after ${WARM_UP_DECISIONS} to warm up, ` +
-          'with hashing, the record of the send, and a digest every ' +
+          'with hashing, recording the send, and a digest every ' +
           `${DIGEST_EVERY_DECISIONS} decisions`,
       ],
     },
--- a/packages/lovagepond-measure/src/placement_churn.ts
+++ b/packages/lovagepond-measure/src/placement_churn.ts
@@ -1,6 +1,6 @@
 /**
- * Backend servers come and go: planned leaves and crashes in turn, and servers
- * that control loses for seconds while they go on serving.
+ * Membership churn: planned leaves and crashes in turn, and servers that are
+ * delisted for seconds while they go on serving.
  */
 import {type Random} from '@lovagepond/core';
 import {type PlacementSimulation} from './placement_simulation.js';
@@ -9,9 +9,9 @@
 const FLAP_MS = 4_000;
 
 /**
- * Plans the whole run's churn.
+ * Schedules the churn of a whole simulation.
  *
- * @param fleet the run
+ * @param fleet the simulation
  * @param random draws the servers
  */
 export function scheduleChurn(
--- a/packages/lovagepond-measure/src/placement_measure.ts
+++ b/packages/lovagepond-measure/src/placement_measure.ts
@@ -1,5 +1,5 @@
 /**
- * Cache reuse against skew, for every policy on both users' deployments.
+ * Cache reuse and load skew of every policy on both users' deployments.
  */
 import {type KeyHasher, loadKeyHasher} from '@lovagepond/router';
 import {roundTo} from './measure_statistics.js';
@@ -34,7 +34,7 @@
   decodeTokensPerSecond: ENGINE.decodeTokensPerSecond,
 };
 
-/** What both deployments have in common. */
+/** Settings shared by both deployments. */
 const COMMON = {
   warmUpMs: WARM_UP_MS,
   servers: 6,
@@ -44,17 +44,17 @@
   maxListLagMs: 3_000,
 };
 
-/** One user's deployment with its arrivals. */
+/** One user's deployment with its workload. */
 export interface Deployment {
   readonly title: string;
   readonly settings: PlacementSimulationSettings;
   readonly arrivals: readonly Arrival[];
 }
 
-/** @returns the hourly wake; skew is weighed most */
+/** @returns kiosks that resume hourly; low skew has priority */
 export function makeKioskDeployment(endMs: number, seed: number): Deployment {
   return {
-    title: 'Hourly wake (Gutscheinwerk, skew first)',
+    title: 'Kiosks that resume hourly (Gutscheinwerk, skew first)',
     arrivals: makeKioskArrivals({endMs, scale: 1}, seed),
     settings: {
       ...COMMON,
@@ -67,7 +67,7 @@
   };
 }
 
-/** @returns the storm of long chats; reuse is weighed most */
+/** @returns storms of long chats; cache reuse has priority */
 export function makeStormDeployment(endMs: number, seed: number): Deployment {
   return {
     title: 'Storm (Sigurðsson & Synir, reuse first)',
@@ -93,10 +93,10 @@
 const GATED = {...UNGATED, gated: true};
 const WITH_POINTERS = {...GATED, pointers: true};
 
-/** Name of the variant that the router's default policy makes. */
+/** Name of the variant with the router's default policy. */
 export const DEFAULT_VARIANT = 'hold and take';
 
-/** What is measured side by side. */
+/** The variants to compare. */
 export const VARIANTS: readonly PlacementVariant[] = [
   {...UNGATED, name: 'round robin', policy: 'roundRobin'},
   {...UNGATED, name: 'rendezvous', policy: 'rendezvous'},
@@ -109,22 +109,22 @@
   {...WITH_POINTERS, name: DEFAULT_VARIANT, policy: 'holdAndTake', take: true},
   {
     ...WITH_POINTERS,
-    name: 'the same, moving caches',
+    name: 'hold and take, moving caches',
     policy: 'holdAndTake',
     take: true,
     moveCache: true,
   },
-  {...UNGATED, name: 'knows all: warmest', policy: 'warmest', exact: true},
+  {...UNGATED, name: 'oracle: warmest', policy: 'warmest', exact: true},
   {
     ...GATED,
-    name: 'knows all: within the bound',
+    name: 'oracle: within the bound',
     policy: 'warmest',
     take: true,
     exact: true,
   },
 ];
 
-/** Heads of the figures of {@link summarize}. */
+/** Column headings for {@link summarize}. */
 export const COLUMNS = [
   'policy',
   'reuse % tokens',
@@ -142,9 +142,9 @@
 ] as const;
 
 /**
- * @param variant what was measured
- * @param result its run
- * @returns the row for {@link COLUMNS}
+ * @param variant the simulated variant
+ * @param result its result
+ * @returns the cells under {@link COLUMNS}
  */
 export function summarize(
   variant: PlacementVariant,
@@ -193,19 +193,19 @@
   };
 }
 
-/** Each user's settings on both deployments, floors as in the deployment. */
+/** Each user's bound and weight; the floor stays that of the deployment. */
 const WEIGHTS = [
   {name: 'skew first (Gutscheinwerk)', loadBound: 1.5, reuseWeight: 0.3},
   {name: 'reuse first (Sigurðsson & Synir)', loadBound: 2, reuseWeight: 0.9},
 ] as const;
 
-/** Shows that each user's settings win that user's own measure. */
+/** Shows that each user's settings do best on that user's priority. */
 function measureWeights(
   deployments: readonly Deployment[],
   hasher: KeyHasher,
 ): MeasureSection {
   const variant = VARIANTS.find(({name}) => name === DEFAULT_VARIANT);
-  if (!variant) throw new Error(`no variant is named ${DEFAULT_VARIANT}`);
+  if (!variant) throw new Error(`unknown variant: ${DEFAULT_VARIANT}`);
   const rows = deployments.flatMap(({title, settings, arrivals}) =>
     WEIGHTS.map(({name, ...weights}) => {
       const pool = {...settings.pool, ...weights};
@@ -225,7 +225,7 @@
   };
 }
 
-/** @returns one table for each user, and one of their weights */
+/** @returns a table for each user, and one that exchanges their weights */
 export async function measurePlacement(): Promise<MeasureSection[]> {
   const hasher = await loadKeyHasher();
   const deployments = [
--- a/packages/lovagepond-measure/src/placement_oracle.ts
+++ b/packages/lovagepond-measure/src/placement_oracle.ts
@@ -1,5 +1,5 @@
 /**
- * The all-knowing reference: it sees every cache and every load as they are.
+ * The oracle baseline: a policy that reads the actual caches and loads.
  */
 import {
   type Placement,
@@ -11,11 +11,11 @@
 
 const CANDIDATES = 4;
 
-/** Goes to the server that holds most of the chat, then to the idlest. */
+/** Prefers the server that caches most of the chat, then the least loaded. */
 export class OraclePolicy implements PlacementPolicy {
   readonly #engineOf: (server: string) => SimulatedEngine | undefined;
 
-  /** @param engineOf looks into any server of the run */
+  /** @param engineOf returns the engine of a server */
   constructor(engineOf: (server: string) => SimulatedEngine | undefined) {
     this.#engineOf = engineOf;
   }
@@ -33,7 +33,7 @@
     states.sort((a, b) => b.cached - a.cached || a.load - b.load);
     const candidates = states.slice(0, CANDIDATES).map(({server}) => server);
     const [first] = candidates;
-    if (!first) throw new Error('the reference was given no server');
+    if (!first) throw new Error('the oracle was given no server');
     return {candidates, firstChoice: first};
   }
 }
--- a/packages/lovagepond-measure/src/placement_outcomes.ts
+++ b/packages/lovagepond-measure/src/placement_outcomes.ts
@@ -1,13 +1,13 @@
 /**
- * Counts what became of requests and how loads were spread.
+ * Metrics of the placement simulation: request outcomes and load skew.
  */
 import {Distribution, percentOf} from './measure_statistics.js';
 import {type Arrival} from './placement_workload.js';
 
-/** A context found to this share counts as warm. */
+/** A context cached to at least this share counts as warm. */
 const WARM_SHARE = 0.8;
 
-/** Counters of one run. */
+/** Request counters of one simulation. */
 export class PlacementOutcomes {
   readonly firstTokenMs = new Distribution(0.1);
   readonly hops = new Distribution(0.01);
@@ -23,31 +23,31 @@
 
   readonly #warmUpMs: number;
 
-  /** @param warmUpMs requests that came before this time are not counted */
+  /** @param warmUpMs requests that arrive earlier aren't counted */
   constructor(warmUpMs: number) {
     this.#warmUpMs = warmUpMs;
   }
 
-  /** A request came. */
+  /** Records an arrival. */
   arrived(arrival: Arrival): void {
     if (this.#counts(arrival)) this.#arrivals++;
   }
 
-  /** It got its final answer without having run. */
+  /** Records a final refusal; the request has not run. */
   refused(arrival: Arrival): void {
     if (this.#counts(arrival)) this.#refused++;
   }
 
-  /** Its server went away in the middle of the answer. */
+  /** Records an answer cut off by a crash. */
   failed(arrival: Arrival): void {
     if (this.#counts(arrival)) this.#failed++;
   }
 
   /**
    * @param arrival the request
-   * @param cachedTokens what was warm of its prompt
+   * @param cachedTokens prompt tokens found in the cache
    * @param now virtual time
-   * @param attempts how many attempts it took
+   * @param attempts number of attempts
    */
   firstToken(
     arrival: Arrival,
@@ -66,39 +66,39 @@
     if (cachedTokens >= WARM_SHARE * contextTokens) this.#warmReturns++;
   }
 
-  /** The answer is whole. */
+  /** Records a complete answer. */
   done(arrival: Arrival, now: number): void {
     if (!this.#counts(arrival)) return;
     this.#done++;
     if (now - arrival.at > arrival.deadlineMs) this.#late++;
   }
 
-  /** @returns requests that came */
+  /** @returns counted requests */
   get arrivals(): number {
     return this.#arrivals;
   }
 
-  /** @returns tokens of earlier context that were found warm, percent */
+  /** @returns share of earlier context found in caches, percent of tokens */
   get reuseOfTokens(): number {
     return percentOf(this.#cachedTokens, this.#contextTokens);
   }
 
-  /** @returns returning requests that found their context, percent */
+  /** @returns share of returning requests with a warm context, percent */
   get reuseOfReturns(): number {
     return percentOf(this.#warmReturns, this.#returns);
   }
 
-  /** @returns refused requests, percent of all */
+  /** @returns share of requests refused, percent */
   get refusedShare(): number {
     return percentOf(this.#refused, this.#arrivals);
   }
 
-  /** @returns answers that came after their deadline, percent of all */
+  /** @returns share of requests answered after their deadline, percent */
   get lateShare(): number {
     return percentOf(this.#late, this.#arrivals);
   }
 
-  /** @returns answers cut by a crash, percent of all */
+  /** @returns share of requests cut off by a crash, percent */
   get failedShare(): number {
     return percentOf(this.#failed, this.#arrivals);
   }
@@ -114,8 +114,8 @@
 }
 
 /**
- * Skew at every instant: the busiest engine over the mean, each value weighed
- * by the time for which it stood. A mean below the floor counts as the floor.
+ * Load skew, the busiest engine over the mean, weighted by duration. A mean
+ * below the floor counts as the floor.
  */
 export class SkewSampler {
   readonly ratios = new Distribution(0.001);
@@ -129,9 +129,9 @@
   #totalMs = 0;
 
   /**
-   * @param floorTokens load of one engine that is never too much
-   * @param loadBound the set multiple of the mean
-   * @param warmUpMs time from which on skew counts
+   * @param floorTokens load of one engine that is always allowed
+   * @param loadBound allowed multiple of the mean
+   * @param warmUpMs end of the warm-up
    */
   constructor(floorTokens: number, loadBound: number, warmUpMs: number) {
     this.#floorMean = floorTokens / loadBound;
@@ -140,7 +140,7 @@
   }
 
   /**
-   * @param loads tokens at each ready engine from now on
+   * @param loads tokens at each ready engine as of now
    * @param now virtual time
    */
   change(loads: readonly number[], now: number): void {
@@ -157,12 +157,12 @@
     if (this.#ratio > this.#max) this.#max = this.#ratio;
   }
 
-  /** @returns the largest ratio, exact */
+  /** @returns the exact largest ratio */
   get max(): number {
     return this.#max;
   }
 
-  /** @returns share of the time over the bound, percent */
+  /** @returns share of time over the bound, percent */
   get overShare(): number {
     return percentOf(this.#overMs, this.#totalMs);
   }
--- a/packages/lovagepond-measure/src/placement_scale_measure.ts
+++ b/packages/lovagepond-measure/src/placement_scale_measure.ts
@@ -1,6 +1,6 @@
 /**
- * The chosen policy at the size of the users' letter: 640 replicas, hundreds
- * of routers that each see a sliver of the traffic.
+ * The default policy at the size that the users require: 640 replicas, and
+ * hundreds of routers that each see a small share of the traffic.
  */
 import {loadKeyHasher} from '@lovagepond/router';
 import {roundTo} from './measure_statistics.js';
@@ -21,10 +21,10 @@
 const ROUTERS = 370;
 const END_MS = 75_000;
 const WARM_UP_MS = 50_000;
-/** Kiosks and chats of a deployment of six engines, times this. */
+/** Multiple of the workload of a deployment of six engines. */
 const SCALE = SERVERS / 6;
 
-/** @returns one table at the letter's size */
+/** @returns one table at the required size */
 export async function measurePlacementScale(): Promise<MeasureSection[]> {
   const hasher = await loadKeyHasher();
   const arrivals = makeKioskArrivals({endMs: END_MS, scale: SCALE}, SEED);
@@ -50,17 +50,17 @@
   const perSecond = Math.round(arrivals.length / (END_MS / 1000));
   return [
     {
-      title: `A wake at ${SERVERS} servers and ${ROUTERS} routers`,
+      title: `Resuming kiosks at ${SERVERS} servers and ${ROUTERS} routers`,
       columns: [...COLUMNS, 'run s'],
       rows,
       notes: [
         `seed ${SEED}; npm run measure -- placement-scale`,
         `${arrivals.length} requests in ${END_MS / 1000} s of virtual time ` +
-          `(${perSecond}/s; the letter's peak is 4,300/s), measured from ` +
-          `${WARM_UP_MS / 1000} s on, over the wake at 60 s`,
+          `(${perSecond}/s; the required peak is 4,300/s), measured from ` +
+          `${WARM_UP_MS / 1000} s on, over the resumption at 60 s`,
         'scaled: minutes in place of days; a server replaced every 20 s, ' +
-          'where the letter has one in 11 minutes; skew sampled every 50 ms; ' +
-          'no reference that knows all (its cost grows with the square)',
+          'where the users expect one in 11 minutes; skew sampled every 50 ms; ' +
+          'no oracle (its cost grows with the square)',
       ],
     },
   ];
--- a/packages/lovagepond-measure/src/placement_simulation.ts
+++ b/packages/lovagepond-measure/src/placement_simulation.ts
@@ -1,6 +1,6 @@
 /**
- * One run: routers, backend servers and a stand-in for control in virtual
- * time.
+ * Discrete-event simulation of placement: routers, backend servers and a stub
+ * of control.
  */
 import {encodeLoad, Random} from '@lovagepond/core';
 import {lovagepond} from '@lovagepond/protocol';
@@ -29,34 +29,34 @@
 const ANNOUNCE_INTERVAL_MS = 1_000;
 const DIGEST_INTERVAL_MS = 1_000;
 const DRAIN_LIMIT_MS = 15_000;
-/** Up to so many servers, skew is looked at on each change of a load. */
+/** Up to this many servers, skew is sampled on each change of a load. */
 const SAMPLE_EACH_CHANGE_UP_TO = 64;
 const SAMPLE_INTERVAL_MS = 50;
-/** HTTP/2 frame head and gRPC message head. */
+/** HTTP/2 frame header and gRPC message prefix. */
 const FRAME_BYTES = 14;
-/** A member's name, labels, address and state on the wire. */
+/** Encoded size of a member's name, labels, address and state. */
 const MEMBER_BYTES = 120;
-/** Keeps the draws of churn the same for every variant. */
+/** Separates the seed of churn, so that churn is equal for all variants. */
 const CHURN_SEED_STEP = 7_919;
 const CACHE_MOVE_TOKENS_PER_SECOND = 40_000;
 
-/** What a server announced last. */
+/** The last announcement of a server. */
 interface LastAnnouncement {
   readonly runningTokens: number;
   readonly queuedTokens: number;
   readonly at: number;
 }
 
-/** The figures of one run. */
+/** The results of one simulation. */
 export interface PlacementResult {
   readonly outcomes: PlacementOutcomes;
   readonly skew: SkewSampler;
-  /** For each router. */
+  /** Mean over the routers. */
   readonly controlBytesPerSecond: number;
   readonly events: number;
 }
 
-/** The run. */
+/** One simulation. */
 export class PlacementSimulation implements SimulatedServerDependencies {
   readonly time = new VirtualTime();
   readonly settings: PlacementSimulationSettings;
@@ -71,8 +71,8 @@
   readonly #routers: SimulatedRouter[];
   #slots = 0;
   /**
-   * A server that leaves the list keeps its last byte: read as idle by routers
-   * that still list it, it would draw all of their requests.
+   * A delisted server keeps its last byte. Cleared, it would look idle to
+   * routers that still list the server and attract all of their requests.
    */
   #digest = new Uint8Array(0);
   #controlBytes = 0;
@@ -108,8 +108,8 @@
   }
 
   /**
-   * @param arrivals requests in order of time; each comes to any router
-   * @returns the figures
+   * @param arrivals requests by time; each goes to a random router
+   * @returns the results
    */
   run(arrivals: readonly Arrival[]): PlacementResult {
     const {servers, endMs} = this.settings;
@@ -137,7 +137,7 @@
     return this.#servers.get(name);
   }
 
-  /** @returns the servers that control counts as ready */
+  /** @returns the servers listed as ready */
   get ready(): readonly SimulatedServer[] {
     return [...this.#ready];
   }
@@ -147,19 +147,19 @@
     if (this.variant.exact && this.variant.gated) this.#scheduleRefresh();
   }
 
-  /** A new server under a new name comes up and joins the list. */
+  /** Starts a server under a new name and lists it. */
   join(): void {
     this.#addServer();
     this.#publishList();
   }
 
-  /** @param server loses its process at once */
+  /** @param server crashes and is delisted */
   crash(server: SimulatedServer): void {
     server.crash();
     this.delist(server);
   }
 
-  /** @param server finishes what it has and gets nothing new */
+  /** @param server is delisted and finishes its requests */
   drain(server: SimulatedServer): void {
     this.delist(server);
     if (this.variant.moveCache) this.#moveCaches(server);
@@ -169,14 +169,14 @@
     });
   }
 
-  /** @param server is no longer on control's list */
+  /** @param server is removed from control's list */
   delist(server: SimulatedServer): void {
     this.#ready.delete(server);
     this.#announced.delete(server);
     this.#publishList();
   }
 
-  /** @param server is on control's list again */
+  /** @param server is put back on control's list */
   relist(server: SimulatedServer): void {
     if (!server.alive || server.gate.draining) return;
     this.#ready.add(server);
@@ -238,7 +238,7 @@
     });
     const {floorTokens} = this.settings;
     const loaded = peers.filter(({tokens}) => tokens > floorTokens);
-    // The live servers' bytes travel: control reuses the slots of those gone.
+    // Only live servers count for traffic: control reuses free slots.
     const live = loads.subarray(0, this.#ready.size);
     const load = {membership_version: 1, loads: live, age_ms: 500};
     const {length} = lovagepond.v1.ControlUpdate.encode({load}).finish();
@@ -254,7 +254,7 @@
     });
   }
 
-  /** Each router learns of the list's change at its own time. */
+  /** Sends the list to each router with a random delay. */
   #publishList(): void {
     const {maxListLagMs} = this.settings;
     this.#controlBytes += MEMBER_BYTES * this.#routers.length;
@@ -283,7 +283,7 @@
     });
   }
 
-  /** The all-knowing reference: every gate knows the mean of this moment. */
+  /** For exact variants: gives every gate the current mean. */
   #refreshExact(): void {
     const servers = [...this.#ready].filter(server => server.alive);
     const {now} = this.time;
@@ -308,7 +308,7 @@
     });
   }
 
-  /** Brings the most recent chats to where they will land next, in order. */
+  /** Moves the caches of recent chats, newest first, to their next servers. */
   #moveCaches(leaving: SimulatedServer): void {
     const router = this.#routers[0];
     if (!router) return;
--- a/packages/lovagepond-measure/src/placement_simulation_types.ts
+++ b/packages/lovagepond-measure/src/placement_simulation_types.ts
@@ -1,46 +1,46 @@
 /**
- * What a run is made of: the variant that is measured, the deployment, and
- * what its parts pass to each other.
+ * Types of the placement simulation: variants, settings, and the interface
+ * between routers and servers.
  */
 import {type ErrorKind} from '@lovagepond/core';
 import {type PlacementSettings} from '@lovagepond/router';
 import {type Arrival} from './placement_workload.js';
 import {type SimulatedEngineSettings} from './simulated_engine.js';
 
-/** One way to serve, measured beside others. */
+/** A placement policy with the mechanisms that support it. */
 export interface PlacementVariant {
   readonly name: string;
-  /** A policy of the table, or the reference that knows all. */
+  /** Name of a production policy, or of the oracle. */
   readonly policy: string;
-  /** Sidecars enforce the bound and hold what doesn't fit. */
+  /** Sidecars enforce the load bound and queue excess requests. */
   readonly gated: boolean;
-  /** Chats served elsewhere leave pointers. */
+  /** A chat served elsewhere leaves a pointer at its first choice. */
   readonly pointers: boolean;
-  /** Sidecars with room take held requests. */
+  /** Sidecars with free capacity take queued requests from others. */
   readonly take: boolean;
-  /** A planned leave moves the warmest chats' KV caches. */
+  /** A draining server's most recent KV caches are moved. */
   readonly moveCache: boolean;
-  /** Lists, loads and caches are known at once and exactly. */
+  /** Lists, loads and caches are known exactly and without delay. */
   readonly exact: boolean;
 }
 
-/** The deployment and what is wrong with it. */
+/** The deployment and its churn. */
 export interface PlacementSimulationSettings {
   readonly seed: number;
   readonly endMs: number;
-  /** What comes or lasts before this time is not counted. */
+  /** End of the warm-up; earlier requests and loads aren't counted. */
   readonly warmUpMs: number;
   readonly servers: number;
   readonly routers: number;
   readonly engine: SimulatedEngineSettings;
-  /** Load of an engine that counts as no skew, tokens. */
+  /** Load of an engine below which skew doesn't matter, tokens. */
   readonly floorTokens: number;
   readonly pool: PlacementSettings;
   /** Time between two replacements of a server; 0 means none. */
   readonly replaceEveryMs: number;
-  /** Time between two servers that control loses for seconds; 0 means none. */
+  /** Time between two temporary delistings of a server; 0 means none. */
   readonly flapEveryMs: number;
-  /** Most time until a router learns of a change of the list. */
+  /** Longest delay of a list change on its way to a router. */
   readonly maxListLagMs: number;
 }
 
@@ -61,7 +61,7 @@
   refused(attempt: Attempt, kind: ErrorKind, pointer: string): void;
   firstToken(attempt: Attempt, cachedTokens: number): void;
   done(attempt: Attempt): void;
-  /** The server went away with the attempt. */
+  /** The server crashed during the attempt. */
   lost(attempt: Attempt): void;
   /** A frame stated the server's load. */
   observed(backendServer: string, tokens: number): void;
@@ -69,7 +69,7 @@
 
 /**
  * @param arrival a request
- * @returns prompt and answer, the work that load counts
+ * @returns prompt and answer tokens, the unit of load
  */
 export function workOfArrival(arrival: Arrival): number {
   return arrival.promptTokens + arrival.answerTokens;
@@ -77,11 +77,11 @@
 
 /**
  * @param arrival a request
- * @returns the key of its chat in an engine's cache
+ * @returns the key of its chat in an engine's prefix cache
  */
 export function chatKeyOf(arrival: Arrival): string {
   return `${arrival.workspace}\u0000${arrival.chat}`;
 }
 
-/** One way between two processes, milliseconds. */
+/** One-way latency between two processes, milliseconds. */
 export const HOP_MS = 1;
--- a/packages/lovagepond-measure/src/placement_workload.ts
+++ b/packages/lovagepond-measure/src/placement_workload.ts
@@ -1,28 +1,28 @@
 /**
- * Seeded arrivals of both users' deployments.
+ * Workload generators: seeded arrivals for both users' deployments.
  */
 import {Random} from '@lovagepond/core';
 
 /** One request of a chat. */
 export interface Arrival {
   readonly id: string;
-  /** Virtual milliseconds. */
+  /** Arrival time, virtual milliseconds. */
   readonly at: number;
   readonly workspace: string;
   readonly chat: string;
   readonly promptTokens: number;
-  /** Leading prompt tokens that the chat's earlier turns can have left. */
+  /** Leading prompt tokens that earlier turns may have left in a cache. */
   readonly contextTokens: number;
   readonly answerTokens: number;
-  /** Time the caller waits for the whole answer, milliseconds. */
+  /** Deadline for the whole answer, milliseconds after arrival. */
   readonly deadlineMs: number;
 }
 
-/** Mostly three large workspaces of ten. */
+/** Three of the ten workspaces send most of the traffic. */
 const WORKSPACE_WEIGHTS = [40, 20, 12, 6, 5, 5, 4, 3, 3, 2] as const;
 const WEIGHT_TOTAL = WORKSPACE_WEIGHTS.reduce((sum, weight) => sum + weight, 0);
 
-/** Sizes and pauses of one kind of chat. */
+/** Sizes and deadline of one kind of chat. */
 interface ChatKind {
   readonly prefix: string;
   readonly firstContext: () => number;
@@ -31,7 +31,7 @@
   readonly deadlineMs: number;
 }
 
-/** Makes the turns of chats, each with its growing context. */
+/** Generates the turns of chats; the context grows with each turn. */
 class ChatGenerator {
   readonly arrivals: Arrival[] = [];
   readonly random: Random;
@@ -54,7 +54,7 @@
   /**
    * @param kind the kind of chat
    * @param workspace its workspace
-   * @param number tells the chat from others of its kind
+   * @param number identifies the chat within its kind
    * @param times virtual time of each turn
    */
   addChat(
@@ -101,7 +101,7 @@
   return times;
 }
 
-/** Chats that start one by one all the time. */
+/** Adds chats that start as a Poisson process. */
 function addSteadyChats(
   generator: ChatGenerator,
   kind: ChatKind,
@@ -116,10 +116,10 @@
   }
 }
 
-/** How large a run is. */
+/** Duration and scale of a workload. */
 export interface WorkloadSize {
   readonly endMs: number;
-  /** Times the load of a deployment of six engines. */
+  /** Multiple of the load of a deployment of six engines. */
   readonly scale: number;
 }
 
@@ -131,7 +131,7 @@
 const RESUME_DELAY_MS = 1_500;
 const KIOSK_TURNS_BEFORE_RESET = 8;
 
-/** One kiosk's wakes; it starts a new chat after some turns. */
+/** Adds one kiosk's turns; the kiosk starts a new chat after some turns. */
 function addKiosk(
   generator: ChatGenerator,
   kiosk: number,
@@ -163,12 +163,12 @@
 }
 
 /**
- * The hourly wake, an hour shortened to a minute: thousands of kiosks resume
- * their chats within seconds, beside a few shoppers who chat all the time.
+ * Kiosks that resume hourly, an hour shortened to a minute: thousands of them
+ * continue their chats within seconds, beside a steady rate of shoppers.
  *
- * @param size length and scale
- * @param seed of all draws
- * @returns the arrivals in order of time
+ * @param size duration and scale
+ * @param seed random seed
+ * @returns the arrivals by time
  */
 export function makeKioskArrivals(size: WorkloadSize, seed: number): Arrival[] {
   const generator = new ChatGenerator(seed);
@@ -198,11 +198,11 @@
 
 /**
  * Storms: many long report chats start together and return within seconds to
- * minutes, beside a few that go on all the time.
+ * minutes, beside a low steady rate of such chats.
  *
- * @param size length and scale
- * @param seed of all draws
- * @returns the arrivals in order of time
+ * @param size duration and scale
+ * @param seed random seed
+ * @returns the arrivals by time
  */
 export function makeStormArrivals(size: WorkloadSize, seed: number): Arrival[] {
   const generator = new ChatGenerator(seed);
--- a/packages/lovagepond-measure/src/simulated_engine.ts
+++ b/packages/lovagepond-measure/src/simulated_engine.ts
@@ -1,37 +1,36 @@
 /**
- * A stand-in for a model engine in virtual time: one prefill after the other,
- * decoding shared by all streams, a prefix cache that forgets the least
- * recently used chat.
+ * A simulated model engine: serial prefill, decoding shared by all streams, and
+ * a prefix cache with LRU eviction by chat.
  */
 import {MinHeap} from './virtual_time.js';
 
 const MS_PER_SECOND = 1000;
 
-/** What the engine can do. */
+/** Speed and capacity of an engine. */
 export interface SimulatedEngineSettings {
   readonly prefillTokensPerSecond: number;
-  /** Over all streams. */
+  /** Total over all streams. */
   readonly decodeTokensPerSecond: number;
-  /** Most that one stream gets. */
+  /** Limit of one stream. */
   readonly streamTokensPerSecond: number;
-  /** Running tokens at most; what comes beyond waits inside the engine. */
+  /** Limit of running tokens; further requests queue in the engine. */
   readonly capacityTokens: number;
   /** Tokens of idle chats that stay cached. */
   readonly cacheTokens: number;
 }
 
-/** One request in the engine. */
+/** One request at the engine. */
 export interface EngineRun {
   readonly id: string;
   /** Key of its chat in the prefix cache. */
   readonly chatKey: string;
   readonly promptTokens: number;
-  /** Leading tokens of the prompt that an earlier turn can have left. */
+  /** Leading prompt tokens that earlier turns may have left in the cache. */
   readonly contextTokens: number;
   readonly answerTokens: number;
 }
 
-/** What happened to a run. */
+/** Progress of a run. */
 export interface EngineEvent {
   readonly kind: 'firstToken' | 'done';
   readonly run: EngineRun;
@@ -53,7 +52,7 @@
   return run.promptTokens + run.answerTokens;
 }
 
-/** Chats kept by recent use, within a bound of tokens. */
+/** An LRU cache of chats, bounded by tokens. */
 export class PrefixCache {
   readonly #limit: number;
   readonly #chats = new Map<string, number>();
@@ -63,17 +62,17 @@
     this.#limit = limitTokens;
   }
 
-  /** @returns cached tokens of the chat, without counting as a use */
+  /** @returns cached tokens of the chat; doesn't count as a use */
   peek(chatKey: string): number {
     return this.#chats.get(chatKey) ?? 0;
   }
 
-  /** @returns chats by recent use, the most recent first */
+  /** @returns the cached chats, most recently used first */
   recentChats(): string[] {
     return [...this.#chats.keys()].reverse();
   }
 
-  /** @returns chats that had to go */
+  /** @returns the evicted chats */
   put(chatKey: string, tokens: number): string[] {
     this.#tokens += tokens - this.peek(chatKey);
     this.#chats.delete(chatKey);
@@ -89,14 +88,14 @@
   }
 }
 
-/** The engine. Time is an argument; events are read by {@link advance}. */
+/** The engine. Callers pass the time and drive it with {@link advance}. */
 export class SimulatedEngine {
   readonly #settings: SimulatedEngineSettings;
   readonly cache: PrefixCache;
   readonly #waiting: ActiveRun[] = [];
   readonly #prefills: Prefill[] = [];
   readonly #decoding = new MinHeap<ActiveRun>();
-  /** Tokens that a stream which was there from the start would have. */
+  /** Tokens that a stream decoded since the start would have received. */
   #decodedPerStream = 0;
   #advancedTo = 0;
   #inCapacity = 0;
@@ -108,7 +107,7 @@
     this.cache = new PrefixCache(settings.cacheTokens);
   }
 
-  /** @returns tokens handed to the engine and not finished */
+  /** @returns tokens of unfinished runs */
   get loadTokens(): number {
     return this.#loadTokens;
   }
@@ -120,14 +119,14 @@
     return evicted;
   }
 
-  /** @param run handed over now */
+  /** @param run starts or queues now */
   start(run: EngineRun, now: number): void {
     this.#loadTokens += totalTokens(run);
     this.#waiting.push({run, cachedTokens: 0});
     this.#admit(now);
   }
 
-  /** @returns when {@link advance} is needed next; Infinity when idle */
+  /** @returns time of the next event; Infinity when idle */
   nextEventAt(): number {
     const prefillAt = this.#prefills[0]?.readyAt ?? Infinity;
     const rate = this.#ratePerMs();
@@ -136,7 +135,7 @@
     return Math.min(prefillAt, this.#advancedTo + Math.max(0, left) / rate);
   }
 
-  /** @returns what happened up to now */
+  /** @returns the events up to now */
   advance(now: number): EngineEvent[] {
     const events: EngineEvent[] = [];
     while (this.nextEventAt() <= now) {
--- a/packages/lovagepond-measure/src/simulated_router.ts
+++ b/packages/lovagepond-measure/src/simulated_router.ts
@@ -1,6 +1,6 @@
 /**
- * One router of a run: the real policy and load view, and a short form of the
- * request's way from attempt to attempt.
+ * One router of the placement simulation: the production policy and load view,
+ * with a simplified sequence of attempts.
  */
 import {ERROR_ANSWERS, type ErrorKind, Random} from '@lovagepond/core';
 import {
@@ -30,7 +30,7 @@
   readonly handle: SimulatedServer;
 }
 
-/** A request without its final answer. */
+/** A request without a final outcome. */
 interface PendingRequest {
   readonly arrival: Arrival;
   readonly candidates: readonly ListedServer[];
@@ -41,7 +41,7 @@
   handOvers: number;
 }
 
-/** What a router needs from the rest of the run. */
+/** Dependencies of a router. */
 export interface SimulatedRouterDependencies {
   readonly time: VirtualTime;
   readonly settings: PlacementSimulationSettings;
@@ -49,7 +49,7 @@
   readonly outcomes: PlacementOutcomes;
 }
 
-/** The router. */
+/** A simulated router. */
 export class SimulatedRouter implements AttemptOwner {
   readonly #deps: SimulatedRouterDependencies;
   readonly #policy: PlacementPolicy;
@@ -70,7 +70,7 @@
     this.#random = new Random(seed);
   }
 
-  /** @param servers the list as it reaches this router */
+  /** @param servers the new list */
   setList(servers: readonly SimulatedServer[]): void {
     const since = this.#table ? this.#deps.time.now : Number.NEGATIVE_INFINITY;
     const listed = servers.map(handle => {
@@ -84,8 +84,8 @@
   }
 
   /**
-   * @param loads the digest
-   * @param measuredAt when control put it together
+   * @param loads the load digest
+   * @param measuredAt when control built the digest
    */
   setDigest(loads: Uint8Array, measuredAt: number): void {
     this.#view.applyDigest(loads, measuredAt);
@@ -94,8 +94,8 @@
   /**
    * @param workspace a chat's workspace
    * @param chat the chat
-   * @param leaving a server that is about to go
-   * @returns where the chat lands once that server is gone
+   * @param leaving a server that is about to leave
+   * @returns the chat's home without that server
    */
   homeOf(
     workspace: string,
@@ -108,7 +108,7 @@
     return servers.find(server => server?.name !== leaving)?.handle;
   }
 
-  /** @param arrival a request that reaches this router now */
+  /** @param arrival a request that arrives now */
   dispatch(arrival: Arrival): void {
     const {time, settings, outcomes} = this.#deps;
     outcomes.arrived(arrival);
@@ -201,7 +201,7 @@
       attemptId: `${arrival.id}#${pending.attempts}`,
       arrival,
       firstChoice,
-      // Named again to the first choice, they would lead round in a circle.
+      // Repeated to the first choice, they would create a redirect loop.
       warmCandidates: pending.warmCandidates.filter(
         name => pending.attempts === 1 || name === server.name,
       ),
--- a/packages/lovagepond-measure/src/simulated_server.ts
+++ b/packages/lovagepond-measure/src/simulated_server.ts
@@ -1,6 +1,6 @@
 /**
- * One backend server of a run: the real gate and taker of its sidecar before
- * a stand-in engine.
+ * One backend server of the placement simulation: the production gate and
+ * taker of its sidecar in front of a simulated engine.
  */
 import {Random} from '@lovagepond/core';
 import {
@@ -28,17 +28,17 @@
 const TAKE_RETRY_MS = 100;
 const REVISION = 1;
 
-/** What a server needs from the rest of the run. */
+/** Dependencies of a server. */
 export interface SimulatedServerDependencies {
   readonly time: VirtualTime;
   readonly settings: PlacementSimulationSettings;
   readonly variant: PlacementVariant;
   findServer(name: string): SimulatedServer | undefined;
-  /** The engine's load or its gate's queue has changed. */
+  /** Called after a change of the engine's load or the gate's queue. */
   changed(server: SimulatedServer): void;
 }
 
-/** The server. */
+/** A simulated backend server. */
 export class SimulatedServer {
   readonly name: string;
   readonly slot: number;
@@ -103,26 +103,26 @@
     this.perform(this.gate.offer(offer, time.now));
   }
 
-  /** @param actions what the gate wants done */
+  /** @param actions the gate's decisions */
   perform(actions: readonly GateAction[]): void {
     for (const action of actions) this.#performOne(action);
     this.#scheduleTick();
     if (actions.length > 0) this.#deps.changed(this);
   }
 
-  /** @param peers loads of the others as the digest shows them */
+  /** @param peers loads of other servers from the digest */
   setPeers(peers: readonly PeerLoad[]): void {
     const {floorTokens} = this.#deps.settings;
     this.#peers = peers.filter(({tokens}) => tokens > floorTokens);
     this.scheduleTake(0);
   }
 
-  /** Runs what depends on time alone. */
+  /** Runs the gate's timers. */
   tick(): void {
     if (this.alive) this.perform(this.gate.tick(this.#deps.time.now));
   }
 
-  /** The process is gone with everything in it. */
+  /** Crashes the process and loses all open attempts. */
   crash(): void {
     this.alive = false;
     for (const attempt of this.#openAttempts.values()) {
@@ -132,14 +132,14 @@
     this.#deps.changed(this);
   }
 
-  /** @param limitMs time for what runs and waits here */
+  /** @param limitMs time to finish running and queued requests */
   drain(limitMs: number): void {
     this.perform(this.gate.startDraining(this.#deps.time.now, limitMs));
   }
 
   /**
-   * @param chatKey a chat whose KV cache was brought here
-   * @param tokens its size
+   * @param chatKey a chat whose KV cache was moved here
+   * @param tokens size of the cache
    */
   importCache(chatKey: string, tokens: number): void {
     if (!this.alive || this.engine.cache.peek(chatKey) >= tokens) return;
@@ -147,7 +147,7 @@
     this.#publishCache(chatKey, tokens);
   }
 
-  /** Asks for a held request after a pause, when there is room here. */
+  /** Takes a queued request from a peer after a delay, if there is room. */
   scheduleTake(delayMs: number): void {
     if (!this.#deps.variant.take || this.#takeScheduled) return;
     this.#takeScheduled = true;
@@ -192,7 +192,7 @@
     this.#scheduleEngine();
   }
 
-  /** Plans the next event of the engine. */
+  /** Schedules the next event of the engine. */
   #scheduleEngine(): void {
     const at = this.engine.nextEventAt();
     if (at === Infinity || at === this.#engineEventAt) return;
@@ -232,7 +232,7 @@
     this.scheduleTake(0);
   }
 
-  /** The engine's cache events come late, and some never. */
+  /** Publishes a cache event, which is delayed and may be lost. */
   #publishCache(chatKey: string, tokens: number): void {
     const sequence = this.#cacheSequence++;
     const {time, variant} = this.#deps;
