--- a/packages/lovagepond-measure/src/__tests__/unit/gateway_simulation.test.ts
+++ b/packages/lovagepond-measure/src/__tests__/unit/gateway_simulation.test.ts
@@ -17,48 +17,48 @@
 const hasher = await loadKeyHasher();
 
 function simulate(
-  overrides: Partial<GatewaySimulationSettings>,
+  changed: Partial<GatewaySimulationSettings>,
 ): GatewaySimulationResult {
   const settings = {
     load: LETTERS,
-    variant: {name: 'as it is'},
+    variant: {name: 'baseline'},
     disturbances: [],
     seed: 5,
     endMs: 12_000,
-    ...overrides,
+    ...changed,
   };
   return new GatewaySimulation(settings, hasher).run();
 }
 
-test('a play repeats exactly by its seed, and another seed differs', () => {
+test('a simulation repeats exactly with its seed and differs with another', () => {
   const disturbances = DISTURBANCE_SCHEDULES['mixed'] ?? [];
   const first = simulate({disturbances});
   expect(simulate({disturbances})).toEqual(first);
   expect(simulate({disturbances, seed: 6})).not.toEqual(first);
 });
 
-test('callers of a fleet that is well are served', () => {
+test('a healthy fleet serves its callers', () => {
   expect(simulate({}).servedPercent).toBeGreaterThan(99);
 });
 
-test('callers notice a fleet without gateways', () => {
+test('callers fail while all gateways are down', () => {
   const restart = {kind: 'restart', atMs: 4_000, downMs: 4_000} as const;
   expect(simulate({disturbances: [restart]}).servedPercent).toBeLessThan(90);
 });
 
-test('without taking contexts over, more is read again', () => {
-  const variant = {name: 'contexts not taken over', noFetch: true};
+test('without context fetches, more is read again', () => {
+  const variant = {name: 'no context fetches', noFetch: true};
   const result = simulate({variant});
   expect(result.fetchedThousands).toBe(0);
   expect(result.rereadThousands).toBeGreaterThan(simulate({}).rereadThousands);
 });
 
-// Each caller's prompt is one of some hundred documents behind a template of its
-// own. When templates and documents were drawn apart, two documents of one name
-// were others by their templates; gateways, which know parts by their names, took
-// them for held. Of 3,000 requests 2.4 million tokens were read for the first time,
-// where all documents together have 1.1 million.
-test('prompts share the documents of their kind, and no more', () => {
+// A prompt is one of some hundred documents behind that document's template.
+// Drawn independently, one document id would stand for several prefixes, and
+// gateways, which identify parts by id, would take uncached ones for cached:
+// 3,000 requests read 2.4 million tokens for the first time, though all
+// documents together have 1.1 million.
+test('first reads are limited to the documents of the workload', () => {
   const documents = LETTERS.kinds.flatMap(({prompt}) => prompt?.shared ?? []);
   const tokens = documents.reduce(
     (sum, {tokens: {mean}, count}) => sum + mean * count,
@@ -70,11 +70,11 @@
   expect(firstThousands).toBeLessThan((1.5 * tokens) / 1_000);
 });
 
-// Engines are replaced one after the other, so prompts are soon held nowhere, and
-// gateways that meet one at the same time don't know of each other yet. Each sends
-// it to another engine unless all know one home for it: 1,864,000 tokens are then
-// read again over these plays, and 1,649,000 with homes.
-test('a prompt that is held nowhere is read at its home', () => {
+// A rolling replacement empties the caches. Gateways that receive a prompt at
+// the same time have no reports of each other yet and choose different engines
+// unless the prompt has a common home: these simulations read 1,864,000 tokens
+// again without homes, and 1,649,000 with them.
+test('a prompt that no engine caches is read at its home', () => {
   const readAgain = (variant: GatewaySimulationSettings['variant']): number => {
     const disturbances = DISTURBANCE_SCHEDULES['release'] ?? [];
     const results = GATEWAY_LOADS.flatMap(load =>
@@ -88,9 +88,9 @@
   expect(readAgain({name: 'in use'})).toBeLessThan(0.9 * withoutHomes);
 });
 
-// Three services in ten work eight times as long for six seconds. With their late
-// answers told apart 99.16 in a hundred callers are answered on time on these days,
-// 98.58 without: their load alone doesn't give them away.
+// Three services in ten take eight times as long for six seconds. The timing of
+// answers raises the share of callers answered on time from 98.58 % to 99.16 %:
+// load alone doesn't identify the slow services.
 test('slow services get less of the work', () => {
   const onTime = (variant: GatewaySimulationSettings['variant']): number => {
     const disturbances = DISTURBANCE_SCHEDULES['slow'] ?? [];
@@ -102,7 +102,7 @@
     const sum = results.reduce((all, one) => all + one.onTimePercent, 0);
     return sum / results.length;
   };
-  const without = onTime({name: 'not told apart', noTiming: true});
+  const without = onTime({name: 'no timing of answers', noTiming: true});
   expect(onTime({name: 'in use'})).toBeGreaterThan(without + 0.2);
 });
 
@@ -110,7 +110,7 @@
   readonly time: VirtualTime;
   readonly statistics: GatewaySimulationStatistics;
   make(memoryTokens?: number): DirectEngine;
-  /** @returns time until the first event of a prompt with this shared part */
+  /** @returns time to the first event of a prompt with this shared part */
   firstMs(engine: DirectEngine, part: string, source?: DirectEngine): number;
 }
 
@@ -130,7 +130,7 @@
     firstMs: (engine, part, source) => {
       const from = time.now;
       let at = Infinity;
-      const request: EngineRequest = {
+      const run: EngineRequest = {
         parts: [
           {id: part, tokens: 1_000},
           {id: `own-${from}`, tokens: 100},
@@ -143,14 +143,14 @@
         onBroken: () => {},
         onRefused: () => {},
       };
-      engine.start(request);
+      engine.start(run);
       time.runUntil(from + 10_000);
       return at - from;
     },
   };
 }
 
-test('an engine reads a shared part once, and takes it over from another', () => {
+test('an engine reads a shared part once, or fetches it from another engine', () => {
   const {make, firstMs, statistics: account} = makeEngineBench();
   const [one, other] = [make(), make()];
   expect(firstMs(one, 'a')).toBeCloseTo(110);
@@ -163,7 +163,7 @@
   });
 });
 
-test('an engine forgets what was used longest ago', () => {
+test('an engine evicts the least recently used part', () => {
   const {make, firstMs} = makeEngineBench();
   const engine = make(2_500);
   for (const part of ['a', 'b', 'c']) firstMs(engine, part);
--- a/packages/lovagepond-measure/src/crash_simulation.ts
+++ b/packages/lovagepond-measure/src/crash_simulation.ts
@@ -1,7 +1,7 @@
 /**
- * A play in virtual time of requests that crash the servers that run them, among
- * others that don't: gateways with the real deciders, servers that come back, callers
- * that repeat, and control with its delays.
+ * Discrete-event simulation of requests that crash the servers that run them,
+ * among harmless ones: gateways with the production quarantine, servers that
+ * restart, callers that retry, and control with its delays.
  */
 import {
   type BackendServer,
@@ -20,7 +20,7 @@
 } from '@lovagepond/router/quarantine';
 import {VirtualTime} from './virtual_time.js';
 
-/** How far what gateways see of crashes goes. */
+/** Users of a gateway's evidence of crashes: none, itself, or all gateways. */
 export const EVIDENCE_SCOPE = {
   NONE: 'none',
   GATEWAY: 'gateway',
@@ -31,34 +31,34 @@
 export type EvidenceScope =
   (typeof EVIDENCE_SCOPE)[keyof typeof EVIDENCE_SCOPE];
 
-/** What happens beside requests that crash servers. */
+/** Disturbances beside the requests that crash servers. */
 export interface CrashDisturbances {
-  /** Mean time between two crashes without a cause in a request, ms. */
+  /** Mean time between two crashes that no request causes, ms. */
   readonly crashEveryMs?: number;
-  /** Share of answers whose connection breaks though the server goes on. */
+  /** Share of answers cut off while the server goes on. */
   readonly lostAnswers?: number;
   /** All servers lose power at this time, ms. */
   readonly powerLossAtMs?: number;
-  /** Servers leave one after the other, so far apart, ms. */
+  /** Time between two planned leaves of a server, ms. */
   readonly leaveEveryMs?: number;
 }
 
-/** One play. */
+/** Settings of one simulation. */
 export interface CrashScenario {
   readonly evidenceScope: EvidenceScope;
-  /** Requests that crash what runs them. */
+  /** Number of requests that crash their server. */
   readonly crashingRequests: number;
   readonly disturbances: CrashDisturbances;
 }
 
-/** What came of it. */
+/** Results of one simulation. */
 export interface CrashOutcome {
-  /** Servers that guilty requests crashed. */
+  /** Servers crashed by requests. */
   readonly crashed: number;
   readonly requests: number;
-  /** Requests that crash nothing and were refused as quarantined. */
+  /** Harmless requests refused by the quarantine. */
   readonly refused: number;
-  /** Requests that crash nothing and were never answered. */
+  /** Harmless requests without an answer. */
   readonly lost: number;
 }
 
@@ -79,7 +79,7 @@
 const REPORT_LOSS = 0.1;
 const MAX_RETRIES = 3;
 const RETRY_DELAY_MS = 500;
-/** Share of requests that all have one of a few contents, such as a status. */
+/** Share of requests with one of a few contents, such as status queries. */
 const FREQUENT_SHARE = 0.1;
 const FREQUENT_CONTENTS = 5;
 const SECOND_ATTEMPT_SHARE = 0.5;
@@ -108,7 +108,7 @@
   readonly watch: GatewayCrashWatch;
 }
 
-/** Runs one play. */
+/** One simulation. */
 export class CrashSimulation {
   readonly #scenario: CrashScenario;
   readonly #random: Random;
@@ -124,8 +124,8 @@
   #lost = 0;
 
   /**
-   * @param scenario what is played
-   * @param random seeded
+   * @param scenario settings
+   * @param random seeded random source
    */
   constructor(scenario: CrashScenario, random: Random) {
     this.#scenario = scenario;
@@ -136,7 +136,7 @@
     }
   }
 
-  /** @returns what came of it */
+  /** @returns the results */
   run(): CrashOutcome {
     const time = this.#time;
     time.every(TICK_MS, TICK_MS, () => {
@@ -146,7 +146,7 @@
       this.#send(this.#drawRequest());
     });
     for (let n = 0; n < this.#scenario.crashingRequests; n += 1) {
-      const fingerprint = toFingerprint(`guilty-${n}`);
+      const fingerprint = toFingerprint(`crashing-${n}`);
       this.#scheduleRandomly(CRASHING_EVERY_MS, CRASHING_FROM_MS, () => {
         this.#send({fingerprint, isCrashing: true, retries: MAX_RETRIES});
       });
--- a/packages/lovagepond-measure/src/direct_servers.ts
+++ b/packages/lovagepond-measure/src/direct_servers.ts
@@ -1,7 +1,7 @@
 /**
- * An engine in virtual time, as gateways meet it: it reads one prompt after the
- * other, generates for all its requests at once, keeps what it has read while
- * its memory lasts, and takes contexts over from other engines.
+ * Simulated engines and plain services that gateways reach without a sidecar.
+ * Engines have serial prefill, parallel decoding and an LRU cache of shared
+ * prompt parts, and fetch contexts from each other.
  */
 import {type PromptPart} from '@lovagepond/gateway/deciders';
 import {type GatewaySimulationStatistics} from './gateway_simulation_statistics.js';
@@ -18,9 +18,9 @@
   readonly source: DirectEngine | undefined;
   onFirst(): void;
   onEnd(): void;
-  /** It fails or the engine ends. */
+  /** Called when the request fails or the engine crashes. */
   onBroken(): void;
-  /** The engine has no room for it. */
+  /** Called when the engine's queue is full. */
   onRefused(): void;
 }
 
@@ -33,29 +33,29 @@
   return run.parts.reduce((sum, {tokens}) => sum + tokens, 0);
 }
 
-/** One engine. */
+/** A simulated engine. */
 export class DirectEngine {
   readonly #profile: EngineProfile;
   readonly #time: VirtualTime;
   readonly #statistics: GatewaySimulationStatistics;
   readonly #running = new Set<EngineRequest>();
   #waiting: QueuedRequest[] = [];
-  /** Shared parts by the ids of all parts up to them; the oldest use first. */
+  /** Tokens of cached shared parts by prefix, least recently used first. */
   readonly #held = new Map<string, number>();
   #heldTokens = 0;
   #runningTokens = 0;
   #readsUntil = 0;
   #isUp = true;
   #lastOrder = 0;
-  /** Part of its requests that it fails. */
+  /** Share of requests that the engine fails. */
   failureShare = 0;
   readonly #draw: () => number;
 
   /**
-   * @param profile what it can do
-   * @param time the play's time
-   * @param statistics where readings are counted
-   * @param draw draws from 0 to 1, for failures
+   * @param profile speed and capacity
+   * @param time virtual clock
+   * @param statistics records the use of shared parts
+   * @param draw returns random numbers from 0 to 1, for failures
    */
   constructor(
     profile: EngineProfile,
@@ -69,7 +69,7 @@
     this.#draw = draw;
   }
 
-  /** Requests that it processes, and those that wait. */
+  /** Numbers of running and queued requests. */
   get load(): {readonly running: number; readonly waiting: number} {
     return {running: this.#running.size, waiting: this.#waiting.length};
   }
@@ -78,7 +78,7 @@
     return this.#isUp;
   }
 
-  /** @returns true when it holds this part behind all before it */
+  /** @returns true when the engine caches this prefix */
   holds(prefix: string): boolean {
     return this.#isUp && this.#held.has(prefix);
   }
@@ -108,7 +108,7 @@
     this.#admit();
   }
 
-  /** It ends at once, with all that it does and holds. */
+  /** Crashes: breaks all requests and loses the cache. */
   crash(): void {
     this.#isUp = false;
     const lost = [...this.#running, ...this.#waiting.map(({run}) => run)];
@@ -163,7 +163,7 @@
     return {unread, fetched};
   }
 
-  /** What has been read stays until what is used later needs its place. */
+  /** Caches the shared parts and evicts the least recently used ones. */
   #storeParts({parts}: EngineRequest): void {
     let prefix = '';
     for (const {id, tokens} of parts.slice(0, -1)) {
@@ -192,7 +192,7 @@
   }
 }
 
-/** A server of plain calls in virtual time: slots, and a queue before them. */
+/** A simulated plain service with parallel slots and a queue. */
 export class DirectService {
   readonly #slots: number;
   readonly #queue: number;
@@ -201,15 +201,15 @@
   readonly #draw: () => number;
   #running = 0;
   failureShare = 0;
-  /** It works so many times as long as it should. */
+  /** Multiple of the usual processing time. */
   slowness = 1;
   #isUp = true;
 
   /**
-   * @param slots calls at once
-   * @param queue calls that wait
-   * @param time the play's time
-   * @param draw draws from 0 to 1, for failures
+   * @param slots limit of running calls
+   * @param queue limit of queued calls
+   * @param time virtual clock
+   * @param draw returns random numbers from 0 to 1, for failures
    */
   constructor(
     slots: number,
@@ -227,14 +227,14 @@
     return {running: this.#running, waiting: this.#waiting.length};
   }
 
-  /** Ends at once. */
+  /** Crashes: calls break from now on. */
   crash(): void {
     this.#isUp = false;
   }
 
   /**
-   * @param workMs how long the call takes
-   * @param usualFailures part of such calls that a sound server fails
+   * @param workMs usual processing time, milliseconds
+   * @param usualFailures share of such calls that a healthy service fails
    * @param onEnd called with the outcome
    */
   start(
--- a/packages/lovagepond-measure/src/gateway_configuration_measure.ts
+++ b/packages/lovagepond-measure/src/gateway_configuration_measure.ts
@@ -1,5 +1,5 @@
 /**
- * What one change of a large configuration costs each gateway.
+ * The cost of one change to a large configuration at a gateway.
  */
 import {
   applyDelta,
@@ -80,10 +80,14 @@
   return ((performance.now() - started) * 1_000) / LOOKUPS;
 }
 
-/** @returns a later configuration in which one rule has another limit */
+/** @returns the next configuration, with one rule's timeout changed */
 function changeOneRule({revision, content}: Configuration): Configuration {
   const [first, ...rest] = content.requestKinds;
-  invariant(first !== undefined, 802, 'no rule to change');
+  invariant(
+    first !== undefined,
+    802,
+    'the configuration has no rule to change',
+  );
   const changed = {...first, forwarding: {...FORWARDING, timeoutMs: 700}};
   const requestKinds = [changed, ...rest];
   return {revision: revision + 1, content: {...content, requestKinds}};
@@ -92,7 +96,11 @@
 function takeDelta(held: Configuration, bytes: Uint8Array): Configuration {
   const delta = decodeDelta(bytes);
   const next = delta && applyDelta(held, delta);
-  invariant(next !== undefined, 803, 'a delta does not apply');
+  invariant(
+    next !== undefined,
+    803,
+    'a delta for the held revision does not apply',
+  );
   return next;
 }
 
@@ -100,7 +108,11 @@
   const configuration = makeConfiguration(rules, new Random(SEED));
   const bytes = encodeConfiguration(configuration);
   const delta = makeDelta(configuration, changeOneRule(configuration));
-  invariant(delta !== undefined, 804, 'a change of one rule has no delta');
+  invariant(
+    delta !== undefined,
+    804,
+    'no delta was made for a change of one rule',
+  );
   const deltaBytes = encodeDelta(delta);
   return [
     rules,
@@ -122,7 +134,7 @@
   ];
 }
 
-/** @returns bytes and processor time by the number of rules */
+/** @returns bytes and processor time, by the number of rules */
 export function measureGatewayConfiguration(): Promise<MeasureSection[]> {
   return Promise.resolve([
     {
@@ -131,8 +143,8 @@
         'rules',
         'bytes of all',
         'bytes of one change',
-        'taking all, ms',
-        'taking one change, ms',
+        'decoding all, ms',
+        'applying one change, ms',
         'building rules, ms',
         'finding a rule, µs',
       ],
--- a/packages/lovagepond-measure/src/gateway_crashes_measure.ts
+++ b/packages/lovagepond-measure/src/gateway_crashes_measure.ts
@@ -1,6 +1,6 @@
 /**
- * What requests that crash servers cost, by how far gateways' knowledge of crashes
- * goes, and what the quarantine costs requests that crash nothing.
+ * Servers lost to requests that crash them, by the scope of crash evidence, and
+ * the cost of the quarantine for other requests.
  */
 import {Random} from '@lovagepond/core';
 import {
@@ -44,7 +44,7 @@
   );
 }
 
-/** @returns servers crashed and requests refused, by troubles and knowledge */
+/** @returns crashes and refusals by disturbances and evidence scope */
 export function measureGatewayCrashes(): Promise<readonly MeasureSection[]> {
   const rows = Object.entries(DISTURBANCES).flatMap(([name, disturbances]) =>
     CRASHING_COUNTS.flatMap(crashingRequests =>
@@ -86,17 +86,17 @@
     {
       title: 'Requests that crash servers',
       columns: [
-        'beside them',
-        'guilty requests',
-        'knowledge of crashes',
+        'disturbances',
+        'crashing requests',
+        'scope of evidence',
         'servers crashed by each',
-        'most in one play',
+        'most in one run',
         'others refused',
         'others lost',
       ],
       rows,
       notes: [
-        `${SEEDS} seeds, 60 s, 12 gateways, 24 servers, ${roundTo(requests, 0)} other requests a play, guilty ones repeated every 0.8 s; npm run measure -- gateway-crashes`,
+        `${SEEDS} seeds, 60 s, 12 gateways, 24 servers, ${roundTo(requests, 0)} other requests a run, crashing ones repeated every 0.8 s; npm run measure -- gateway-crashes`,
       ],
     },
   ]);
--- a/packages/lovagepond-measure/src/gateway_simulation.ts
+++ b/packages/lovagepond-measure/src/gateway_simulation.ts
@@ -1,6 +1,6 @@
 /**
- * A whole play: callers, gateways that tell each other what servers do, servers
- * that come and go, and what goes wrong.
+ * Discrete-event simulation of a fleet of gateways: the workload, reports
+ * between gateways, changes of membership, and disturbances.
  */
 import {
   type BackendServer,
@@ -37,21 +37,21 @@
 const ENGINES = 'engines';
 const SERVICES = 'services';
 
-/** Time until gateways hear of a change of the list, milliseconds. */
+/** Delay of a list change on its way to the gateways, milliseconds. */
 const LIST_LAG_MS = 50;
-/** Time until they hear what another one told. */
+/** Delay of a report until control relays it, milliseconds. */
 const REPORT_LAG_MS = 25;
 const REPORT_INTERVAL_MS = 20;
 
-/** Members of control collect changes of sums so long. */
+/** Interval at which control publishes changed totals, milliseconds. */
 const TOTALS_INTERVAL_MS = 20;
 const TICK_MS = 100;
 
-/** A server that leaves serves so long after it has said so, milliseconds. */
+/** Time between a server's leave and its stop, milliseconds. */
 const DRAIN_MS = 3_000;
-/** A new server is there so long before the old one leaves, milliseconds. */
+/** Time between a replacement's start and the old server's leave. */
 const OVERLAP_MS = 500;
-/** A server that ended without a word stays listed so long, milliseconds. */
+/** Time for which a crashed server stays listed, milliseconds. */
 const LEASE_MS = 6_000;
 
 const MS_PER_SECOND = 1_000;
@@ -65,7 +65,7 @@
   readonly [Kind in Disturbance['kind']]: (event: DisturbanceOf<Kind>) => void;
 };
 
-/** One play from its start to its result. */
+/** One simulation. */
 export class GatewaySimulation {
   readonly #settings: GatewaySimulationSettings;
   readonly #time = new VirtualTime();
@@ -84,8 +84,8 @@
   #hotShare = 0;
 
   /**
-   * @param settings the load, the variant, what goes wrong, and the seed
-   * @param hasher finds homes
+   * @param settings the load, the variant, the disturbances and the seed
+   * @param hasher hashes prompts to their home servers
    */
   constructor(settings: GatewaySimulationSettings, hasher: KeyHasher) {
     this.#settings = settings;
@@ -115,7 +115,7 @@
     );
   }
 
-  /** @returns what callers got */
+  /** @returns the results */
   run(): GatewaySimulationResult {
     const {load, disturbances, endMs} = this.#settings;
     for (let at = 0; at < load.engines.count; at += 1) this.#addEngine();
@@ -205,7 +205,7 @@
     });
   }
 
-  /** @returns engines drawn from those that stay */
+  /** @returns random engines that are up and not leaving */
   #drawEngines(share: number): readonly string[] {
     const staying = this.#table
       .list()
@@ -325,7 +325,7 @@
     }
   }
 
-  /** As a member of control does. */
+  /** Relays a report as a member of control does. */
   #relayReport(sentReport: ReadingReport): void {
     const {now} = this.#time;
     const {variant} = this.#settings;
@@ -377,7 +377,7 @@
     {shared, own}: NonNullable<SimulatedRequestKind['prompt']>,
   ): readonly PromptPart[] {
     const isHot = this.#random.next() < this.#hotShare;
-    // A part follows the same parts in all prompts: servers know it by its id.
+    // A part has the same prefix in all prompts: engines cache it by its id.
     const last = isHot ? 0 : this.#random.below(shared.at(-1)?.count ?? 1);
     const parts = shared.map(({tokens, count}, level) => {
       const number = last % count;
@@ -391,7 +391,7 @@
     return [...parts, ownPart];
   }
 
-  /** Log-normal, by the sum of twelve draws for a normal one. */
+  /** Log-normal; a sum of twelve uniform draws approximates the normal. */
   #drawLength({mean, spread, max}: LengthDistribution): number {
     let normal = -6;
     for (let draw = 0; draw < 12; draw += 1) normal += this.#random.next();
--- a/packages/lovagepond-measure/src/gateway_simulation_loads.ts
+++ b/packages/lovagepond-measure/src/gateway_simulation_loads.ts
@@ -1,5 +1,5 @@
 /**
- * The three deployments that are played, as their users describe them.
+ * The three simulated deployments, after their users' descriptions.
  */
 import {
   type Disturbance,
@@ -9,7 +9,7 @@
 
 const HIGH = 9;
 
-/** A chat of the deployments' usual shape. */
+/** Creates a kind of chat. */
 function chat(
   name: string,
   perSecond: number,
@@ -33,7 +33,7 @@
   };
 }
 
-/** A call of a plain service. */
+/** Creates a kind of call of a plain service. */
 function call(
   name: string,
   perSecond: number,
@@ -199,14 +199,14 @@
   ],
 };
 
-/** The loads by their names. */
+/** All simulated deployments. */
 export const GATEWAY_LOADS: readonly GatewayLoad[] = [
   COUPONS,
   REPORTS,
   LETTERS,
 ];
 
-/** Kinds of days, by what happens on them. */
+/** Disturbances of a simulation, by the name of the day. */
 export const DISTURBANCE_SCHEDULES: Readonly<
   Record<string, readonly Disturbance[]>
 > = {
--- a/packages/lovagepond-measure/src/gateway_simulation_measure.ts
+++ b/packages/lovagepond-measure/src/gateway_simulation_measure.ts
@@ -1,6 +1,6 @@
 /**
- * What the decisions of gateways are worth: each variant on each load and kind
- * of day, over several seeds.
+ * The effect of gateways' decisions: each load under each set of disturbances,
+ * and an ablation of single mechanisms, over several seeds.
  */
 import {type KeyHasher, loadKeyHasher} from '@lovagepond/router';
 import {GatewaySimulation} from './gateway_simulation.js';
@@ -21,28 +21,28 @@
 const SEEDS = 8;
 const END_MS = 34_000;
 
-/** As it is in production. */
-const BASELINE: GatewayVariant = {name: 'as it is'};
+/** The production settings. */
+const BASELINE: GatewayVariant = {name: 'baseline'};
 
 /** One mechanism switched off at a time. */
 const ABLATIONS: readonly GatewayVariant[] = [
   {name: 'no homes', weights: {home: 0}},
-  {name: 'contexts not taken over', noFetch: true},
-  {name: 'readings not told', noReadingReports: true},
-  {name: 'requests not told', noRunningReports: true},
-  {name: 'requests told one by one', individualReports: true},
+  {name: 'no context fetches', noFetch: true},
+  {name: 'no reports of readings', noReadingReports: true},
+  {name: 'no reports of requests', noRunningReports: true},
+  {name: 'requests reported one by one', individualReports: true},
   {name: 'no load in answers', noLoadHeader: true},
-  {name: 'lateness not weighed', weights: {late: 0}},
-  {name: 'requests not weighed', weights: {runningRequestMs: 0}},
+  {name: 'lateness not weighted', weights: {late: 0}},
+  {name: 'requests not weighted', weights: {runningRequestMs: 0}},
   {
     name: 'failures not expected',
     weights: {repeatableFailure: 0, lostFailure: 0},
   },
-  {name: 'late answers not told apart', noTiming: true},
+  {name: 'no timing of answers', noTiming: true},
   {name: 'no load bound', noBound: true},
 ];
 
-/** Means over the seeds, and the spread of one of them. */
+/** Means over the seeds, and the standard deviation of the worth. */
 export interface SeedSummary {
   readonly mean: GatewaySimulationResult;
   readonly worthDeviation: number;
@@ -67,9 +67,9 @@
 }
 
 /**
- * @param settings what is played
- * @param hasher finds homes
- * @param seeds how many, from the first one on
+ * @param settings settings without the seed
+ * @param hasher hashes prompts to their home servers
+ * @param seeds number of seeds, from the first one on
  * @returns means over the seeds
  */
 export function simulateSeeds(
@@ -106,7 +106,7 @@
   'first p50, ms',
   'first p99, ms',
   '1,000 tokens read again',
-  '1,000 tokens taken over',
+  '1,000 tokens fetched',
 ];
 
 function cellsOf({mean, worthDeviation}: SeedSummary): number[] {
@@ -127,7 +127,7 @@
   `seeds ${FIRST_SEED} to ${FIRST_SEED + SEEDS - 1}, ${END_MS / 1_000} s each`,
 ];
 
-/** @returns each load on each kind of day, as it is in production */
+/** @returns each load under each set of disturbances, as in production */
 export async function measureGatewaySimulations(): Promise<MeasureSection[]> {
   const hasher = await loadKeyHasher();
   const rows = GATEWAY_LOADS.flatMap(load =>
@@ -139,7 +139,7 @@
   );
   return [
     {
-      title: 'Gateways by load and kind of day',
+      title: 'Gateways by load and day',
       columns: ['load', 'day', ...COLUMNS],
       rows,
       notes: ['npm run measure -- gateway-plays', ...NOTES],
@@ -147,11 +147,11 @@
   ];
 }
 
-/** @returns each mechanism switched off alone, on the mixed day */
+/** @returns the ablation of single mechanisms, on the mixed day */
 export async function measureGatewayAblation(): Promise<MeasureSection[]> {
   const hasher = await loadKeyHasher();
   return GATEWAY_LOADS.map(load => ({
-    title: `Mechanisms switched off alone: ${load.name}`,
+    title: `Ablation of single mechanisms: ${load.name}`,
     columns: ['variant', ...COLUMNS],
     rows: [BASELINE, ...ABLATIONS].map(variant => [
       variant.name,
--- a/packages/lovagepond-measure/src/gateway_simulation_statistics.ts
+++ b/packages/lovagepond-measure/src/gateway_simulation_statistics.ts
@@ -1,13 +1,13 @@
 /**
- * What callers got, and what it cost, in one play.
+ * Metrics of one gateway simulation: caller outcomes and prefill cost.
  */
 import {type SimulatedRequestKind} from './gateway_simulation_types.js';
 import {Distribution, percentOf} from './measure_statistics.js';
 
-/** Length of the windows of which the worst counts, milliseconds. */
+/** Length of the windows for the worst-case figure, milliseconds. */
 const WINDOW_MS = 2_000;
 
-/** A shared part read again counts within this time of its last use, ms. */
+/** A shared part counts as read again within this time of its last use. */
 const REREAD_WITHIN_MS = 10_000;
 
 interface Window {
@@ -15,7 +15,7 @@
   earnedWorth: number;
 }
 
-/** Counts one play. */
+/** Collects the metrics of one simulation. */
 export class GatewaySimulationStatistics {
   readonly firstMs = new Distribution(0.1);
   #requests = 0;
@@ -30,7 +30,7 @@
   #rereadTokens = 0;
   #fetchedTokens = 0;
 
-  /** A request came. */
+  /** Records the arrival of a request. */
   recordRequest(kind: SimulatedRequestKind, at: number): void {
     this.#requests += 1;
     this.#offeredWorth += kind.worth;
@@ -38,11 +38,11 @@
   }
 
   /**
-   * A request was answered in full.
+   * Records a complete answer.
    *
-   * @param kind its kind
-   * @param at when it came
-   * @param firstMs time until its answer, or the first event of it
+   * @param kind the request's kind
+   * @param at the request's arrival time
+   * @param firstMs time to the answer, or to its first event
    */
   recordAnswer(kind: SimulatedRequestKind, at: number, firstMs: number): void {
     this.#served += 1;
@@ -55,11 +55,11 @@
   }
 
   /**
-   * An engine needs a shared part.
+   * Records the use of a shared prompt part by an engine.
    *
-   * @param id the part with all before it
-   * @param tokens its length
-   * @param how whether the engine holds it, takes it over or reads it
+   * @param id the prefix that ends with the part
+   * @param tokens length of the part
+   * @param how whether the engine held, fetched or read the part
    * @param at virtual time
    */
   recordSharedPart(
@@ -78,12 +78,12 @@
     this.#readParts.add(id);
   }
 
-  /** Engines forgot what they held, all of them: nobody could have kept it. */
+  /** Call when all engines lose their caches: re-reads are then inevitable. */
   clearReadParts(): void {
     this.#readParts.clear();
   }
 
-  /** @returns the figures of the play */
+  /** @returns the results so far */
   result(): GatewaySimulationResult {
     const shares = [...this.#windows.values()]
       .filter(({offeredWorth}) => offeredWorth > 0)
@@ -114,18 +114,18 @@
   }
 }
 
-/** Figures of one play. */
+/** Results of one gateway simulation. */
 export interface GatewaySimulationResult {
   readonly requests: number;
   readonly servedPercent: number;
   readonly onTimePercent: number;
-  /** Of the worth asked for. */
+  /** Share of the worth of all requests. */
   readonly worthPercent: number;
-  /** The same over the two worst windows of two seconds. */
+  /** The mean share over the two worst windows of two seconds. */
   readonly worstPercent: number;
   readonly firstP50Ms: number;
   readonly firstP99Ms: number;
-  /** Shared tokens read though an engine had read them, thousands. */
+  /** Shared tokens that had recently been read before, thousands. */
   readonly rereadThousands: number;
   readonly fetchedThousands: number;
   readonly readThousands: number;
--- a/packages/lovagepond-measure/src/gateway_simulation_types.ts
+++ b/packages/lovagepond-measure/src/gateway_simulation_types.ts
@@ -1,10 +1,10 @@
 /**
- * What a play of gateways is made of: callers, servers, troubles, and the
- * variant of the decisions that is played.
+ * Types of the gateway simulation: workload, servers, disturbances, and the
+ * variant of the decisions under test.
  */
 import {type EngineWeights} from '@lovagepond/gateway/deciders';
 
-/** A length drawn anew for each thing: log-normal around the mean, cut off. */
+/** A log-normal distribution of lengths, capped at `max`. */
 export interface LengthDistribution {
   readonly mean: number;
   /** Standard deviation of the logarithm. */
@@ -12,10 +12,10 @@
   readonly max: number;
 }
 
-/** One part of prompts that several requests share. */
+/** A prompt part that several requests share. */
 export interface SharedPart {
   readonly tokens: LengthDistribution;
-  /** How many of it there are; requests draw one. */
+  /** Number of distinct parts; each request draws one. */
   readonly count: number;
 }
 
@@ -29,10 +29,10 @@
   readonly lateWorth: number;
   /** 0 (lowest) to 9. */
   readonly priority: number;
-  /** The caller's stream can be resumed, or the call may run twice. */
+  /** The stream can be resumed, or the call is idempotent. */
   readonly repeatable: boolean;
   readonly maxAttempts: number;
-  /** The prompt of a chat; absent for a call of a plain service. */
+  /** Lengths of a chat; absent for a call of a plain service. */
   readonly prompt?: {
     readonly shared: readonly SharedPart[];
     readonly own: LengthDistribution;
@@ -40,50 +40,50 @@
   };
   /** Processing time of a call of a plain service, milliseconds. */
   readonly workMs?: LengthDistribution;
-  /** Part of the calls that a service that is well fails. */
+  /** Share of calls that a healthy service fails. */
   readonly failureShare?: number;
 }
 
-/** Engines of one pool. */
+/** Number, speed and capacity of the engines of one pool. */
 export interface EngineProfile {
   readonly count: number;
   readonly slots: number;
   readonly queue: number;
   readonly readTokensPerMs: number;
   readonly memoryTokens: number;
-  /** Tokens of an event of a stream. */
+  /** Tokens per stream event. */
   readonly tokensPerEvent: number;
   readonly stepMs: number;
   readonly stepMsPerRequest: number;
-  /** Time until a prompt begins to be read, or to be taken over. */
+  /** Fixed delay before prefill or a context fetch. */
   readonly firstMs: number;
   readonly fetchTokensPerMs: number;
 }
 
-/** Servers of one pool of plain calls. */
+/** Number and capacity of the plain services of one pool. */
 export interface ServiceProfile {
   readonly count: number;
   readonly slots: number;
   readonly queue: number;
 }
 
-/** Something that goes wrong, or planned work, at a moment of the play. */
+/** An injected fault, a change of load, or maintenance at a given time. */
 export type Disturbance =
-  /** Servers are replaced one after the other; the new one comes first. */
+  /** Rolling replacement of servers; each new one starts first. */
   | {
       readonly kind: 'release';
       readonly atMs: number;
       readonly share: number;
       readonly gapMs: number;
     }
-  /** Servers end at once and others come in their place. */
+  /** Servers crash; replacements start after `forMs`. */
   | {
       readonly kind: 'crash';
       readonly atMs: number;
       readonly share: number;
       readonly forMs: number;
     }
-  /** Servers fail part of their requests. */
+  /** Servers fail a share (`part`) of their requests. */
   | {
       readonly kind: 'failing';
       readonly atMs: number;
@@ -91,7 +91,7 @@
       readonly forMs: number;
       readonly part: number;
     }
-  /** Plain services work so many times as long. */
+  /** Plain services take `times` as long. */
   | {
       readonly kind: 'slow';
       readonly atMs: number;
@@ -99,26 +99,26 @@
       readonly forMs: number;
       readonly times: number;
     }
-  /** More requests, of one kind or of all. */
+  /** All request rates are multiplied by `times`. */
   | {
       readonly kind: 'burst';
       readonly atMs: number;
       readonly forMs: number;
       readonly times: number;
     }
-  /** Part of a kind's requests are about one thing. */
+  /** A share of each kind's requests has the same shared prompt parts. */
   | {
       readonly kind: 'hotKey';
       readonly atMs: number;
       readonly forMs: number;
       readonly share: number;
     }
-  /** Empty servers are added. */
+  /** Engines with empty caches are added. */
   | {readonly kind: 'scaleOut'; readonly atMs: number; readonly share: number}
-  /** All gateways start again and remember nothing. */
+  /** All gateways restart and lose their state. */
   | {readonly kind: 'restart'; readonly atMs: number; readonly downMs: number};
 
-/** A deployment with its callers. */
+/** A deployment with its workload. */
 export interface GatewayLoad {
   readonly name: string;
   readonly gateways: number;
@@ -129,27 +129,27 @@
   readonly kinds: readonly SimulatedRequestKind[];
 }
 
-/** One way to decide, played beside others. */
+/** A variant of the gateways' decisions, for ablation. */
 export interface GatewayVariant {
   readonly name: string;
   readonly weights?: Partial<EngineWeights>;
-  /** Gateways tell each other nothing of what servers read. */
+  /** Gateways don't report which prompts engines have read. */
   readonly noReadingReports?: boolean;
-  /** Gateways tell each other nothing of their requests and outcomes. */
+  /** Gateways don't report their running requests and outcomes. */
   readonly noRunningReports?: boolean;
-  /** Late answers of services count as any other. */
+  /** Late answers of services count as normal successes. */
   readonly noTiming?: boolean;
-  /** Gateways hear each other's requests one by one, not their sums. */
+  /** Gateways receive individual reports in place of totals. */
   readonly individualReports?: boolean;
-  /** Engines read anew what others hold. */
+  /** Engines don't fetch contexts from each other. */
   readonly noFetch?: boolean;
-  /** Answers don't say how loaded their server is. */
+  /** Answers carry no load of their server. */
   readonly noLoadHeader?: boolean;
-  /** No server is excluded for its load. */
+  /** The load bound excludes no server. */
   readonly noBound?: boolean;
 }
 
-/** One play. */
+/** Settings of one simulation. */
 export interface GatewaySimulationSettings {
   readonly load: GatewayLoad;
   readonly variant: GatewayVariant;
--- a/packages/lovagepond-measure/src/gateway_size_measure.ts
+++ b/packages/lovagepond-measure/src/gateway_size_measure.ts
@@ -1,6 +1,6 @@
 /**
- * What gateways lose by knowing less of each other where there are many: the same
- * load for each, from one size to eight times it.
+ * What gateways lose by exchanging less state in larger fleets: the same load
+ * for each gateway, at one, four and eight times the size.
  */
 import {loadKeyHasher} from '@lovagepond/router';
 import {GATEWAY_LOADS} from './gateway_simulation_loads.js';
@@ -17,9 +17,9 @@
 const END_MS = 20_000;
 
 const VARIANTS: readonly GatewayVariant[] = [
-  {name: 'sums'},
+  {name: 'totals'},
   {name: 'one by one', individualReports: true},
-  {name: 'not told', noRunningReports: true},
+  {name: 'no reports', noRunningReports: true},
 ];
 
 function scaleLoad(load: GatewayLoad, scale: number): GatewayLoad {
@@ -36,7 +36,7 @@
   };
 }
 
-/** @returns what callers get by the number of gateways and what they hear */
+/** @returns caller outcomes by the number of gateways and their reports */
 export async function measureGatewaySize(): Promise<readonly MeasureSection[]> {
   const hasher = await loadKeyHasher();
   const [base] = GATEWAY_LOADS;
@@ -57,13 +57,13 @@
   });
   return [
     {
-      title: "Gateways that hear the others' requests",
+      title: "Gateways with reports of the others' requests",
       columns: [
         'gateways',
-        'what they hear',
+        'reports',
         'on time %',
         'first p99, ms',
-        '1,000 tokens read again, by size',
+        '1,000 tokens read again / size',
       ],
       rows,
       notes: [
--- a/packages/lovagepond-measure/src/simulated_gateway.ts
+++ b/packages/lovagepond-measure/src/simulated_gateway.ts
@@ -1,6 +1,6 @@
 /**
- * One gateway of a play: the deciders that run in production, with virtual time
- * in place of connections.
+ * One simulated gateway: the production decision classes, with virtual-time
+ * events in place of connections.
  */
 import {type Pool, type Random} from '@lovagepond/core';
 import {
@@ -29,7 +29,7 @@
 } from './gateway_simulation_types.js';
 import {type VirtualTime} from './virtual_time.js';
 
-/** What callers draw for one request. */
+/** One request of the generated workload. */
 export interface SimulatedRequest {
   readonly kind: SimulatedRequestKind;
   readonly at: number;
@@ -38,13 +38,13 @@
   readonly workMs: number;
 }
 
-/** Servers by their names. */
+/** Finds servers by name. */
 export interface ServerLookup {
   engine(name: string): DirectEngine | undefined;
   service(name: string): DirectService | undefined;
 }
 
-/** What a gateway is made from. */
+/** Dependencies of a gateway. */
 export interface SimulatedGatewayDependencies {
   readonly name: string;
   readonly zone: string;
@@ -57,10 +57,10 @@
   readonly statistics: GatewaySimulationStatistics;
 }
 
-/** One way between a gateway and a server, milliseconds. */
+/** One-way latency between a gateway and a server, milliseconds. */
 const HOP_MS = 0.5;
 
-/** What engines are believed to read before any has been observed. */
+/** Assumed prefill rate before any observation, tokens per millisecond. */
 const INITIAL_PREFILL_RATE = 40;
 
 const RETRY_BUDGET = {
@@ -70,10 +70,10 @@
   retryShares: 16,
 };
 
-/** Time after which a caller that may ask again does so, milliseconds. */
+/** Delay of a caller's retry, milliseconds. */
 const CALLER_RETRY_MS = 300;
 
-/** A gateway. Its memory can be lost as a whole. */
+/** A simulated gateway. */
 export class SimulatedGateway {
   readonly #deps: SimulatedGatewayDependencies;
   fleet = new GatewayFleet();
@@ -82,16 +82,16 @@
   #rate!: PrefillRate;
   #peers = new GatewayPeers();
   #budget = new GatewayRetryBudget(RETRY_BUDGET, this.#peers);
-  /** Callers are refused until then. */
+  /** Requests are refused before this virtual time. */
   readyAt = 0;
 
-  /** @param deps what it works with */
+  /** @param deps its dependencies */
   constructor(deps: SimulatedGatewayDependencies) {
     this.#deps = deps;
     this.restart();
   }
 
-  /** Starts again without a memory. */
+  /** Restarts with empty state. */
   restart(): void {
     const {name, zone, variant, hasher, random} = this.#deps;
     this.fleet = new GatewayFleet();
@@ -109,7 +109,7 @@
     this.#budget = new GatewayRetryBudget(RETRY_BUDGET, this.#peers);
   }
 
-  /** @param req a request that comes now */
+  /** @param req a request that arrives now */
   serve(req: SimulatedRequest): void {
     new SimulatedExchange(req, this.#deps, this).offer();
   }
@@ -127,7 +127,7 @@
   }
 }
 
-/** One request at one gateway, from its arrival to its end. */
+/** One request at one gateway, from arrival to final outcome. */
 class SimulatedExchange {
   readonly #req: SimulatedRequest;
   readonly #deps: SimulatedGatewayDependencies;
@@ -276,7 +276,7 @@
     });
   }
 
-  /** @returns a function that runs once, and says whether it was this time */
+  /** Wraps a callback to run once; false for repeats and stale attempts. */
   #once(run: () => void): () => boolean {
     const attempt = this.#attempt;
     let isOpen = true;
@@ -339,7 +339,7 @@
     else this.#end();
   }
 
-  /** Nothing of it has run: the caller comes back once. */
+  /** Nothing has run, so the caller may retry. */
   #handleRefusal(): void {
     this.#retryAsCaller();
   }
