--- a/packages/lovagepond-measure/src/backend_measure.ts
+++ b/packages/lovagepond-measure/src/backend_measure.ts
@@ -1,5 +1,5 @@
 /**
- * What the sidecar's adapters add to a call of a backend server.
+ * Latency that the sidecar's adapters add to a call of a backend server.
  */
 import {
   DEFAULT_FAKE_ENGINE_SETTINGS,
@@ -175,11 +175,11 @@
   return [
     {
       title: 'Calls of backend servers through the adapters',
-      columns: ['call', 'ms at the median', 'ms at p95'],
+      columns: ['call', 'p50 ms', 'p95 ms'],
       rows,
       notes: [
         `${COMMAND}; ${CALLS} calls each, one after the other, after ` +
-          `${WARM_UP_CALLS} to warm up; fakes in the same process`,
+          `${WARM_UP_CALLS} warm-up calls; fakes in the same process`,
         `engine answers have ${ANSWER_TOKENS} tokens, one a millisecond`,
       ],
     },
--- a/packages/lovagepond-measure/src/caller_measure.ts
+++ b/packages/lovagepond-measure/src/caller_measure.ts
@@ -1,6 +1,6 @@
 /**
- * What callers cost a router: memory for an open stream and for a reader that
- * takes nothing, processor time for each event that is passed on.
+ * Cost of callers at a router: memory per open stream and per stalled reader,
+ * and processor time per relayed event.
  */
 import {connect, createServer, type Socket} from 'node:net';
 import {type AddressInfo} from 'node:net';
@@ -50,7 +50,7 @@
   ].join('\r\n');
 }
 
-/** Lets sockets and timers come to rest, then counts what is reachable. */
+/** Waits for sockets and timers to settle, then measures reachable memory. */
 async function usedBytes(): Promise<number> {
   for (let round = 0; round < 3; round += 1) {
     await new Promise(resolve => setTimeout(resolve, 50));
@@ -75,7 +75,7 @@
   return sockets;
 }
 
-/** A caller front whose answers the measure writes itself. */
+/** A caller server whose answers the benchmark writes directly. */
 class CallerBench {
   readonly sinks: AnswerSink[] = [];
   readonly sockets: Socket[] = [];
@@ -110,7 +110,7 @@
   }
 }
 
-/** Plain TCP pairs: what the measure's own ends and the kernel handles cost. */
+/** Baseline: memory of plain TCP pairs with their kernel handles. */
 async function measurePlainPairs(count: number): Promise<number> {
   const accepted: Socket[] = [];
   const server = createServer(socket => accepted.push(socket));
@@ -134,7 +134,7 @@
   return used / count;
 }
 
-/** Bytes that the process keeps for a reader that takes nothing. */
+/** @returns bytes retained per stalled reader, and bytes accepted for it */
 async function measureSlowReaders(
   count: number,
   offeredBytes: number,
@@ -169,7 +169,7 @@
   const start = process.cpuUsage();
   for (let round = 0; round < RELAY_EVENTS_EACH; round += 1) {
     await Promise.all(writers.map(write => write(event)));
-    // One event for each stream and turn of the loop, as engines' steps come.
+    // One event per stream and turn of the event loop, like engines' steps.
     await new Promise(resolve => setImmediate(resolve));
   }
   return cpuMicros(start) / (RELAY_EVENTS_EACH * writers.length);
@@ -222,7 +222,12 @@
   const much = await measureSlowReaders(SLOW_READERS, 16_000 * KIBIBYTE);
   return {
     title: 'Memory for one caller connection',
-    columns: ['case', 'KiB each', 'KiB offered', 'KiB taken off the producer'],
+    columns: [
+      'case',
+      'KiB each',
+      'KiB offered',
+      'KiB accepted from the producer',
+    ],
     rows: [
       ['plain TCP pair, both ends', kib(plain), 0, 0],
       ['open stream, with its caller', kib(open), 0, 0],
@@ -232,8 +237,8 @@
     notes: [
       COMMAND,
       `${STREAMS} streams, ${SLOW_READERS} slow readers; JS heap and external ` +
-        "memory after collection, callers' ends included, kernel buffers not",
-      'taken off the producer: what also went into the kernel buffers',
+        "memory after collection, with callers' ends, without kernel buffers",
+      'accepted from the producer: includes data in kernel buffers',
     ],
   };
 }
@@ -243,12 +248,12 @@
   const front = await measureRelay();
   const checked = measureEventCheck();
   return {
-    title: 'Processor time for one relayed event',
+    title: 'Processor time per relayed event',
     columns: ['step', 'µs each', 'cores for all 1.5 million events/s'],
     rows: [
       ['plain socket write, both ends', plain],
       ['router: write to the caller, both ends', front],
-      ["sidecar: cut and check an engine's event", checked],
+      ["sidecar: parse and check an engine's event", checked],
     ].map(([step, micros]) => [
       String(step),
       roundTo(Number(micros), 2),
@@ -257,14 +262,14 @@
     notes: [
       COMMAND,
       `${RELAY_STREAMS} streams of ${RELAY_EVENTS_EACH} events, one for each ` +
-        "stream and turn; callers' ends in the same process are counted in",
+        "stream and turn; includes callers' ends in the same process",
       `event of ${makeEvent('request-0', 0).length} bytes; ` +
         `${CHECKED_EVENTS} events checked`,
     ],
   };
 }
 
-/** @returns memory for connections and processor time for events */
+/** @returns memory per connection and processor time per event */
 export async function measureCaller(): Promise<MeasureSection[]> {
   return [await measureMemory(), await measureCpu()];
 }
--- a/packages/lovagepond-measure/src/claim_rate_measure.ts
+++ b/packages/lovagepond-measure/src/claim_rate_measure.ts
@@ -1,6 +1,6 @@
 /**
- * Claims a second against syncs a second, and against what the same disk gives
- * in the same run to a bare append and sync of the same batches.
+ * Claims a second, compared with syncs a second and with the rate of bare
+ * appends and syncs of the same batches on the same disk in the same run.
  */
 import {join} from 'node:path';
 import {startLedgerGroup} from './control_group.js';
@@ -12,7 +12,7 @@
 const GROUP_SIZES = [1, 3] as const;
 const RUN_MS = 1_500;
 const BARE_RUN_MS = 800;
-/** Bytes of one claim in a log file, frame and entry head included. */
+/** Bytes of one claim in a log file, with frame and entry header. */
 const CLAIM_BYTES = 420;
 
 interface ClaimRun {
@@ -85,7 +85,7 @@
   });
 }
 
-/** @returns claims a second by members and claims under way */
+/** @returns claims a second by group size and concurrent claims */
 export async function measureClaimRate(): Promise<MeasureSection> {
   const rows: (string | number)[][] = [];
   for (const size of GROUP_SIZES) rows.push(...(await measureGroup(size)));
@@ -93,7 +93,7 @@
     title: 'Claims a second, and the disk in the same run',
     columns: [
       'members',
-      'under way',
+      'concurrent',
       'claims/s',
       'syncs/s',
       'claims/sync',
@@ -103,7 +103,7 @@
     rows,
     notes: [
       'members share one process, one core and one disk; syncs: the leader',
-      'batched limit: bare append and sync of the same batch, times the batch',
+      'batched limit: rate of bare append and sync of the batch, times its size',
       `each run ${RUN_MS} ms, bare runs before and after ${BARE_RUN_MS} ms`,
     ],
   };
--- a/packages/lovagepond-measure/src/consensus_commit_measure.ts
+++ b/packages/lovagepond-measure/src/consensus_commit_measure.ts
@@ -1,6 +1,6 @@
 /**
- * Commits a second against syncs a second, and against what the same disk
- * gives in the same run to a bare append and sync of the same batches.
+ * Commits a second, compared with syncs a second and with the rate of bare
+ * appends and syncs of the same batches on the same disk in the same run.
  */
 import {
   ConsensusNode,
@@ -20,7 +20,7 @@
 const GROUP_SIZES = [1, 3, 5] as const;
 const CONCURRENCIES = [1, 16, 256] as const;
 const COMMAND_BYTES = 256;
-/** Bytes of a record's head beside the command. */
+/** Bytes of a log record: the command and its header. */
 const RECORD_BYTES = COMMAND_BYTES + 22;
 const RUN_MS = 1_000;
 const BARE_RUN_MS = 500;
@@ -91,7 +91,7 @@
   const at = await findLeader(group);
   const node = group.nodes[at];
   const disk = group.disks[at];
-  if (!node || !disk) throw new Error('the group has no leader');
+  if (!node || !disk) throw new Error('the leader is not in the group');
   const syncsBefore = disk.syncs;
   const started = performance.now();
   const callers = Array.from({length: underWay}, () =>
@@ -108,7 +108,7 @@
   };
 }
 
-/** @returns syncs a second of each of several writers at once */
+/** @returns syncs a second of each of several concurrent writers */
 async function measureBareSyncs(
   folder: string,
   bytes: number,
@@ -148,7 +148,7 @@
   });
 }
 
-/** @returns commits a second by members and proposals under way */
+/** @returns commits a second by group size and concurrent proposals */
 export async function measureCommitRate(): Promise<MeasureSection> {
   const rows: (string | number)[][] = [];
   for (const size of GROUP_SIZES) rows.push(...(await measureGroup(size)));
@@ -156,7 +156,7 @@
     title: 'Commits a second, and the disk in the same run',
     columns: [
       'members',
-      'under way',
+      'concurrent',
       'commits/s',
       'leader syncs/s',
       'commits/sync',
@@ -168,9 +168,9 @@
     rows,
     notes: [
       `commands of ${COMMAND_BYTES} bytes; members share one process and one disk`,
-      'limit: bare append and sync of the same batch, times the batch; all of a',
+      'limit: rate of bare append and sync of the batch, times its size; all of a',
       "group's members sync for each commit, here on one disk",
-      `each run ${RUN_MS} ms after one to warm up, bare runs ${BARE_RUN_MS} ms`,
+      `each run ${RUN_MS} ms after a warm-up run, bare runs ${BARE_RUN_MS} ms`,
     ],
   };
 }
--- a/packages/lovagepond-measure/src/consensus_failover_measure.ts
+++ b/packages/lovagepond-measure/src/consensus_failover_measure.ts
@@ -1,6 +1,6 @@
 /**
- * How long a group is without a leader that can commit, in election timeouts
- * of virtual time.
+ * Time for which a group has no leader that can commit, after a fault of the
+ * leader and after a restart of the whole group, in virtual time.
  */
 import {
   type ConsensusAction,
@@ -22,17 +22,17 @@
 const TICK_MS = 25;
 const SETTLE_TIMEOUTS = 6;
 const MAX_WAIT_TIMEOUTS = 60;
-/** Time from a process's start to its member's, and between first and last. */
+/** Time from a process's start to its member's, and window of the starts. */
 const START_MS = 300;
 const START_WINDOW_MS = 200;
 const TIMINGS = DEFAULT_CONSENSUS_TIMINGS;
 const TIMEOUT = TIMINGS.electionTimeoutMs;
 
-/** How the leader is lost. */
+/** Faults injected at the leader. */
 const LEADER_FAULTS = {
   crash: 'the leader crashes',
-  inboundCut: 'the leader sends and hears nobody',
-  outboundCut: 'the leader hears and reaches nobody',
+  inboundCut: 'messages to the leader are cut',
+  outboundCut: 'messages from the leader are cut',
 } as const;
 
 type LeaderFault = keyof typeof LEADER_FAULTS;
@@ -42,7 +42,7 @@
   readonly core: ConsensusCore;
 }
 
-/** Members of one group over virtual links and disks. */
+/** Simulated members of one group, with simulated links and disks. */
 class FailoverGroup {
   readonly time = new VirtualTime();
   readonly #random: Random;
@@ -67,7 +67,7 @@
     }
   }
 
-  /** @returns the leader that nothing has happened to */
+  /** @returns the leader with a valid lease, except the faulty member */
   findLeader(): Peer | undefined {
     return this.#peers.find(peer => {
       const isWorking = peer !== this.#faulty;
@@ -81,9 +81,10 @@
   }
 
   /**
-   * Stops all members, and starts them again one after the other.
+   * Stops all members and starts them again within a window.
    *
-   * @param fromProcessStart members know when their process was there
+   * @param fromProcessStart counts silence from the start of the process, not
+   *     from that of the member
    */
   restartAll(fromProcessStart: boolean): void {
     const members = this.#peers.map(({member}) => member);
@@ -152,14 +153,14 @@
   }
 }
 
-/** @returns milliseconds until another leader has committed */
+/** @returns milliseconds until another leader has a valid lease */
 function runOnce(size: number, fault: LeaderFault, seed: number): number {
   const random = new Random(seed);
   const group = new FailoverGroup(size, random);
   const settled = TIMEOUT * (SETTLE_TIMEOUTS + random.next());
   group.time.runUntil(settled);
   const leader = group.findLeader();
-  if (!leader) throw new Error(`no leader with seed ${seed}`);
+  if (!leader) throw new Error(`no leader before the fault, seed ${seed}`);
   const faultAt = group.time.now;
   group.injectFault(leader, fault);
   const waitUntil = faultAt + TIMEOUT * MAX_WAIT_TIMEOUTS;
@@ -182,7 +183,7 @@
   ];
 }
 
-/** @returns milliseconds from when all processes are there to a leader */
+/** @returns milliseconds from the last process start to a leader */
 function runRestart(
   size: number,
   fromProcessStart: boolean,
@@ -199,7 +200,7 @@
   return group.time.now - from;
 }
 
-/** @returns time until a group that was stopped as a whole has a leader */
+/** @returns time to a leader after a restart of all members */
 export function measureGroupRestart(): MeasureSection {
   return {
     title: 'All members stop and start: time until one has committed',
@@ -222,17 +223,17 @@
       `milliseconds after the last process started, virtual time; election ` +
         `timeout ${TIMEOUT} ms`,
       `seeds 1 to ${SEEDS}; processes start within ${START_WINDOW_MS} ms and ` +
-        `take ${START_MS} ms until their member is there`,
+        `take ${START_MS} ms until their member starts`,
     ],
   };
 }
 
-/** @returns time without a leader, by group size and kind of loss */
+/** @returns time without a leader, by group size and fault */
 export function measureFailover(): MeasureSection {
   const faults = Object.keys(LEADER_FAULTS) as LeaderFault[];
   return {
     title: 'Failover: time until another leader has committed',
-    columns: ['members', 'what happens', 'mean', 'p50', 'p95', 'max'],
+    columns: ['members', 'fault', 'mean', 'p50', 'p95', 'max'],
     rows: GROUP_SIZES.flatMap(size =>
       faults.map(fault => measureCase(size, fault)),
     ),
--- a/packages/lovagepond-measure/src/consensus_measure.ts
+++ b/packages/lovagepond-measure/src/consensus_measure.ts
@@ -1,5 +1,5 @@
 /**
- * What consensus costs: commits against syncs, failover, snapshots, restarts.
+ * Measurements of consensus: commit rate, failover, snapshots and restarts.
  */
 import {measureCommitRate} from './consensus_commit_measure.js';
 import {
--- a/packages/lovagepond-measure/src/consensus_measure_utils.ts
+++ b/packages/lovagepond-measure/src/consensus_measure_utils.ts
@@ -1,11 +1,11 @@
 /**
- * Parts that the measures of consensus share.
+ * Utilities of the consensus measurements.
  */
 import {type Disk, type DiskFile, NodeDisk} from '@lovagepond/consensus';
 
-/** A folder that counts the syncs of its files. */
+/** A disk that counts the syncs of its files. */
 export class CountingDisk extends NodeDisk implements Disk {
-  /** Syncs since the start. */
+  /** Number of syncs so far. */
   syncs = 0;
 
   override async open(name: string): Promise<DiskFile> {
@@ -30,7 +30,7 @@
 
 /**
  * @param points at least two points with different x
- * @returns slope and value at zero of the line of least squares
+ * @returns slope and intercept of the least-squares line
  */
 export function fitLine(points: readonly Point[]): {
   readonly slope: number;
@@ -50,8 +50,8 @@
 }
 
 /**
- * @param values some numbers
- * @returns the one in the middle
+ * @param values numbers in any order
+ * @returns the median; 0 without values
  */
 export function medianOf(values: readonly number[]): number {
   const sorted = [...values].sort((left, right) => left - right);
--- a/packages/lovagepond-measure/src/consensus_snapshot_measure.ts
+++ b/packages/lovagepond-measure/src/consensus_snapshot_measure.ts
@@ -1,6 +1,6 @@
 /**
- * Time of a snapshot and of a restart against the size of the state, and of a
- * restart against the length of the log.
+ * Snapshot and restart time by the size of the state, and restart time by the
+ * length of the log.
  */
 import {FileStorage, type LogEntry} from '@lovagepond/consensus';
 import {fitLine, medianOf, type Point} from './consensus_measure_utils.js';
@@ -55,7 +55,7 @@
   });
 }
 
-/** @returns snapshot and restart time by size of the state */
+/** @returns snapshot and restart time by the size of the state */
 export async function measureSnapshots(): Promise<MeasureSection> {
   const saves: Point[] = [];
   const opens: Point[] = [];
@@ -75,7 +75,7 @@
     notes: [
       `snapshot: ${describeLine(saves, 'MiB')}; restart: ${describeLine(opens, 'MiB')}`,
       `median of ${REPEATS}; storage only: checksum, write, sync, two renames;`,
-      'restart: read, check, decode; the state machine has its own measure',
+      'restart: read, check, decode; the state machine is measured separately',
     ],
   };
 }
@@ -99,7 +99,7 @@
   });
 }
 
-/** @returns restart time by length of the log */
+/** @returns restart time by the length of the log */
 export async function measureLogReplay(): Promise<MeasureSection> {
   const points: Point[] = [];
   for (const entries of LOG_ENTRIES) {
--- a/packages/lovagepond-measure/src/control_announce_measure.ts
+++ b/packages/lovagepond-measure/src/control_announce_measure.ts
@@ -1,5 +1,5 @@
 /**
- * What announcements cost the leader.
+ * Processor time of announcements at the leader.
  */
 import {Client, credentials} from '@grpc/grpc-js';
 import {
@@ -77,7 +77,7 @@
   return ((performance.now() - started) * 1000) / (100 * SERVERS);
 }
 
-/** @returns processor time of an announcement */
+/** @returns processor time per announcement */
 export async function measureAnnouncements(): Promise<MeasureSection> {
   const registry = measureRegistry();
   const sockets = await measureOverSockets();
--- a/packages/lovagepond-measure/src/control_announcements.ts
+++ b/packages/lovagepond-measure/src/control_announcements.ts
@@ -1,12 +1,12 @@
 /**
- * Announcements of backend servers, for the measures.
+ * Announcements of backend servers, for measurements.
  */
 import {Client, credentials, Metadata} from '@grpc/grpc-js';
 import {CONTROL_SERVICE, lovagepond} from '@lovagepond/protocol';
 
 const {v1} = lovagepond;
 
-/** What stays the same in a backend server's announcements. */
+/** The constant fields of a backend server's announcements. */
 export type ServerDescription = Pick<
   lovagepond.v1.AnnounceRequest,
   | 'incarnation'
@@ -22,7 +22,7 @@
 
 /**
  * @param n number of the backend server
- * @returns what stays the same in its announcements
+ * @returns the constant fields of its announcements
  */
 export function describeServer(n: number): ServerDescription {
   return {
@@ -54,7 +54,7 @@
 }
 
 /**
- * @param client a connection to the leader
+ * @param client a client of the leader
  * @param req the announcement
  */
 export function announce(
@@ -80,8 +80,8 @@
 }
 
 /**
- * @param port port of the leader on this host
- * @param count how many backend servers announce themselves
+ * @param port port of the leader on the loopback address
+ * @param count number of backend servers to announce
  */
 export async function announceServers(
   port: number,
--- a/packages/lovagepond-measure/src/control_group.ts
+++ b/packages/lovagepond-measure/src/control_group.ts
@@ -1,5 +1,5 @@
 /**
- * Control members for the measures: in this process, on real files, with
+ * Control members for measurements: in this process, on real files, with
  * counted syncs.
  */
 import {
@@ -23,7 +23,7 @@
 import {join} from 'node:path';
 import {MEASURE_CLOCK, NO_LOG, waitUntil} from './measure_environment.js';
 
-/** Files of one member, with a count of its syncs. */
+/** File storage of one member that counts syncs. */
 export class CountingStorage implements ConsensusStorage {
   syncs = 0;
   readonly #inner: FileStorage;
@@ -54,7 +54,7 @@
   }
 }
 
-/** A group of members without gRPC. */
+/** A group of members connected in memory, without gRPC. */
 export interface LedgerGroup {
   readonly leader: LedgerHandler;
   /** Syncs of the leader so far. */
@@ -64,7 +64,7 @@
 
 /**
  * @param count number of members
- * @param folder where their files go
+ * @param folder parent folder of their files
  * @returns the group, once it has a leader
  */
 export async function startLedgerGroup(
@@ -95,7 +95,7 @@
   for (const {node} of members) await node.start();
   await waitUntil(() => members.some(({proposer}) => proposer.leads()));
   const leader = members.find(({proposer}) => proposer.leads());
-  if (!leader) throw new Error('the leader has gone');
+  if (!leader) throw new Error('the leader stepped down during the start');
   return {
     leader: new LedgerHandler(leader.proposer),
     syncs: () => leader.storage.syncs,
@@ -105,7 +105,7 @@
   };
 }
 
-/** Settings of a member that is alone. */
+/** Settings of a group with a single member. */
 export function singleMemberSettings(
   folder: string,
 ): ConstructorParameters<typeof ControlRole>[0] {
--- a/packages/lovagepond-measure/src/control_measure.ts
+++ b/packages/lovagepond-measure/src/control_measure.ts
@@ -1,6 +1,6 @@
 /**
- * What the control role costs: claims, snapshots, spread of changes,
- * subscribers, announcements, memory.
+ * Measurements of the control role: claims, snapshots, propagation of changes,
+ * subscribers, announcements and memory.
  */
 import {measureClaimRate} from './claim_rate_measure.js';
 import {measureAnnouncements} from './control_announce_measure.js';
--- a/packages/lovagepond-measure/src/control_memory_measure.ts
+++ b/packages/lovagepond-measure/src/control_memory_measure.ts
@@ -1,5 +1,5 @@
 /**
- * Memory of the control role for each thing that it holds.
+ * Memory of the control role per server, workspace and kept revision.
  */
 import {
   CHANGE_COMMAND,
@@ -17,7 +17,7 @@
 
 const SERVERS = 6_400;
 const WORKSPACES = 4_800;
-/** More than are kept, so that the history is full. */
+/** Exceeds the history limit, so that the history is full. */
 const CHANGES = 80;
 
 function makeRegistry(): MembershipRegistry {
@@ -25,7 +25,7 @@
   const registry = new MembershipRegistry({leaseMs: 3_000}, log);
   registry.takeOver(1, 0);
   for (let n = 0; n < SERVERS; n += 1) {
-    // Parsed anew, so that each server has strings of its own.
+    // Parsing gives each server its own strings.
     const text = JSON.stringify({
       ...describeServer(n),
       name: `muc-riem-engine-${n}`,
@@ -57,7 +57,7 @@
   return machine;
 }
 
-/** @returns bytes for each backend server, workspace and kept revision */
+/** @returns bytes per backend server, workspace and kept revision */
 export function measureControlMemory(): MeasureSection {
   const empty = measureHeap(() => makeConfigured(0)).bytes;
   const registry = measureHeap(makeRegistry).bytes;
--- a/packages/lovagepond-measure/src/control_propagation_measure.ts
+++ b/packages/lovagepond-measure/src/control_propagation_measure.ts
@@ -1,5 +1,5 @@
 /**
- * How fast an accepted change is in force, and what subscribers cost.
+ * Propagation time of an accepted change, and the cost of subscribers.
  */
 import {ControlRole} from '@lovagepond/control';
 import {type ConfigurationContent, Random} from '@lovagepond/core';
@@ -18,14 +18,14 @@
 const SERVERS = 640;
 const IDLE_SUBSCRIBERS = 20;
 const IDLE_MS = 8_000;
-/** The list is whole, and loads go out, one lease after the start. */
+/** Control publishes the complete list and loads one lease after the start. */
 const LEASE_MS = 4_000;
-/** Expiry is suspended when all lapse at once, so they stay in the list. */
+/** Servers stay listed: expiry is suspended when all lapse at once. */
 const WARM_UP_MS = 5_000;
 const CHANGES_PER_DAY = 1_300;
 const SECONDS_PER_DAY = 86_400;
 
-/** A configuration of the size that the largest user plans for. */
+/** A configuration as large as the largest user plans. */
 export function makeContent(workspaces: number): ConfigurationContent {
   return {
     pools: Array.from({length: MODELS}, (_, n) => ({
@@ -78,7 +78,7 @@
   });
 }
 
-/** Replaces all once, then changes one workspace each time. */
+/** Installs the content as revision 1; later revisions change a workspace. */
 async function change(role: ControlRole, revision: number): Promise<void> {
   const object = {name: 'workspace-0', weight: revision};
   const put = {kind: 'put', section: 'workspaces', object} as const;
@@ -104,7 +104,7 @@
   return subscribers;
 }
 
-/** Resolves when the last subscriber holds the revision. */
+/** Resolves when all subscribers have received the revision. */
 function waitForRevision(
   subscribers: readonly StubSubscriber[],
   revision: number,
@@ -145,13 +145,18 @@
   });
 }
 
-/** @returns time from accepted to in force at the last subscriber */
+/** @returns time from acceptance to receipt by the last subscriber */
 export async function measureChangePropagation(): Promise<MeasureSection> {
   const rows: (string | number)[][] = [];
   for (const count of SUBSCRIBERS) rows.push(await measurePropagation(count));
   return {
-    title: 'From accepted to in force at the last subscriber, over sockets',
-    columns: ['subscribers', 'accept p50 ms', 'spread p50 ms', 'spread max ms'],
+    title: 'Propagation of an accepted change to all subscribers, over sockets',
+    columns: [
+      'subscribers',
+      'accept p50 ms',
+      'propagation p50 ms',
+      'propagation max ms',
+    ],
     rows,
     notes: [
       `${CHANGES} changes, ${WORKSPACES} workspaces, ${MODELS} pools; one member`,
@@ -198,7 +203,7 @@
   });
 }
 
-/** @returns bytes and processor time of an idle subscriber */
+/** @returns traffic and processor time of an idle subscriber */
 export async function measureIdleSubscribers(): Promise<MeasureSection> {
   const rows: (string | number)[][] = [];
   for (const servers of [0, SERVERS]) {
@@ -214,7 +219,7 @@
     ]);
   }
   return {
-    title: 'What a subscriber costs',
+    title: 'Cost of a subscriber',
     columns: [
       'backend servers',
       'idle B/s',
@@ -225,9 +230,9 @@
     ],
     rows,
     notes: [
-      'bytes of TCP streams in both directions, counted on the way',
-      `${IDLE_SUBSCRIBERS} subscribers, ${IDLE_MS} ms; CPU of member, clients and counter`,
-      '0 servers: heartbeats alone; 640: with the load digest each second',
+      'bytes of TCP streams in both directions, counted by a proxy',
+      `${IDLE_SUBSCRIBERS} subscribers, ${IDLE_MS} ms; CPU of member, clients and proxy`,
+      '0 servers: heartbeats only; 640: with the load digest each second',
     ],
   };
 }
--- a/packages/lovagepond-measure/src/control_subscribers.ts
+++ b/packages/lovagepond-measure/src/control_subscribers.ts
@@ -1,5 +1,5 @@
 /**
- * Subscribers of a control member over real sockets, for the measures.
+ * Stub subscribers of a control member over real sockets, for measurements.
  */
 import {
   Client,
@@ -14,7 +14,7 @@
 
 const {v1} = lovagepond;
 
-/** One router's stream. */
+/** A stub router's subscription. */
 export class StubSubscriber {
   revision = -1;
   confirmed = false;
@@ -55,14 +55,14 @@
   }
 }
 
-/** Passes TCP connections on and counts what goes to the clients. */
+/** A TCP proxy that counts the bytes in each direction. */
 export class CountingForwarder {
   bytesToClients = 0;
   bytesToServer = 0;
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
 
-  /** @param port port of the member on this host */
+  /** @param port port of the member on the loopback address */
   constructor(port: number) {
     this.#server = createServer(client => {
       const upstream = connect(port, '127.0.0.1');
--- a/packages/lovagepond-measure/src/ledger_form_measure.ts
+++ b/packages/lovagepond-measure/src/ledger_form_measure.ts
@@ -1,6 +1,6 @@
 /**
- * Records by key against client sessions: bytes of a call that may not be
- * repeated, in the log and in memory, and calls a second through the state.
+ * Two forms of the ledger of non-repeatable calls, records by key and client
+ * sessions: bytes per call in the log and in memory, and calls a second.
  */
 import {
   CLAIM_COMMAND,
@@ -23,7 +23,7 @@
 const CALLS = 200_000;
 const SIDECARS = 640;
 const ANSWER = Buffer.alloc(200, 'a').toString('base64');
-/** A sidecar acknowledges so many results late. */
+/** Results that a sidecar has not yet acknowledged. */
 const UNACKNOWLEDGED = 16;
 
 const LIMITS = {
@@ -34,12 +34,12 @@
   answerCharactersLimit: 1e9,
 };
 
-/** One form of the ledger with calls made for it. */
+/** One form of the ledger, with a generator of its calls. */
 interface LedgerForm {
   readonly title: string;
-  /** Claims and records call `n`. */
+  /** Claims call `n` and records its result. */
   run(n: number): void;
-  /** Bytes of a call's two commands in the log. */
+  /** Bytes of the claim and the record in the log. */
   readonly logBytes: number;
 }
 
@@ -55,7 +55,7 @@
 
 const RECORDED = {status: 200, answer: ANSWER, contentType: 'application/json'};
 
-/** @returns the payload as a member reads it from its log */
+/** @returns the payload after encoding and decoding, as from a log */
 function encodeAndDecode<Payload>(
   command: Command<Payload>,
   payload: Payload,
@@ -142,7 +142,7 @@
   ];
 }
 
-/** @returns both forms of the ledger */
+/** @returns a comparison of both forms of the ledger */
 export function measureLedgerForms(): MeasureSection {
   return {
     title: 'Ledger: records by key against client sessions',
--- a/packages/lovagepond-measure/src/ledger_snapshot_measure.ts
+++ b/packages/lovagepond-measure/src/ledger_snapshot_measure.ts
@@ -1,5 +1,5 @@
 /**
- * How long a snapshot holds up the loop, and how long a restart takes, by the
+ * Time for which a snapshot blocks the event loop, and restart time, by the
  * number of keys in the ledger.
  */
 import {
@@ -14,7 +14,7 @@
 import {type MeasureSection} from './measure_types.js';
 
 const SIZES = [10_000, 100_000, 500_000] as const;
-/** Calls between two snapshots. */
+/** Number of calls between two snapshots. */
 const CHANGED = 10_000;
 const ANSWER = Buffer.alloc(60, 'a').toString('base64');
 const MEGABYTE = 1e6;
@@ -78,10 +78,10 @@
   ];
 }
 
-/** @returns snapshot and restart time against the size of the ledger */
+/** @returns snapshot and restart time by the size of the ledger */
 export function measureLedgerSnapshots(): MeasureSection {
   return {
-    title: 'Snapshot and restart against the size of the ledger',
+    title: 'Snapshot and restart by the size of the ledger',
     columns: [
       'keys',
       'MB',
@@ -94,7 +94,7 @@
     notes: [
       'first: every entry is encoded; a member takes one each 50,000 entries',
       `next: after ${CHANGED} more calls; answers of 60 bytes; no disk`,
-      'the loop stands still for this long; an election takes 600 ms or more',
+      'each blocks the event loop for this long; an election takes 600 ms or more',
     ],
   };
 }
--- a/packages/lovagepond-measure/src/memory_measure.ts
+++ b/packages/lovagepond-measure/src/memory_measure.ts
@@ -1,9 +1,9 @@
 /**
- * Resident memory of each idle role, beside what Node and the libraries take
- * before the role does anything.
+ * Resident memory of each idle role, compared with that of Node and of the
+ * loaded libraries.
  *
- * Starts the bundle's processes one after the other, from the loopback
- * examples, and ends each by its id.
+ * Starts the bundle's processes one after the other with the loopback examples
+ * and stops each by its process id.
  */
 import {type ChildProcess, spawn} from 'node:child_process';
 import {once} from 'node:events';
@@ -41,13 +41,13 @@
   'xxhash-wasm',
 ];
 
-/** What is started, and how. */
+/** A process to measure. */
 interface Subject {
   readonly name: string;
   readonly args: readonly string[];
 }
 
-/** A settings file and the role that it is for. */
+/** A role and its example settings file. */
 interface RoleExample {
   readonly role: string;
   readonly file: string;
@@ -60,8 +60,8 @@
 ];
 
 /**
- * Free ports and a folder of its own, so that the measure meets no process
- * that already runs from the same examples.
+ * Rewrites the settings to free ports and a separate folder, to avoid conflicts
+ * with processes that already run from the same examples.
  */
 function writeIdleSettings({role, file}: RoleExample, folder: string): string {
   const text = readFileSync(join(EXAMPLES, file), 'utf8');
@@ -87,7 +87,7 @@
   ];
 }
 
-/** Goes on reading afterwards, so that the process never waits for us. */
+/** Keeps reading after the start: a full pipe would block the child. */
 function waitUntilStarted(child: ChildProcess): Promise<void> {
   return new Promise((resolve, reject) => {
     let output = '';
@@ -96,7 +96,9 @@
       if (output.includes(READY_TEXT)) resolve();
     });
     child.once('exit', () => {
-      reject(new Error(`the process ended before it started: ${output}`));
+      reject(
+        new Error(`the process exited before its start was logged: ${output}`),
+      );
     });
   });
 }
--- a/packages/lovagepond-measure/src/router_bench.ts
+++ b/packages/lovagepond-measure/src/router_bench.ts
@@ -1,5 +1,5 @@
 /**
- * Every role in this process over loopback, for the router's measures.
+ * Runs every role in this process over loopback, for the router's benchmarks.
  */
 import {once} from 'node:events';
 import {type AddressInfo, createServer} from 'node:net';
@@ -30,7 +30,7 @@
 const SEED = 11;
 const ANY = ['*'];
 
-/** What the bench's configuration holds. */
+/** The configuration of the benchmarks. */
 export const BENCH_CONFIGURATION = {
   pools: [
     {name: 'engines', kind: 'engine'},
@@ -54,7 +54,7 @@
   ],
 } as const;
 
-/** URLs of the parts that a measure calls. */
+/** URLs that a benchmark calls. */
 export interface BenchUrls {
   readonly router: string;
   readonly engine: string;
@@ -76,7 +76,7 @@
 
   /**
    * @param stepMs time between an engine's tokens, milliseconds
-   * @returns URLs of the parts, once all are ready
+   * @returns the URLs, once all roles are ready
    */
   async start(stepMs: number): Promise<BenchUrls> {
     const control = await this.#startControl();
@@ -95,7 +95,7 @@
     };
   }
 
-  /** Ends everything. */
+  /** Stops all roles. */
   async stop(): Promise<void> {
     for (const role of this.#roles.reverse()) await role.stop();
   }
--- a/packages/lovagepond-measure/src/router_cost_measure.ts
+++ b/packages/lovagepond-measure/src/router_cost_measure.ts
@@ -1,5 +1,5 @@
 /**
- * Processor time of the router for a request and for a relayed token.
+ * Processor time of the router per request and per relayed token.
  */
 import {createServer, type Server} from 'node:http';
 import {type AddressInfo} from 'node:net';
@@ -40,7 +40,7 @@
   return user + system;
 }
 
-/** @returns microseconds of processor time for each request */
+/** @returns microseconds of processor time per request */
 async function runRequests(url: string): Promise<number> {
   const agent = new Agent({connections: CONCURRENCY});
   const runBatch = async (count: number): Promise<void> => {
@@ -68,7 +68,7 @@
   call.end();
 }
 
-/** One token to each stream and turn of the loop, as engines' steps come. */
+/** Sends one token per turn of the event loop, like an engine's steps. */
 async function sendTokens(
   count: number,
   send: (index: number) => void,
@@ -104,7 +104,7 @@
   return {server, url: `http://127.0.0.1:${port}`};
 }
 
-/** @returns microseconds of processor time for each token */
+/** @returns microseconds of processor time per token */
 async function runStreams(url: string): Promise<number> {
   const agent = new Agent({connections: STREAMS});
   const runAll = (): Promise<unknown> =>
@@ -173,10 +173,10 @@
     notes: [
       COMMAND,
       `${REQUESTS} requests, ${CONCURRENCY} at a time; ${STREAMS} streams of ` +
-        `${TOKENS_EACH} tokens, one event each, after a run of warming up`,
+        `${TOKENS_EACH} tokens, one event each, after a warm-up run`,
       "plain: caller's end and a bare HTTP server; routed: caller's end, " +
-        "router and the gRPC server of a sidecar that does nothing; 'added' " +
-        "thus holds a sidecar's end of gRPC too",
+        "router and the gRPC server of a stub sidecar; 'added' " +
+        "thus includes a sidecar's end of gRPC",
     ],
   };
 }
--- a/packages/lovagepond-measure/src/router_latency_measure.ts
+++ b/packages/lovagepond-measure/src/router_latency_measure.ts
@@ -1,6 +1,6 @@
 /**
- * What router and sidecar add to a call: the same calls, straight to the
- * backend server and through both, in turn.
+ * Latency added by router and sidecar: the same calls, directly to the backend
+ * server and through both, in turn.
  */
 import {Agent, request} from 'undici';
 import {Distribution, roundTo} from './measure_statistics.js';
@@ -12,7 +12,7 @@
 const PERCENTILES = [50, 90, 99];
 const COMMAND = 'npm run measure -- router';
 
-/** One kind of call, both ways. */
+/** One kind of call, made directly and through the router. */
 interface CallPair {
   readonly name: string;
   readonly stepMs: number;
@@ -130,9 +130,9 @@
     notes: [
       COMMAND,
       `${PAIRS.map(pair => pair.calls).join(', ')} pairs, one call at a time, ` +
-        `direct and routed in turn, after ${WARM_UP} pairs of warming up`,
+        `direct and routed in turn, after ${WARM_UP} warm-up pairs`,
       'caller, router, sidecar, control and backend server share one process ' +
-        'and one core: apart from each other they add less',
+        'and one core: in separate processes they add less',
     ],
   };
 }
--- a/packages/lovagepond-measure/src/router_measure.ts
+++ b/packages/lovagepond-measure/src/router_measure.ts
@@ -1,5 +1,5 @@
 /**
- * Measures of the router: latency added, cost and memory.
+ * Measurements of the router: added latency, processor time and memory.
  */
 import {loadavg} from 'node:os';
 import {type MeasureSection} from './measure_types.js';
@@ -7,7 +7,7 @@
 import {measureRouterLatency} from './router_latency_measure.js';
 import {measureRouterMemory} from './router_memory_measure.js';
 
-/** Other work on the host lengthens what is measured here. */
+/** Adds the load average: other work on the host lengthens the times. */
 function noteLoad(section: MeasureSection): MeasureSection {
   const [minute = 0] = loadavg();
   const note = `load average of the host at the end: ${minute.toFixed(1)}`;
--- a/packages/lovagepond-measure/src/router_memory_measure.ts
+++ b/packages/lovagepond-measure/src/router_memory_measure.ts
@@ -1,5 +1,5 @@
 /**
- * Memory of the router: for an open stream, a known server and a workspace.
+ * Memory of the router per open stream, known server and workspace.
  */
 import {setFlagsFromString} from 'node:v8';
 import {runInNewContext} from 'node:vm';
@@ -131,7 +131,7 @@
   };
 }
 
-/** Known servers with their table for placement, as one choice makes it. */
+/** Memory of known servers and the placement table built on first use. */
 async function measureServers(count: number): Promise<number> {
   const hasher = await loadKeyHasher();
   const before = await usedBytes();
@@ -168,7 +168,7 @@
   return used;
 }
 
-/** Workspaces that have each sent a request. */
+/** Memory of workspaces that have each sent a request. */
 async function measureWorkspaces(count: number): Promise<number> {
   const before = await usedBytes();
   const state = makeState(count);
@@ -176,7 +176,7 @@
     state.findEligible(describeCall(`workspace-${n}`));
   }
   const used = (await usedBytes()) - before;
-  if (state.revision !== 1) throw new Error('lost');
+  if (state.revision !== 1) throw new Error('no configuration installed');
   return used;
 }
 
@@ -205,7 +205,7 @@
 export async function measureRouterMemory(): Promise<MeasureSection> {
   return {
     title: 'Memory of the router',
-    columns: ['of', 'count', 'KiB in all', 'KiB for each more'],
+    columns: ['of', 'count', 'KiB in total', 'KiB each (slope)'],
     rows: [
       ...(await listRows('open stream', STREAM_COUNTS, measureStreams)),
       ...(await listRows('known server', SERVER_COUNTS, measureServers)),
@@ -213,7 +213,7 @@
     ],
     notes: [
       COMMAND,
-      'JS heap and external memory after collection, kernel buffers not',
+      'JS heap and external memory after collection, without kernel buffers',
       "open stream: with its caller's end and the sidecar's end of gRPC, " +
         'which are in the same process',
     ],
--- a/packages/lovagepond-measure/src/router_stub.ts
+++ b/packages/lovagepond-measure/src/router_stub.ts
@@ -1,6 +1,6 @@
 /**
- * A control member and a sidecar that do nothing but answer, so that a measure
- * of the router holds little else.
+ * Stubs of a control member and a sidecar that only send prepared answers, so
+ * that a benchmark measures little beside the router.
  */
 import {
   Server,
@@ -44,15 +44,15 @@
 
 /**
  * @param call the attempt
- * @param body what the frame says
- * @returns the frame with the attempt's names
+ * @param body content of the frame
+ * @returns the frame with the ids of the attempt
  */
 export function makeStubFrame(call: StubCall, body: Frame): Frame {
   const {attemptId = ''} = call.request;
   return {attemptId, incarnation: INCARNATION, revision: 1, ...body};
 }
 
-/** One router before the stubs. */
+/** One router connected to the stubs. */
 export class RouterStub {
   readonly #sidecar = new Server();
   readonly #control = new Server();
@@ -79,7 +79,7 @@
     return `http://127.0.0.1:${this.#front?.port ?? 0}`;
   }
 
-  /** Ends everything. */
+  /** Stops the router and the stubs. */
   async stop(): Promise<void> {
     await this.#router?.stop();
     this.#sidecar.forceShutdown();
@@ -114,7 +114,7 @@
 
   #listUpdates(): Update[] {
     const checked = checkConfiguration(BENCH_CONFIGURATION);
-    if (!checked.ok) throw new Error('the configuration has faults');
+    if (!checked.ok) throw new Error('the benchmark configuration is invalid');
     const configuration = {revision: 1, content: checked.content};
     const member = {
       backendServer: 'engine-1',
--- a/packages/lovagepond-measure/src/session_ledger_trial.ts
+++ b/packages/lovagepond-measure/src/session_ledger_trial.ts
@@ -1,31 +1,31 @@
 /**
- * The ledger of calls that may not be repeated with client sessions, to be
- * measured against the one in use, which keeps a record for each key.
+ * A ledger of non-repeatable calls with client sessions, for comparison with
+ * the production ledger, which keeps a record for each key.
  *
- * A sidecar incarnation is a client with a session and numbers its commands;
- * the state machine keeps the result of each until the client acknowledges it.
- * A repeat may come through another sidecar, which is another client, so the
- * record by key stays; it names session and number instead of server,
- * incarnation and attempt.
+ * Each sidecar incarnation is a client with a session and numbers its commands.
+ * The state machine keeps each result until the client acknowledges the result.
+ * A retry may come through another sidecar, which is another client, so the
+ * records by key remain; they hold session and sequence number in place of
+ * server, incarnation and attempt.
  */
 
-/** A claim as it stands in the log. */
+/** A claim in the log. */
 export interface SessionClaim {
   readonly session: number;
   readonly sequence: number;
-  /** All results below this number may be dropped. */
+  /** The client has acknowledged all results below this number. */
   readonly lowest: number;
   readonly workspace: string;
   readonly key: string;
   readonly digest: string;
 }
 
-/** What became of a claimed call, as it stands in the log. */
+/** The result of a claimed call, in the log. */
 export interface SessionRecord {
   readonly session: number;
   readonly sequence: number;
   readonly lowest: number;
-  /** Number of the claim that it ends. */
+  /** Sequence number of the claim. */
   readonly claim: number;
   readonly workspace: string;
   readonly key: string;
@@ -52,7 +52,7 @@
   readonly results: Map<number, SessionResult>;
 }
 
-/** Keys and sessions. Only what a measure needs: nothing expires. */
+/** Keys and sessions, reduced to what is measured: nothing expires. */
 export class SessionLedger {
   readonly #entries = new Map<string, SessionEntry>();
   readonly #sessions = new Map<number, Session>();
@@ -60,16 +60,16 @@
   /**
    * @param claim the claim
    * @param timeMs replicated time
-   * @returns the result, the first one for a command that comes again
+   * @returns the result; for a duplicate command, that of the first
    */
   claim(claim: SessionClaim, timeMs: number): SessionResult {
     return this.#once(claim, () => this.#decide(claim, timeMs));
   }
 
   /**
-   * @param record what became of a call
+   * @param record the result of a call
    * @param timeMs replicated time
-   * @returns the result, the first one for a command that comes again
+   * @returns the result; for a duplicate command, that of the first
    */
   record(record: SessionRecord, timeMs: number): SessionResult {
     return this.#once(record, () => {
--- a/packages/lovagepond-measure/src/sidecar_control_measure.ts
+++ b/packages/lovagepond-measure/src/sidecar_control_measure.ts
@@ -1,5 +1,5 @@
 /**
- * What a sidecar spends on control traffic, by the size of its pool.
+ * Control traffic of a sidecar, by the size of its pool.
  */
 import {lovagepond} from '@lovagepond/protocol';
 import {roundTo} from './measure_statistics.js';
@@ -8,7 +8,7 @@
 const {v1} = lovagepond;
 
 const POOL_SIZES = [6, 64, 640] as const;
-/** Length and compression flag before each gRPC message. */
+/** Length and compression flag in front of each gRPC message. */
 const GRPC_PREFIX_BYTES = 5;
 /** Servers of a pool that are replaced or restarted in a day. */
 const REPLACED_A_DAY = 130;
@@ -16,7 +16,7 @@
 const CONFIGURATION_BYTES = 64 * 1_024;
 const SECONDS_A_DAY = 86_400;
 
-/** What an announcement and the list of members both tell of a server. */
+/** Fields that an announcement and a member of the list share. */
 const SERVER = {
   backendServer: 'engine-muc-freimann-12',
   incarnation: 'lq2x1ab4-1x9k2f3',
@@ -116,8 +116,8 @@
     ],
     rows: POOL_SIZES.map(measurePool),
     notes: [
-      'Encoded messages with the gRPC prefix; HTTP/2 frames and headers are',
-      'not in it. Announcement and digest once a second.',
+      'Encoded messages with the gRPC prefix, without HTTP/2 frames and',
+      'headers. Announcement and digest once a second.',
       `${REPLACED_A_DAY} servers replaced and ${CHANGES_A_DAY} changes a day,` +
         ` a configuration of ${CONFIGURATION_BYTES} bytes sent whole.`,
     ],
--- a/packages/lovagepond-measure/src/sidecar_cost_measure.ts
+++ b/packages/lovagepond-measure/src/sidecar_cost_measure.ts
@@ -1,5 +1,5 @@
 /**
- * What the gate's decisions cost against the length of its queue.
+ * Processor time of the gate's decisions, by the length of its queue.
  */
 import {type GateAction, type SidecarGate} from '@lovagepond/sidecar';
 import {roundTo} from './measure_statistics.js';
@@ -16,7 +16,7 @@
 const FLOOR_TOKENS = 14_000;
 const MICROSECONDS = 1_000;
 
-/** A gate with a queue of one length, and its running attempts. */
+/** A gate with a queue of a given length, and its running attempts. */
 class LoadedGate {
   readonly gate: SidecarGate;
   readonly #running: string[] = [];
@@ -31,7 +31,7 @@
     for (let index = 0; index < queueLength + running; index++) this.offer();
   }
 
-  /** One more request comes. */
+  /** Offers a new request. */
   offer(): void {
     const number = this.#offered++;
     const workspace = `workspace-${number % WORKSPACES}`;
@@ -40,7 +40,7 @@
     this.#apply(this.gate.offer(offer, 0));
   }
 
-  /** The oldest run ends, and the next request is dispatched. */
+  /** Finishes the oldest run; the gate dispatches the next request. */
   finish(): void {
     const attemptId = this.#running.shift();
     if (attemptId === undefined) return;
@@ -54,7 +54,7 @@
   }
 }
 
-/** @returns microseconds for one call */
+/** @returns microseconds per call */
 function timeEach(count: number, call: () => void): number {
   const started = performance.now();
   for (let index = 0; index < count; index++) call();
@@ -86,21 +86,21 @@
   ];
 }
 
-/** @returns the cost of offers, ends, reviews and takes */
+/** @returns the cost of offers, finishes, reviews and takes */
 export function measureGateCost(): MeasureSection {
   return {
     title: 'Sidecar: cost of a decision at the gate',
     columns: [
       'requests waiting',
-      'µs each request (offer and end)',
+      'µs each request (offer and finish)',
       'decisions a second',
       'µs each review (every 250 ms)',
-      'µs each Take asked',
+      'µs each Take',
     ],
     rows: QUEUE_LENGTHS.map(measureLength),
     notes: [
       `${WORKSPACES} workspaces, ${CHATS} chats, ${DECISIONS} requests each.`,
-      'A Take without room looks at all that waits and moves nothing.',
+      'A Take without room visits all queued requests and moves none.',
     ],
   };
 }
--- a/packages/lovagepond-measure/src/sidecar_fairness_measure.ts
+++ b/packages/lovagepond-measure/src/sidecar_fairness_measure.ts
@@ -1,5 +1,5 @@
 /**
- * What a surge of one workspace does to nine quiet ones at one sidecar.
+ * The effect of one workspace's surge on nine quiet workspaces at one sidecar.
  */
 import {type GateAction, type SidecarGate} from '@lovagepond/sidecar';
 import {Random} from '@lovagepond/core';
@@ -18,12 +18,12 @@
 const FLOOR_TOKENS = 8_000;
 const DIGITS = 0;
 
-/** One way to treat the workspaces. */
+/** A surge and the queueing of the workspaces. */
 interface Case {
   readonly name: string;
   /** Surging requests a second; the server finishes about 14. */
   readonly surge: number;
-  /** All requests count as one workspace's: first come, first served. */
+  /** All requests belong to one workspace: first come, first served. */
   readonly singleWorkspace: boolean;
 }
 
@@ -33,7 +33,7 @@
   {name: 'surge, fair queue', surge: 200, singleWorkspace: false},
 ];
 
-/** Finishes the oldest run at the server's rate, in virtual time. */
+/** A simulated server: finishes runs in order, at a fixed token rate. */
 class MeasuredServer {
   readonly #gate: SidecarGate;
   readonly #tokens = new Map<string, number>();
@@ -133,7 +133,7 @@
       'max ms',
       'quiet refused %',
       'surge refused %',
-      'come back after p50 ms',
+      'retry after p50 ms',
     ],
     rows: CASES.map(runCase),
     notes: [
--- a/packages/lovagepond-measure/src/sidecar_measure.ts
+++ b/packages/lovagepond-measure/src/sidecar_measure.ts
@@ -1,5 +1,5 @@
 /**
- * Measures of the sidecar: cost of decisions, memory, fairness and control
+ * Measurements of the sidecar: cost of decisions, memory, fairness and control
  * traffic.
  */
 import {type MeasureSection} from './measure_types.js';
--- a/packages/lovagepond-measure/src/sidecar_memory_measure.ts
+++ b/packages/lovagepond-measure/src/sidecar_memory_measure.ts
@@ -1,5 +1,5 @@
 /**
- * What a chat costs in a sidecar's memory, as a slope over sizes.
+ * Memory of a sidecar per chat and request, as a slope over sizes.
  */
 import {setFlagsFromString} from 'node:v8';
 import {runInNewContext} from 'node:vm';
@@ -18,7 +18,7 @@
 const SERVER_NAMES = 64;
 const MEBIBYTE = 1_024 * 1_024;
 
-/** Makes a holder of so many entries; what it holds is measured. */
+/** Creates a holder with `size` entries. */
 type MakeHolder = (size: number) => object;
 
 const makeCacheIndex: MakeHolder = size => {
@@ -77,7 +77,7 @@
   const holder = make(size);
   collect();
   const bytes = process.memoryUsage().heapUsed - before;
-  // Keeps the holder alive until it was measured.
+  // Keeps the holder reachable until its memory is measured.
   return Object.keys(holder).length + bytes;
 }
 
@@ -94,7 +94,7 @@
   return above / below;
 }
 
-/** @returns bytes for each entry of what grows with chats and requests */
+/** @returns bytes per entry of what grows with chats and requests */
 export function measureSidecarMemory(): MeasureSection {
   const collect = makeCollector();
   const perSidecar = CHATS / SIDECARS;
@@ -106,9 +106,9 @@
     return [name, roundTo(slope, 1), perSidecar, roundTo(mebibytes, 2)];
   });
   return {
-    title: 'Sidecar: memory of what it remembers',
+    title: 'Sidecar: memory by kind of entry',
     columns: [
-      'remembered',
+      'entry',
       'bytes each (slope)',
       'entries a sidecar at size',
       'MiB a sidecar at size',
--- a/packages/lovagepond-measure/src/sidecar_offer_utils.ts
+++ b/packages/lovagepond-measure/src/sidecar_offer_utils.ts
@@ -1,5 +1,5 @@
 /**
- * Gates and offers for the measures of a sidecar.
+ * Creates gates and offers for the sidecar's measurements.
  */
 import {Random} from '@lovagepond/core';
 import {
@@ -14,9 +14,9 @@
 const INCARNATION = 'measured';
 
 /**
- * @param settings what differs from the defaults
- * @param policy what differs from the default policy
- * @returns a gate that takes work
+ * @param settings overrides of the default settings
+ * @param policy overrides of the default policy
+ * @returns a configured gate
  */
 export function makeMeasuredGate(
   settings: Partial<GateSettings> = {},
@@ -36,7 +36,7 @@
 }
 
 /**
- * @param attemptId a new attempt
+ * @param attemptId id of a new attempt
  * @param overrides what differs from a short chat request
  * @returns its offer
  */
