--- a/packages/lovagepond-measure/src/__tests__/unit/placement_measure.test.ts
+++ b/packages/lovagepond-measure/src/__tests__/unit/placement_measure.test.ts
@@ -27,8 +27,8 @@
 
 // Kiosks resume, or a storm brings report chats, while servers leave, crash,
 // join and flap, lists differ for seconds and loads are a second old. An engine
-// at a multiple of the mean load answers slowly, so the load bound must hold at
-// all times, and returning chats must still find their caches.
+// at a multiple of the mean load answers slowly, so the load bound must hold
+// throughout, and returning chats must still find their caches.
 describe.each([
   ['skew first', makeKioskDeployment(END_MS, SEED), 0],
   ['reuse first', makeStormDeployment(END_MS, SEED), 0.2],
@@ -53,6 +53,6 @@
 });
 
 it('the load bound needs the gate: resuming kiosks exceed it without one', () => {
-  const wake = makeKioskDeployment(END_MS, SEED);
-  expect(simulate(wake, 'rendezvous').skew.max).toBeGreaterThan(3);
+  const kiosks = makeKioskDeployment(END_MS, SEED);
+  expect(simulate(kiosks, 'rendezvous').skew.max).toBeGreaterThan(3);
 });
