--- a/packages/lovagepond-measure/src/control_memory_measure.ts
+++ b/packages/lovagepond-measure/src/control_memory_measure.ts
@@ -1,5 +1,5 @@
 /**
- * Memory of the control role for each thing that it holds.
+ * Memory of the control role per server, workspace and kept revision.
  */
 import {
   CHANGE_COMMAND,
@@ -10,14 +10,14 @@
   MembershipRegistry,
 } from '@lovagepond/control';
 import {describeServer} from './control_announcements.js';
-import {makeContent} from './control_spread_measure.js';
+import {makeContent} from './control_propagation_measure.js';
 import {measureHeap} from './measure_heap.js';
 import {roundTo} from './measure_statistics.js';
 import {type MeasureSection} from './measure_types.js';
 
 const SERVERS = 6_400;
 const WORKSPACES = 4_800;
-/** More than are kept, so that the history is full. */
+/** Exceeds the history limit, so that the history is full. */
 const CHANGES = 80;
 
 function makeRegistry(): MembershipRegistry {
@@ -25,15 +25,15 @@
   const registry = new MembershipRegistry({leaseMs: 3_000}, log);
   registry.takeOver(1, 0);
   for (let n = 0; n < SERVERS; n += 1) {
-    // Parsed anew, so that each server has strings of its own.
+    // Parsing gives each server its own strings.
     const text = JSON.stringify({
       ...describeServer(n),
       name: `muc-riem-engine-${n}`,
       runningTokens: 20_000,
       queuedTokens: 0,
     });
-    type Said = Parameters<MembershipRegistry['announce']>[0];
-    registry.announce(JSON.parse(text) as Said, 'ready', 0);
+    type Announcement = Parameters<MembershipRegistry['announce']>[0];
+    registry.announce(JSON.parse(text) as Announcement, 'ready', 0);
   }
   return registry;
 }
@@ -57,7 +57,7 @@
   return machine;
 }
 
-/** @returns bytes for each backend server, workspace and kept revision */
+/** @returns bytes per backend server, workspace and kept revision */
 export function measureControlMemory(): MeasureSection {
   const empty = measureHeap(() => makeConfigured(0)).bytes;
   const registry = measureHeap(makeRegistry).bytes;
--- a/packages/lovagepond-measure/src/control_spread_measure.ts
+++ b/packages/lovagepond-measure/src/control_propagation_measure.ts
@@ -1,14 +1,14 @@
 /**
- * How fast an accepted change is in force, and what subscribers cost.
+ * Propagation time of an accepted change, and the cost of subscribers.
  */
 import {ControlRole} from '@lovagepond/control';
 import {type ConfigurationContent, Random} from '@lovagepond/core';
 import {announceServers} from './control_announcements.js';
-import {aloneSettings} from './control_fleet.js';
-import {CountingForwarder, MeasuredSubscriber} from './control_subscribers.js';
+import {singleMemberSettings} from './control_group.js';
+import {CountingForwarder, StubSubscriber} from './control_subscribers.js';
+import {withTemporaryFolder} from './measure_disk.js';
 import {MEASURE_CLOCK, NO_LOG, waitUntil} from './measure_environment.js';
 import {Distribution, roundTo} from './measure_statistics.js';
-import {withTemporaryFolder} from './measure_disk.js';
 import {type MeasureSection} from './measure_types.js';
 
 const SUBSCRIBERS = [10, 100, 1_000] as const;
@@ -18,14 +18,14 @@
 const SERVERS = 640;
 const IDLE_SUBSCRIBERS = 20;
 const IDLE_MS = 8_000;
-/** The list is whole, and loads go out, one lease after the start. */
+/** Control publishes the complete list and loads one lease after the start. */
 const LEASE_MS = 4_000;
-/** Expiry is suspended when all lapse at once, so they stay in the list. */
+/** Servers stay listed: expiry is suspended when all lapse at once. */
 const WARM_UP_MS = 5_000;
 const CHANGES_PER_DAY = 1_300;
 const SECONDS_PER_DAY = 86_400;
 
-/** A configuration of the size that the largest user plans for. */
+/** A configuration as large as the largest user plans. */
 export function makeContent(workspaces: number): ConfigurationContent {
   return {
     pools: Array.from({length: MODELS}, (_, n) => ({
@@ -61,9 +61,13 @@
   run: (role: ControlRole) => Promise<Value>,
 ): Promise<Value> {
   return withTemporaryFolder(async folder => {
-    const settings = {...aloneSettings(folder), leaseMs: LEASE_MS};
-    const parts = {clock: MEASURE_CLOCK, log: NO_LOG, random: new Random(1)};
-    const role = new ControlRole(settings, parts);
+    const settings = {...singleMemberSettings(folder), leaseMs: LEASE_MS};
+    const dependencies = {
+      clock: MEASURE_CLOCK,
+      log: NO_LOG,
+      random: new Random(1),
+    };
+    const role = new ControlRole(settings, dependencies);
     await role.start();
     await waitUntil(() => role.isReady());
     try {
@@ -74,7 +78,7 @@
   });
 }
 
-/** Replaces all once, then changes one workspace each time. */
+/** Installs the content as revision 1; later revisions change a workspace. */
 async function change(role: ControlRole, revision: number): Promise<void> {
   const object = {name: 'workspace-0', weight: revision};
   const put = {kind: 'put', section: 'workspaces', object} as const;
@@ -91,25 +95,25 @@
 async function subscribe(
   target: string,
   count: number,
-): Promise<MeasuredSubscriber[]> {
+): Promise<StubSubscriber[]> {
   const subscribers = Array.from(
     {length: count},
-    (_, n) => new MeasuredSubscriber(target, `router-${n}`),
+    (_, n) => new StubSubscriber(target, `router-${n}`),
   );
   await waitUntil(() => subscribers.every(one => one.confirmed));
   return subscribers;
 }
 
-/** Resolves when the last subscriber holds the revision. */
-function allHold(
-  subscribers: readonly MeasuredSubscriber[],
+/** Resolves when all subscribers have received the revision. */
+function waitForRevision(
+  subscribers: readonly StubSubscriber[],
   revision: number,
 ): Promise<void> {
   return new Promise(resolve => {
     let missing = subscribers.length;
     for (const subscriber of subscribers) {
-      subscriber.onRevision = held => {
-        if (held !== revision) return;
+      subscriber.onRevision = applied => {
+        if (applied !== revision) return;
         missing -= 1;
         if (missing === 0) resolve();
       };
@@ -117,37 +121,42 @@
   });
 }
 
-async function measureSpread(count: number): Promise<(string | number)[]> {
+async function measurePropagation(count: number): Promise<(string | number)[]> {
   return withRole(async role => {
     const subscribers = await subscribe(`127.0.0.1:${role.port}`, count);
     const accept = new Distribution(0.01);
-    const spread = new Distribution(0.01);
+    const propagation = new Distribution(0.01);
     for (let revision = 1; revision <= CHANGES; revision += 1) {
-      const held = allHold(subscribers, revision);
+      const propagated = waitForRevision(subscribers, revision);
       const started = performance.now();
       await change(role, revision);
       const accepted = performance.now();
-      await held;
+      await propagated;
       accept.record(accepted - started);
-      spread.record(performance.now() - accepted);
+      propagation.record(performance.now() - accepted);
     }
     for (const subscriber of subscribers) subscriber.close();
     return [
       count,
       roundTo(accept.percentile(50), 1),
-      roundTo(spread.percentile(50), 1),
-      roundTo(spread.max, 1),
+      roundTo(propagation.percentile(50), 1),
+      roundTo(propagation.max, 1),
     ];
   });
 }
 
-/** @returns time from accepted to in force at the last subscriber */
-export async function measureChangeSpread(): Promise<MeasureSection> {
+/** @returns time from acceptance to receipt by the last subscriber */
+export async function measureChangePropagation(): Promise<MeasureSection> {
   const rows: (string | number)[][] = [];
-  for (const count of SUBSCRIBERS) rows.push(await measureSpread(count));
+  for (const count of SUBSCRIBERS) rows.push(await measurePropagation(count));
   return {
-    title: 'From accepted to in force at the last subscriber, over sockets',
-    columns: ['subscribers', 'accept p50 ms', 'spread p50 ms', 'spread max ms'],
+    title: 'Propagation of an accepted change to all subscribers, over sockets',
+    columns: [
+      'subscribers',
+      'accept p50 ms',
+      'propagation p50 ms',
+      'propagation max ms',
+    ],
     rows,
     notes: [
       `${CHANGES} changes, ${WORKSPACES} workspaces, ${MODELS} pools; one member`,
@@ -176,24 +185,25 @@
     const cpu = process.cpuUsage();
     await pause(IDLE_MS);
     const used = process.cpuUsage(cpu);
-    const idle = forwarder.bytesToClients + forwarder.bytesToServer - bytes;
-    const held = allHold(subscribers, 2);
+    const idleBytes =
+      forwarder.bytesToClients + forwarder.bytesToServer - bytes;
+    const propagated = waitForRevision(subscribers, 2);
     const before = forwarder.bytesToClients;
     await change(role, 2);
-    await held;
+    await propagated;
     const pushed = forwarder.bytesToClients - before;
     for (const subscriber of subscribers) subscriber.close();
     forwarder.close();
     const subscriberSeconds = (IDLE_SUBSCRIBERS * IDLE_MS) / 1000;
     return {
-      bytesPerSecond: idle / subscriberSeconds,
+      bytesPerSecond: idleBytes / subscriberSeconds,
       microsecondsPerSecond: (used.user + used.system) / subscriberSeconds,
       bytesPerChange: pushed / IDLE_SUBSCRIBERS,
     };
   });
 }
 
-/** @returns bytes and processor time of an idle subscriber */
+/** @returns traffic and processor time of an idle subscriber */
 export async function measureIdleSubscribers(): Promise<MeasureSection> {
   const rows: (string | number)[][] = [];
   for (const servers of [0, SERVERS]) {
@@ -209,7 +219,7 @@
     ]);
   }
   return {
-    title: 'What a subscriber costs',
+    title: 'Cost of a subscriber',
     columns: [
       'backend servers',
       'idle B/s',
@@ -220,9 +230,9 @@
     ],
     rows,
     notes: [
-      'bytes of TCP streams in both directions, counted on the way',
-      `${IDLE_SUBSCRIBERS} subscribers, ${IDLE_MS} ms; CPU of member, clients and counter`,
-      '0 servers: heartbeats alone; 640: with the load digest each second',
+      'bytes of TCP streams in both directions, counted by a proxy',
+      `${IDLE_SUBSCRIBERS} subscribers, ${IDLE_MS} ms; CPU of member, clients and proxy`,
+      '0 servers: heartbeats only; 640: with the load digest each second',
     ],
   };
 }
--- a/packages/lovagepond-measure/src/play_engine.ts
+++ b/packages/lovagepond-measure/src/direct_servers.ts
@@ -1,75 +1,75 @@
 /**
- * An engine in virtual time, as gateways meet it: it reads one prompt after the
- * other, generates for all its requests at once, keeps what it has read while
- * its memory lasts, and takes contexts over from other engines.
+ * Simulated engines and plain services that gateways reach without a sidecar.
+ * Engines have serial prefill, parallel decoding and an LRU cache of shared
+ * prompt parts, and fetch contexts from each other.
  */
 import {type PromptPart} from '@lovagepond/gateway/deciders';
-import {type PlayAccount} from './play_account.js';
-import {type EngineFacts} from './play_types.js';
+import {type GatewaySimulationStatistics} from './gateway_simulation_statistics.js';
+import {type EngineProfile} from './gateway_simulation_types.js';
 import {type VirtualTime} from './virtual_time.js';
 
 /** One request at an engine. */
-export interface PlayRun {
+export interface EngineRequest {
   /** Shared parts, then the request's own. */
   readonly parts: readonly PromptPart[];
   readonly events: number;
   /** 0 (lowest) to 9. */
   readonly priority: number;
-  readonly source: PlayEngine | undefined;
+  readonly source: DirectEngine | undefined;
   onFirst(): void;
   onEnd(): void;
-  /** It fails or the engine ends. */
+  /** Called when the request fails or the engine crashes. */
   onBroken(): void;
-  /** The engine has no room for it. */
+  /** Called when the engine's queue is full. */
   onRefused(): void;
 }
 
-interface Waiting {
-  readonly run: PlayRun;
+interface QueuedRequest {
+  readonly run: EngineRequest;
   readonly order: number;
 }
 
-function tokensOf(run: PlayRun): number {
+function tokensOf(run: EngineRequest): number {
   return run.parts.reduce((sum, {tokens}) => sum + tokens, 0);
 }
 
-/** One engine. */
-export class PlayEngine {
-  readonly #facts: EngineFacts;
+/** A simulated engine. */
+export class DirectEngine {
+  readonly #profile: EngineProfile;
   readonly #time: VirtualTime;
-  readonly #account: PlayAccount;
-  readonly #running = new Set<PlayRun>();
-  #waiting: Waiting[] = [];
-  /** Shared parts by the ids of all parts up to them; the oldest use first. */
+  readonly #statistics: GatewaySimulationStatistics;
+  readonly #running = new Set<EngineRequest>();
+  #waiting: QueuedRequest[] = [];
+  /** Tokens of cached shared parts by prefix, least recently used first. */
   readonly #held = new Map<string, number>();
   #heldTokens = 0;
   #runningTokens = 0;
   #readsUntil = 0;
   #isUp = true;
-  #orders = 0;
-  /** Part of its requests that it fails. */
-  failingPart = 0;
-  readonly #fails: () => number;
+  #lastOrder = 0;
+  /** Share of requests that the engine fails. */
+  failureShare = 0;
+  readonly #draw: () => number;
 
   /**
-   * @param facts what it can do
-   * @param time the play's time
-   * @param account where readings are counted
-   * @param draw draws from 0 to 1, for failures
+   * @param profile speed and capacity
+   * @param time virtual clock
+   * @param statistics records the use of shared parts
+   * @param draw returns random numbers from 0 to 1, for failures
    */
   constructor(
-    facts: EngineFacts,
+    profile: EngineProfile,
     time: VirtualTime,
-    account: PlayAccount,
+    statistics: GatewaySimulationStatistics,
     draw: () => number,
   ) {
-    this.#facts = facts;
+    this.#profile = profile;
     this.#time = time;
-    this.#account = account;
-    this.#fails = draw;
+    this.#statistics = statistics;
+    this.#draw = draw;
   }
 
-  /** Requests that it processes, and those that wait. */
+  /** Numbers of running and queued requests. */
   get load(): {readonly running: number; readonly waiting: number} {
     return {running: this.#running.size, waiting: this.#waiting.length};
   }
@@ -78,29 +78,29 @@
     return this.#isUp;
   }
 
-  /** @returns true when it holds this part behind all before it */
+  /** @returns true when the engine caches this prefix */
   holds(prefix: string): boolean {
     return this.#isUp && this.#held.has(prefix);
   }
 
   /** @param run a request that arrives now */
-  start(run: PlayRun): void {
+  start(run: EngineRequest): void {
     if (!this.#isUp) {
       run.onBroken();
       return;
     }
-    if (this.failingPart > 0 && this.#fails() < this.failingPart) {
-      this.#time.after(this.#facts.stepMs, () => {
+    if (this.failureShare > 0 && this.#draw() < this.failureShare) {
+      this.#time.after(this.#profile.stepMs, () => {
         run.onBroken();
       });
       return;
     }
-    if (this.#waiting.length >= this.#facts.queue) {
+    if (this.#waiting.length >= this.#profile.queue) {
       run.onRefused();
       return;
     }
-    this.#orders += 1;
-    this.#waiting.push({run, order: this.#orders});
+    this.#lastOrder += 1;
+    this.#waiting.push({run, order: this.#lastOrder});
     this.#waiting.sort(
       (left, right) =>
         right.run.priority - left.run.priority || left.order - right.order,
@@ -108,7 +108,7 @@
     this.#admit();
   }
 
-  /** It ends at once, with all that it does and holds. */
+  /** Crashes: breaks all requests and loses the cache. */
   crash(): void {
     this.#isUp = false;
     const lost = [...this.#running, ...this.#waiting.map(({run}) => run)];
@@ -118,32 +118,32 @@
   }
 
   #admit(): void {
-    while (this.#running.size < this.#facts.slots) {
+    while (this.#running.size < this.#profile.slots) {
       const next = this.#waiting.shift();
       if (!next) return;
       this.#begin(next.run);
     }
   }
 
-  #begin(run: PlayRun): void {
-    const {readTokensPerMs, fetchTokensPerMs, firstMs} = this.#facts;
+  #begin(run: EngineRequest): void {
+    const {readTokensPerMs, fetchTokensPerMs, firstMs} = this.#profile;
     const now = this.#time.now;
     this.#running.add(run);
     this.#runningTokens += tokensOf(run);
-    const {unread, fetched} = this.#takeParts(run, now);
+    const {unread, fetched} = this.#loadParts(run, now);
     const workMs = firstMs + unread / readTokensPerMs;
     this.#readsUntil = Math.max(now, this.#readsUntil) + workMs;
     const readAt = this.#readsUntil + fetched / fetchTokensPerMs;
     this.#time.at(readAt, () => {
       if (!this.#running.has(run)) return;
-      this.#keep(run);
+      this.#storeParts(run);
       run.onFirst();
       this.#generate(run);
     });
   }
 
-  #takeParts(
-    {parts, source}: PlayRun,
+  #loadParts(
+    {parts, source}: EngineRequest,
     now: number,
   ): {readonly unread: number; readonly fetched: number} {
     let prefix = '';
@@ -158,20 +158,20 @@
       const how = isHeld ? 'held' : isAtSource ? 'fetched' : 'read';
       if (how === 'read') unread += tokens;
       if (how === 'fetched') fetched += tokens;
-      this.#account.used(prefix, tokens, how, now);
+      this.#statistics.recordSharedPart(prefix, tokens, how, now);
     }
     return {unread, fetched};
   }
 
-  /** What has been read stays until what is used later needs its place. */
-  #keep({parts}: PlayRun): void {
+  /** Caches the shared parts and evicts the least recently used ones. */
+  #storeParts({parts}: EngineRequest): void {
     let prefix = '';
     for (const {id, tokens} of parts.slice(0, -1)) {
       prefix += `/${id}`;
       if (!this.#held.delete(prefix)) this.#heldTokens += tokens;
       this.#held.set(prefix, tokens);
     }
-    const {memoryTokens} = this.#facts;
+    const {memoryTokens} = this.#profile;
     for (const [oldest, tokens] of this.#held) {
       if (this.#heldTokens + this.#runningTokens <= memoryTokens) return;
       this.#held.delete(oldest);
@@ -179,8 +179,8 @@
     }
   }
 
-  #generate(run: PlayRun): void {
-    const {tokensPerEvent, stepMs, stepMsPerRequest} = this.#facts;
+  #generate(run: EngineRequest): void {
+    const {tokensPerEvent, stepMs, stepMsPerRequest} = this.#profile;
     const perToken = stepMs + stepMsPerRequest * this.#running.size;
     const lengthMs = (run.events - 1) * tokensPerEvent * perToken;
     this.#time.after(Math.max(0, lengthMs), () => {
@@ -192,24 +192,24 @@
   }
 }
 
-/** A server of plain calls in virtual time: slots, and a queue before them. */
-export class PlayService {
+/** A simulated plain service with parallel slots and a queue. */
+export class DirectService {
   readonly #slots: number;
   readonly #queue: number;
   readonly #time: VirtualTime;
   readonly #waiting: (() => void)[] = [];
   readonly #draw: () => number;
   #running = 0;
-  failingPart = 0;
-  /** It works so many times as long as it should. */
+  failureShare = 0;
+  /** Multiple of the usual processing time. */
   slowness = 1;
   #isUp = true;
 
   /**
-   * @param slots calls at once
-   * @param queue calls that wait
-   * @param time the play's time
-   * @param draw draws from 0 to 1, for failures
+   * @param slots limit of running calls
+   * @param queue limit of queued calls
+   * @param time virtual clock
+   * @param draw returns random numbers from 0 to 1, for failures
    */
   constructor(
     slots: number,
@@ -227,14 +227,14 @@
     return {running: this.#running, waiting: this.#waiting.length};
   }
 
-  /** Ends at once. */
+  /** Crashes: calls break from now on. */
   crash(): void {
     this.#isUp = false;
   }
 
   /**
-   * @param workMs how long the call takes
-   * @param usualFailures part of such calls that a sound server fails
+   * @param workMs usual processing time, milliseconds
+   * @param usualFailures share of such calls that a healthy service fails
    * @param onEnd called with the outcome
    */
   start(
@@ -261,7 +261,7 @@
     this.#time.after(workMs * this.slowness, () => {
       this.#running -= 1;
       this.#waiting.shift()?.();
-      const part = Math.max(this.failingPart, usualFailures);
+      const part = Math.max(this.failureShare, usualFailures);
       if (!this.#isUp) onEnd('broken');
       else onEnd(this.#draw() < part ? 'failed' : 'ok');
     });
--- a/packages/lovagepond-measure/src/play_loads.ts
+++ b/packages/lovagepond-measure/src/gateway_simulation_loads.ts
@@ -1,20 +1,24 @@
 /**
- * The three deployments that are played, as their users describe them.
+ * The three simulated deployments, after their users' descriptions.
  */
-import {type PlayKind, type PlayLoad, type PlayTrouble} from './play_types.js';
+import {
+  type Disturbance,
+  type GatewayLoad,
+  type SimulatedRequestKind,
+} from './gateway_simulation_types.js';
 
 const HIGH = 9;
 
-/** A chat of the deployments' usual shape. */
+/** Creates a kind of chat. */
 function chat(
   name: string,
   perSecond: number,
   worth: readonly [onTime: number, late: number],
   times: readonly [targetMs: number, deadlineMs: number],
-  prompt: NonNullable<PlayKind['prompt']>,
+  prompt: NonNullable<SimulatedRequestKind['prompt']>,
   rank: number,
   repeatable = false,
-): PlayKind {
+): SimulatedRequestKind {
   return {
     name,
     perSecond,
@@ -29,14 +33,14 @@
   };
 }
 
-/** A call of a plain service. */
+/** Creates a kind of call of a plain service. */
 function call(
   name: string,
   perSecond: number,
   lateWorth: number,
   times: readonly [targetMs: number, deadlineMs: number],
   repeatable: boolean,
-): PlayKind {
+): SimulatedRequestKind {
   return {
     name,
     perSecond,
@@ -91,7 +95,7 @@
 };
 
 /** Coupons: six engines, nine entry hosts, four zones. */
-const COUPONS: PlayLoad = {
+const COUPONS: GatewayLoad = {
   name: 'coupons',
   gateways: 9,
   zones: 4,
@@ -108,7 +112,7 @@
 };
 
 /** Spill reports: six engines, seven entry hosts, three zones. */
-const REPORTS: PlayLoad = {
+const REPORTS: GatewayLoad = {
   name: 'reports',
   gateways: 7,
   zones: 3,
@@ -125,7 +129,7 @@
 };
 
 /** Letters of credit: thirteen engines, eight entry hosts, three zones. */
-const LETTERS: PlayLoad = {
+const LETTERS: GatewayLoad = {
   name: 'letters',
   gateways: 8,
   zones: 3,
@@ -195,11 +199,17 @@
   ],
 };
 
-/** The loads by their names. */
-export const PLAY_LOADS: readonly PlayLoad[] = [COUPONS, REPORTS, LETTERS];
+/** All simulated deployments. */
+export const GATEWAY_LOADS: readonly GatewayLoad[] = [
+  COUPONS,
+  REPORTS,
+  LETTERS,
+];
 
-/** Kinds of days, by what happens on them. */
-export const PLAY_DAYS: Readonly<Record<string, readonly PlayTrouble[]>> = {
+/** Disturbances of a simulation, by the name of the day. */
+export const DISTURBANCE_SCHEDULES: Readonly<
+  Record<string, readonly Disturbance[]>
+> = {
   calm: [],
   release: [{kind: 'release', atMs: 12_000, share: 0.5, gapMs: 1_000}],
   crash: [{kind: 'crash', atMs: 12_000, share: 0.2, forMs: 4_000}],
--- a/packages/lovagepond-measure/src/ledger_form_measure.ts
+++ b/packages/lovagepond-measure/src/ledger_form_measure.ts
@@ -1,6 +1,6 @@
 /**
- * Records by key against client sessions: bytes of a call that may not be
- * repeated, in the log and in memory, and calls a second through the state.
+ * Two forms of the ledger of non-repeatable calls, records by key and client
+ * sessions: bytes per call in the log and in memory, and calls a second.
  */
 import {
   CLAIM_COMMAND,
@@ -23,7 +23,7 @@
 const CALLS = 200_000;
 const SIDECARS = 640;
 const ANSWER = Buffer.alloc(200, 'a').toString('base64');
-/** A sidecar acknowledges so many results late. */
+/** Results that a sidecar has not yet acknowledged. */
 const UNACKNOWLEDGED = 16;
 
 const LIMITS = {
@@ -34,12 +34,12 @@
   answerCharactersLimit: 1e9,
 };
 
-/** One form of the ledger with calls made for it. */
+/** One form of the ledger, with a generator of its calls. */
 interface LedgerForm {
   readonly title: string;
-  /** Claims and records call `n`. */
+  /** Claims call `n` and records its result. */
   run(n: number): void;
-  /** Bytes of a call's two commands in the log. */
+  /** Bytes of the claim and the record in the log. */
   readonly logBytes: number;
 }
 
@@ -55,8 +55,8 @@
 
 const RECORDED = {status: 200, answer: ANSWER, contentType: 'application/json'};
 
-/** @returns the payload as a member reads it from its log */
-function passLog<Payload>(
+/** @returns the payload after encoding and decoding, as from a log */
+function encodeAndDecode<Payload>(
   command: Command<Payload>,
   payload: Payload,
 ): Payload {
@@ -81,8 +81,8 @@
   return {
     title: 'records by key (in use)',
     run: n => {
-      ledger.claim(passLog(CLAIM_COMMAND, makeClaim(n)), n);
-      ledger.record(passLog(RECORD_COMMAND, makeRecord(n)), n);
+      ledger.claim(encodeAndDecode(CLAIM_COMMAND, makeClaim(n)), n);
+      ledger.record(encodeAndDecode(RECORD_COMMAND, makeRecord(n)), n);
     },
     logBytes:
       encodeCommand(CLAIM_COMMAND, makeClaim(1), STAMP).length +
@@ -114,8 +114,8 @@
   return {
     title: 'sessions, with records by key for repeats',
     run: n => {
-      ledger.claim(passLog(claimCommand, makeClaim(n)), n);
-      ledger.record(passLog(recordCommand, makeRecord(n)), n);
+      ledger.claim(encodeAndDecode(claimCommand, makeClaim(n)), n);
+      ledger.record(encodeAndDecode(recordCommand, makeRecord(n)), n);
     },
     logBytes:
       encodeCommand(claimCommand, makeClaim(last), STAMP).length +
@@ -124,10 +124,10 @@
 }
 
 function measureForm(makeForm: () => LedgerForm): (string | number)[] {
-  const warm = makeForm();
-  for (let n = 0; n < 20_000; n += 1) warm.run(n);
+  const warmUpForm = makeForm();
+  for (let n = 0; n < 20_000; n += 1) warmUpForm.run(n);
   let seconds = 0;
-  const {kept, bytes} = measureHeap(() => {
+  const {value: measuredForm, bytes} = measureHeap(() => {
     const form = makeForm();
     const started = performance.now();
     for (let n = 0; n < CALLS; n += 1) form.run(n);
@@ -135,14 +135,14 @@
     return form;
   });
   return [
-    kept.title,
-    kept.logBytes,
+    measuredForm.title,
+    measuredForm.logBytes,
     roundTo(bytes / CALLS, 0),
     Math.round(CALLS / seconds),
   ];
 }
 
-/** @returns both forms of the ledger */
+/** @returns a comparison of both forms of the ledger */
 export function measureLedgerForms(): MeasureSection {
   return {
     title: 'Ledger: records by key against client sessions',
--- a/packages/lovagepond-measure/src/measure_fleet.ts
+++ b/packages/lovagepond-measure/src/placement_simulation.ts
@@ -1,6 +1,6 @@
 /**
- * One run: routers, backend servers and a stand-in for control in virtual
- * time.
+ * Discrete-event simulation of placement: routers, backend servers and a stub
+ * of control.
  */
 import {encodeLoad, Random} from '@lovagepond/core';
 import {lovagepond} from '@lovagepond/protocol';
@@ -10,80 +10,87 @@
   type PlacementPolicy,
   type PlacementPolicyName,
 } from '@lovagepond/router';
-import {planChurn} from './measure_churn.js';
+import {scheduleChurn} from './placement_churn.js';
+import {OraclePolicy} from './placement_oracle.js';
+import {PlacementOutcomes, SkewSampler} from './placement_outcomes.js';
 import {
-  type FleetSettings,
   HOP_MS,
-  type Variant,
-} from './measure_fleet_types.js';
-import {MeasureOutcomes, SkewSampler} from './measure_outcomes.js';
-import {WarmestPolicy} from './measure_reference.js';
-import {MeasureRouter} from './measure_router.js';
-import {MeasureServer, type ServerPort} from './measure_server.js';
-import {type Arrival} from './measure_workload.js';
+  type PlacementSimulationSettings,
+  type PlacementVariant,
+} from './placement_simulation_types.js';
+import {type Arrival} from './placement_workload.js';
+import {SimulatedRouter} from './simulated_router.js';
+import {
+  SimulatedServer,
+  type SimulatedServerDependencies,
+} from './simulated_server.js';
 import {VirtualTime} from './virtual_time.js';
 
 const ANNOUNCE_INTERVAL_MS = 1_000;
 const DIGEST_INTERVAL_MS = 1_000;
 const DRAIN_LIMIT_MS = 15_000;
-/** Up to so many servers, skew is looked at on each change of a load. */
+/** Up to this many servers, skew is sampled on each change of a load. */
 const SAMPLE_EACH_CHANGE_UP_TO = 64;
 const SAMPLE_INTERVAL_MS = 50;
-/** HTTP/2 frame head and gRPC message head. */
+/** HTTP/2 frame header and gRPC message prefix. */
 const FRAME_BYTES = 14;
-/** A member's name, labels, address and state on the wire. */
+/** Encoded size of a member's name, labels, address and state. */
 const MEMBER_BYTES = 120;
-/** Keeps the draws of churn the same for every variant. */
+/** Separates the seed of churn, so that churn is equal for all variants. */
 const CHURN_SEED_STEP = 7_919;
 const CACHE_MOVE_TOKENS_PER_SECOND = 40_000;
 
-/** What a server announced last. */
-interface Announced {
+/** The last announcement of a server. */
+interface LastAnnouncement {
   readonly runningTokens: number;
   readonly queuedTokens: number;
   readonly at: number;
 }
 
-/** The figures of one run. */
-export interface FleetResult {
-  readonly outcomes: MeasureOutcomes;
+/** The results of one simulation. */
+export interface PlacementResult {
+  readonly outcomes: PlacementOutcomes;
   readonly skew: SkewSampler;
-  /** For each router. */
+  /** Mean over the routers. */
   readonly controlBytesPerSecond: number;
   readonly events: number;
 }
 
-/** The run. */
-export class MeasureFleet implements ServerPort {
+/** One simulation. */
+export class PlacementSimulation implements SimulatedServerDependencies {
   readonly time = new VirtualTime();
-  readonly settings: FleetSettings;
-  readonly variant: Variant;
+  readonly settings: PlacementSimulationSettings;
+  readonly variant: PlacementVariant;
   readonly #hasher: KeyHasher;
-  readonly #outcomes: MeasureOutcomes;
+  readonly #outcomes: PlacementOutcomes;
   readonly #skew: SkewSampler;
   readonly #random: Random;
-  readonly #servers = new Map<string, MeasureServer>();
-  readonly #ready = new Set<MeasureServer>();
-  readonly #announced = new Map<MeasureServer, Announced>();
-  readonly #routers: MeasureRouter[];
+  readonly #servers = new Map<string, SimulatedServer>();
+  readonly #ready = new Set<SimulatedServer>();
+  readonly #announced = new Map<SimulatedServer, LastAnnouncement>();
+  readonly #routers: SimulatedRouter[];
   #slots = 0;
   /**
-   * A server that leaves the list keeps its last byte: read as idle by routers
-   * that still list it, it would draw all of their requests.
+   * A delisted server keeps its last byte. Cleared, it would look idle to
+   * routers that still list the server and attract all of their requests.
    */
   #digest = new Uint8Array(0);
   #controlBytes = 0;
-  #refreshPlanned = false;
+  #refreshScheduled = false;
 
-  constructor(settings: FleetSettings, variant: Variant, hasher: KeyHasher) {
+  constructor(
+    settings: PlacementSimulationSettings,
+    variant: PlacementVariant,
+    hasher: KeyHasher,
+  ) {
     this.settings = settings;
     this.variant = variant;
     this.#hasher = hasher;
     this.#random = new Random(settings.seed);
     const {floorTokens, pool, warmUpMs} = settings;
-    this.#outcomes = new MeasureOutcomes(warmUpMs);
+    this.#outcomes = new PlacementOutcomes(warmUpMs);
     this.#skew = new SkewSampler(floorTokens, pool.loadBound, warmUpMs);
-    const port = {
+    const routerDependencies = {
       time: this.time,
       settings,
       hasher,
@@ -92,23 +99,27 @@
     this.#routers = Array.from(
       {length: settings.routers},
       (_, index) =>
-        new MeasureRouter(port, this.#makePolicy(), settings.seed + index),
+        new SimulatedRouter(
+          routerDependencies,
+          this.#makePolicy(),
+          settings.seed + index,
+        ),
     );
   }
 
   /**
-   * @param arrivals requests in order of time; each comes to any router
-   * @returns the figures
+   * @param arrivals requests by time; each goes to a random router
+   * @returns the results
    */
-  run(arrivals: readonly Arrival[]): FleetResult {
+  run(arrivals: readonly Arrival[]): PlacementResult {
     const {servers, endMs} = this.settings;
     for (let index = 0; index < servers; index++) this.#addServer();
     for (const router of this.#routers) router.setList([...this.#ready]);
     for (const arrival of arrivals) {
       const router = this.#random.pick(this.#routers);
-      this.time.at(arrival.at, () => router.arrive(arrival));
+      this.time.at(arrival.at, () => router.dispatch(arrival));
     }
-    planChurn(this, new Random(this.settings.seed + CHURN_SEED_STEP));
+    scheduleChurn(this, new Random(this.settings.seed + CHURN_SEED_STEP));
     this.time.every(DIGEST_INTERVAL_MS, 500, () => this.#publishDigest());
     if (servers > SAMPLE_EACH_CHANGE_UP_TO) {
       this.time.every(SAMPLE_INTERVAL_MS, 0, () => this.#sampleSkew());
@@ -122,35 +133,35 @@
     return {outcomes, skew: this.#skew, controlBytesPerSecond, events};
   }
 
-  findServer(name: string): MeasureServer | undefined {
+  findServer(name: string): SimulatedServer | undefined {
     return this.#servers.get(name);
   }
 
-  /** @returns the servers that control counts as ready */
-  get ready(): readonly MeasureServer[] {
+  /** @returns the servers listed as ready */
+  get ready(): readonly SimulatedServer[] {
     return [...this.#ready];
   }
 
-  changed(_server: MeasureServer): void {
+  changed(_server: SimulatedServer): void {
     if (this.settings.servers <= SAMPLE_EACH_CHANGE_UP_TO) this.#sampleSkew();
-    if (this.variant.exact && this.variant.gated) this.#planRefresh();
+    if (this.variant.exact && this.variant.gated) this.#scheduleRefresh();
   }
 
-  /** A new server under a new name comes up and joins the list. */
+  /** Starts a server under a new name and lists it. */
   join(): void {
     this.#addServer();
     this.#publishList();
   }
 
-  /** @param server loses its process at once */
-  crash(server: MeasureServer): void {
+  /** @param server crashes and is delisted */
+  crash(server: SimulatedServer): void {
     server.crash();
-    this.leaveList(server);
+    this.delist(server);
   }
 
-  /** @param server finishes what it has and gets nothing new */
-  drain(server: MeasureServer): void {
-    this.leaveList(server);
+  /** @param server is delisted and finishes its requests */
+  drain(server: SimulatedServer): void {
+    this.delist(server);
     if (this.variant.moveCache) this.#moveCaches(server);
     server.drain(DRAIN_LIMIT_MS);
     this.time.after(DRAIN_LIMIT_MS, () => {
@@ -158,15 +169,15 @@
     });
   }
 
-  /** @param server is no longer on control's list */
-  leaveList(server: MeasureServer): void {
+  /** @param server is removed from control's list */
+  delist(server: SimulatedServer): void {
     this.#ready.delete(server);
     this.#announced.delete(server);
     this.#publishList();
   }
 
-  /** @param server is on control's list again */
-  returnToList(server: MeasureServer): void {
+  /** @param server is put back on control's list */
+  relist(server: SimulatedServer): void {
     if (!server.alive || server.gate.draining) return;
     this.#ready.add(server);
     this.#publishList();
@@ -177,12 +188,12 @@
     if (Object.hasOwn(PLACEMENT_POLICIES, name)) {
       return PLACEMENT_POLICIES[name as PlacementPolicyName](this.#hasher);
     }
-    return new WarmestPolicy(server => this.#servers.get(server)?.engine);
+    return new OraclePolicy(server => this.#servers.get(server)?.engine);
   }
 
   #addServer(): void {
     const slot = this.#slots++;
-    const server = new MeasureServer(`server-${slot}`, slot, this);
+    const server = new SimulatedServer(`server-${slot}`, slot, this);
     this.#servers.set(server.name, server);
     this.#ready.add(server);
     const phase = this.#random.below(ANNOUNCE_INTERVAL_MS);
@@ -190,7 +201,7 @@
     this.time.every(ANNOUNCE_INTERVAL_MS, first, () => this.#announce(server));
   }
 
-  #announce(server: MeasureServer): void {
+  #announce(server: SimulatedServer): void {
     if (!server.alive || !this.#ready.has(server)) return;
     const {now} = this.time;
     const {runningTokens, queuedTokens} = server.gate.load(now);
@@ -227,7 +238,7 @@
     });
     const {floorTokens} = this.settings;
     const loaded = peers.filter(({tokens}) => tokens > floorTokens);
-    // The live servers' bytes travel: control reuses the slots of those gone.
+    // Only live servers count for traffic: control reuses free slots.
     const live = loads.subarray(0, this.#ready.size);
     const load = {membership_version: 1, loads: live, age_ms: 500};
     const {length} = lovagepond.v1.ControlUpdate.encode({load}).finish();
@@ -243,11 +254,11 @@
     });
   }
 
-  /** Each router learns of the list's change at its own time. */
+  /** Sends the list to each router with a random delay. */
   #publishList(): void {
     const {maxListLagMs} = this.settings;
     this.#controlBytes += MEMBER_BYTES * this.#routers.length;
-    if (this.variant.exact) this.#planRefresh();
+    if (this.variant.exact) this.#scheduleRefresh();
     for (const router of this.#routers) {
       const lag = this.variant.exact ? 0 : this.#random.next() * maxListLagMs;
       this.time.after(lag, () => router.setList([...this.#ready]));
@@ -263,16 +274,16 @@
     this.#skew.change(loads, this.time.now);
   }
 
-  #planRefresh(): void {
-    if (this.#refreshPlanned) return;
-    this.#refreshPlanned = true;
+  #scheduleRefresh(): void {
+    if (this.#refreshScheduled) return;
+    this.#refreshScheduled = true;
     this.time.after(0, () => {
-      this.#refreshPlanned = false;
+      this.#refreshScheduled = false;
       this.#refreshExact();
     });
   }
 
-  /** The all-knowing reference: every gate knows the mean of this moment. */
+  /** For exact variants: gives every gate the current mean. */
   #refreshExact(): void {
     const servers = [...this.#ready].filter(server => server.alive);
     const {now} = this.time;
@@ -297,8 +308,8 @@
     });
   }
 
-  /** Brings the most recent chats to where they will land next, in order. */
-  #moveCaches(leaving: MeasureServer): void {
+  /** Moves the caches of recent chats, newest first, to their next servers. */
+  #moveCaches(leaving: SimulatedServer): void {
     const router = this.#routers[0];
     if (!router) return;
     let delayMs = 0;
--- a/packages/lovagepond-measure/src/measure_workload.ts
+++ b/packages/lovagepond-measure/src/placement_workload.ts
@@ -1,28 +1,28 @@
 /**
- * Seeded arrivals of both users' deployments.
+ * Workload generators: seeded arrivals for both users' deployments.
  */
 import {Random} from '@lovagepond/core';
 
 /** One request of a chat. */
 export interface Arrival {
   readonly id: string;
-  /** Virtual milliseconds. */
+  /** Arrival time, virtual milliseconds. */
   readonly at: number;
   readonly workspace: string;
   readonly chat: string;
   readonly promptTokens: number;
-  /** Leading prompt tokens that the chat's earlier turns can have left. */
+  /** Leading prompt tokens that earlier turns may have left in a cache. */
   readonly contextTokens: number;
   readonly answerTokens: number;
-  /** Time the caller waits for the whole answer, milliseconds. */
+  /** Deadline for the whole answer, milliseconds after arrival. */
   readonly deadlineMs: number;
 }
 
-/** Mostly three large workspaces of ten. */
+/** Three of the ten workspaces send most of the traffic. */
 const WORKSPACE_WEIGHTS = [40, 20, 12, 6, 5, 5, 4, 3, 3, 2] as const;
 const WEIGHT_TOTAL = WORKSPACE_WEIGHTS.reduce((sum, weight) => sum + weight, 0);
 
-/** Sizes and pauses of one kind of chat. */
+/** Sizes and deadline of one kind of chat. */
 interface ChatKind {
   readonly prefix: string;
   readonly firstContext: () => number;
@@ -31,8 +31,8 @@
   readonly deadlineMs: number;
 }
 
-/** Makes the turns of chats, each with its growing context. */
-class ChatWriter {
+/** Generates the turns of chats; the context grows with each turn. */
+class ChatGenerator {
   readonly arrivals: Arrival[] = [];
   readonly random: Random;
 
@@ -54,10 +54,10 @@
   /**
    * @param kind the kind of chat
    * @param workspace its workspace
-   * @param number tells the chat from others of its kind
+   * @param number identifies the chat within its kind
    * @param times virtual time of each turn
    */
-  writeChat(
+  addChat(
     kind: ChatKind,
     workspace: string,
     number: number,
@@ -101,39 +101,43 @@
   return times;
 }
 
-/** Chats that start one by one all the time. */
-function writeSteadyChats(
-  writer: ChatWriter,
+/** Adds chats that start as a Poisson process. */
+function addSteadyChats(
+  generator: ChatGenerator,
   kind: ChatKind,
   options: {endMs: number; perSecond: number; turns: number; pauseMs: number},
 ): void {
-  const {random} = writer;
+  const {random} = generator;
   let at = random.exponential(1000 / options.perSecond);
   for (let number = 0; at < options.endMs; number++) {
     const times = turnTimes(random, at, options.turns, 3_000, options.pauseMs);
-    writer.writeChat(kind, writer.pickWorkspace(), number, times);
+    generator.addChat(kind, generator.pickWorkspace(), number, times);
     at += random.exponential(1000 / options.perSecond);
   }
 }
 
-/** How large a run is. */
+/** Duration and scale of a workload. */
 export interface WorkloadSize {
   readonly endMs: number;
-  /** Times the load of a deployment of six engines. */
+  /** Multiple of the load of a deployment of six engines. */
   readonly scale: number;
 }
 
-const WAKE_PERIOD_MS = 60_000;
+const RESUME_PERIOD_MS = 60_000;
 /** Kiosks are switched on one by one during the first period. */
 const SWITCH_ON_MS = 50_000;
 const KIOSKS = 2_000;
-const KIOSK_WAKES = 0.8;
-const WAKE_SPREAD_MS = 1_500;
+const RESUME_PROBABILITY = 0.8;
+const RESUME_DELAY_MS = 1_500;
 const KIOSK_TURNS_BEFORE_RESET = 8;
 
-/** One kiosk's wakes; it starts a new chat after some turns. */
-function writeKiosk(writer: ChatWriter, kiosk: number, endMs: number): void {
-  const {random} = writer;
+/** Adds one kiosk's turns; the kiosk starts a new chat after some turns. */
+function addKiosk(
+  generator: ChatGenerator,
+  kiosk: number,
+  endMs: number,
+): void {
+  const {random} = generator;
   const kind = {
     prefix: `kiosk-${kiosk}`,
     firstContext: () => 300 + random.below(500),
@@ -141,36 +145,36 @@
     answerTokens: 40,
     deadlineMs: 20_000,
   };
-  const workspace = writer.pickWorkspace();
+  const workspace = generator.pickWorkspace();
   const offset = random.below(KIOSK_TURNS_BEFORE_RESET);
   const chats = new Map<number, number[]>();
   chats.set(0, [random.next() * SWITCH_ON_MS]);
-  for (let wake = 1; wake * WAKE_PERIOD_MS < endMs; wake++) {
-    if (random.next() >= KIOSK_WAKES) continue;
-    const chat = Math.floor((wake + offset) / KIOSK_TURNS_BEFORE_RESET);
+  for (let period = 1; period * RESUME_PERIOD_MS < endMs; period++) {
+    if (random.next() >= RESUME_PROBABILITY) continue;
+    const chat = Math.floor((period + offset) / KIOSK_TURNS_BEFORE_RESET);
     const times = chats.get(chat) ?? [];
-    const late = random.exponential(WAKE_SPREAD_MS);
-    times.push(wake * WAKE_PERIOD_MS + late);
+    const delayMs = random.exponential(RESUME_DELAY_MS);
+    times.push(period * RESUME_PERIOD_MS + delayMs);
     chats.set(chat, times);
   }
   for (const [chat, times] of chats) {
-    writer.writeChat(kind, workspace, chat, times);
+    generator.addChat(kind, workspace, chat, times);
   }
 }
 
 /**
- * The hourly wake, an hour shortened to a minute: thousands of kiosks resume
- * their chats within seconds, beside a few shoppers who chat all the time.
+ * Kiosks that resume hourly, an hour shortened to a minute: thousands of them
+ * continue their chats within seconds, beside a steady rate of shoppers.
  *
- * @param size length and scale
- * @param seed of all draws
- * @returns the arrivals in order of time
+ * @param size duration and scale
+ * @param seed random seed
+ * @returns the arrivals by time
  */
-export function makeWake(size: WorkloadSize, seed: number): Arrival[] {
-  const writer = new ChatWriter(seed);
-  const {random} = writer;
+export function makeKioskArrivals(size: WorkloadSize, seed: number): Arrival[] {
+  const generator = new ChatGenerator(seed);
+  const {random} = generator;
   for (let kiosk = 0; kiosk < KIOSKS * size.scale; kiosk++) {
-    writeKiosk(writer, kiosk, size.endMs);
+    addKiosk(generator, kiosk, size.endMs);
   }
   const shopper = {
     prefix: 'shopper',
@@ -182,27 +186,27 @@
   const perSecond = 3 * size.scale;
   const {endMs} = size;
   const options = {endMs, perSecond, turns: 4, pauseMs: 20_000};
-  writeSteadyChats(writer, shopper, options);
-  return writer.finish(endMs);
+  addSteadyChats(generator, shopper, options);
+  return generator.finish(endMs);
 }
 
 const STORM_PERIOD_MS = 150_000;
 const FIRST_STORM_MS = 20_000;
 const STORM_CHATS = 80;
-const STORM_SPREAD_MS = 10_000;
+const STORM_START_DELAY_MS = 10_000;
 const REPORT_TURNS = 6;
 
 /**
  * Storms: many long report chats start together and return within seconds to
- * minutes, beside a few that go on all the time.
+ * minutes, beside a low steady rate of such chats.
  *
- * @param size length and scale
- * @param seed of all draws
- * @returns the arrivals in order of time
+ * @param size duration and scale
+ * @param seed random seed
+ * @returns the arrivals by time
  */
-export function makeStorm(size: WorkloadSize, seed: number): Arrival[] {
-  const writer = new ChatWriter(seed);
-  const {random} = writer;
+export function makeStormArrivals(size: WorkloadSize, seed: number): Arrival[] {
+  const generator = new ChatGenerator(seed);
+  const {random} = generator;
   const report = {
     prefix: 'report',
     firstContext: () => 6_000 + random.below(10_000),
@@ -214,14 +218,14 @@
   const {endMs} = size;
   for (let at = FIRST_STORM_MS; at < endMs; at += STORM_PERIOD_MS) {
     for (let chat = 0; chat < STORM_CHATS * size.scale; chat++) {
-      const start = at + random.exponential(STORM_SPREAD_MS);
+      const start = at + random.exponential(STORM_START_DELAY_MS);
       const times = turnTimes(random, start, REPORT_TURNS, 6_000, 10_000);
-      writer.writeChat(report, writer.pickWorkspace(), number++, times);
+      generator.addChat(report, generator.pickWorkspace(), number++, times);
     }
   }
   const inspector = {...report, prefix: 'inspector'};
   const perSecond = 0.2 * size.scale;
   const options = {endMs, perSecond, turns: 6, pauseMs: 20_000};
-  writeSteadyChats(writer, inspector, options);
-  return writer.finish(endMs);
+  addSteadyChats(generator, inspector, options);
+  return generator.finish(endMs);
 }
--- a/packages/lovagepond-measure/src/sidecar_cost_measure.ts
+++ b/packages/lovagepond-measure/src/sidecar_cost_measure.ts
@@ -1,9 +1,9 @@
 /**
- * What the gate's decisions cost against the length of its queue.
+ * Processor time of the gate's decisions, by the length of its queue.
  */
 import {type GateAction, type SidecarGate} from '@lovagepond/sidecar';
-import {type MeasureSection} from './measure_types.js';
 import {roundTo} from './measure_statistics.js';
+import {type MeasureSection} from './measure_types.js';
 import {makeMeasuredGate, makeMeasuredOffer} from './sidecar_offer_utils.js';
 
 const QUEUE_LENGTHS = [0, 100, 1_000, 10_000] as const;
@@ -16,11 +16,11 @@
 const FLOOR_TOKENS = 14_000;
 const MICROSECONDS = 1_000;
 
-/** A gate with a queue of one length, and its running attempts. */
+/** A gate with a queue of a given length, and its running attempts. */
 class LoadedGate {
   readonly gate: SidecarGate;
   readonly #running: string[] = [];
-  #made = 0;
+  #offered = 0;
 
   constructor(queueLength: number) {
     this.gate = makeMeasuredGate(
@@ -31,30 +31,30 @@
     for (let index = 0; index < queueLength + running; index++) this.offer();
   }
 
-  /** One more request comes. */
+  /** Offers a new request. */
   offer(): void {
-    const number = this.#made++;
+    const number = this.#offered++;
     const workspace = `workspace-${number % WORKSPACES}`;
     const chat = `chat-${number % CHATS}`;
     const offer = makeMeasuredOffer(`attempt-${number}`, {workspace, chat});
-    this.#note(this.gate.offer(offer, 0));
+    this.#apply(this.gate.offer(offer, 0));
   }
 
-  /** The oldest run ends, and the next request is dispatched. */
+  /** Finishes the oldest run; the gate dispatches the next request. */
   finish(): void {
     const attemptId = this.#running.shift();
     if (attemptId === undefined) return;
-    this.#note(this.gate.finish(attemptId, {kind: 'failed'}, 0));
+    this.#apply(this.gate.finish(attemptId, {kind: 'failed'}, 0));
   }
 
-  #note(actions: readonly GateAction[]): void {
+  #apply(actions: readonly GateAction[]): void {
     for (const {kind, attemptId} of actions) {
       if (kind === 'dispatch') this.#running.push(attemptId);
     }
   }
 }
 
-/** @returns microseconds for one call */
+/** @returns microseconds per call */
 function timeEach(count: number, call: () => void): number {
   const started = performance.now();
   for (let index = 0; index < count; index++) call();
@@ -63,12 +63,12 @@
 
 function measureLength(length: number): (string | number)[] {
   const loaded = new LoadedGate(length);
-  const turn = (): void => {
+  const finishAndOffer = (): void => {
     loaded.finish();
     loaded.offer();
   };
-  timeEach(WARM_UP, turn);
-  const turnUs = timeEach(DECISIONS, turn);
+  timeEach(WARM_UP, finishAndOffer);
+  const pairUs = timeEach(DECISIONS, finishAndOffer);
   let now = 0;
   const reviewUs = timeEach(REVIEWS, () => {
     now += MICROSECONDS;
@@ -79,28 +79,28 @@
   });
   return [
     length,
-    roundTo(turnUs, 2),
-    Math.round((2 * 1e6) / turnUs),
+    roundTo(pairUs, 2),
+    Math.round((2 * 1e6) / pairUs),
     roundTo(reviewUs, 1),
     roundTo(takeUs, 1),
   ];
 }
 
-/** @returns the cost of offers, ends, reviews and takes */
+/** @returns the cost of offers, finishes, reviews and takes */
 export function measureGateCost(): MeasureSection {
   return {
     title: 'Sidecar: cost of a decision at the gate',
     columns: [
       'requests waiting',
-      'µs each request (offer and end)',
+      'µs each request (offer and finish)',
       'decisions a second',
       'µs each review (every 250 ms)',
-      'µs each Take asked',
+      'µs each Take',
     ],
     rows: QUEUE_LENGTHS.map(measureLength),
     notes: [
       `${WORKSPACES} workspaces, ${CHATS} chats, ${DECISIONS} requests each.`,
-      'A Take without room looks at all that waits and moves nothing.',
+      'A Take without room visits all queued requests and moves none.',
     ],
   };
 }
--- a/packages/lovagepond-measure/src/measure_engine.ts
+++ b/packages/lovagepond-measure/src/simulated_engine.ts
@@ -1,37 +1,36 @@
 /**
- * A stand-in for a model engine in virtual time: one prefill after the other,
- * decoding shared by all streams, a prefix cache that forgets the least
- * recently used chat.
+ * A simulated model engine: serial prefill, decoding shared by all streams, and
+ * a prefix cache with LRU eviction by chat.
  */
 import {MinHeap} from './virtual_time.js';
 
 const MS_PER_SECOND = 1000;
 
-/** What the engine can do. */
-export interface MeasureEngineSettings {
+/** Speed and capacity of an engine. */
+export interface SimulatedEngineSettings {
   readonly prefillTokensPerSecond: number;
-  /** Over all streams. */
+  /** Total over all streams. */
   readonly decodeTokensPerSecond: number;
-  /** Most that one stream gets. */
+  /** Limit of one stream. */
   readonly streamTokensPerSecond: number;
-  /** Running tokens at most; what comes beyond waits inside the engine. */
+  /** Limit of running tokens; further requests queue in the engine. */
   readonly capacityTokens: number;
   /** Tokens of idle chats that stay cached. */
   readonly cacheTokens: number;
 }
 
-/** One request in the engine. */
+/** One request at the engine. */
 export interface EngineRun {
   readonly id: string;
   /** Key of its chat in the prefix cache. */
   readonly chatKey: string;
   readonly promptTokens: number;
-  /** Leading tokens of the prompt that an earlier turn can have left. */
+  /** Leading prompt tokens that earlier turns may have left in the cache. */
   readonly contextTokens: number;
   readonly answerTokens: number;
 }
 
-/** What happened to a run. */
+/** Progress of a run. */
 export interface EngineEvent {
   readonly kind: 'firstToken' | 'done';
   readonly run: EngineRun;
@@ -39,22 +38,22 @@
   readonly cachedTokens: number;
 }
 
-interface Active {
+interface ActiveRun {
   readonly run: EngineRun;
   cachedTokens: number;
 }
 
 interface Prefill {
-  readonly active: Active;
+  readonly active: ActiveRun;
   readonly readyAt: number;
 }
 
-function workOf(run: EngineRun): number {
+function totalTokens(run: EngineRun): number {
   return run.promptTokens + run.answerTokens;
 }
 
-/** Chats kept by recent use, within a bound of tokens. */
-export class MeasureCache {
+/** An LRU cache of chats, bounded by tokens. */
+export class PrefixCache {
   readonly #limit: number;
   readonly #chats = new Map<string, number>();
   #tokens = 0;
@@ -63,17 +62,17 @@
     this.#limit = limitTokens;
   }
 
-  /** @returns cached tokens of the chat, without counting as a use */
+  /** @returns cached tokens of the chat; doesn't count as a use */
   peek(chatKey: string): number {
     return this.#chats.get(chatKey) ?? 0;
   }
 
-  /** @returns chats by recent use, the most recent first */
+  /** @returns the cached chats, most recently used first */
   recentChats(): string[] {
     return [...this.#chats.keys()].reverse();
   }
 
-  /** @returns chats that had to go */
+  /** @returns the evicted chats */
   put(chatKey: string, tokens: number): string[] {
     this.#tokens += tokens - this.peek(chatKey);
     this.#chats.delete(chatKey);
@@ -89,26 +88,26 @@
   }
 }
 
-/** The engine. Time is an argument; events are read by {@link advance}. */
-export class MeasureEngine {
-  readonly #settings: MeasureEngineSettings;
-  readonly cache: MeasureCache;
-  readonly #waiting: Active[] = [];
+/** The engine. Callers pass the time and drive it with {@link advance}. */
+export class SimulatedEngine {
+  readonly #settings: SimulatedEngineSettings;
+  readonly cache: PrefixCache;
+  readonly #waiting: ActiveRun[] = [];
   readonly #prefills: Prefill[] = [];
-  readonly #decoding = new MinHeap<Active>();
-  /** Tokens that a stream which was there from the start would have. */
-  #attained = 0;
+  readonly #decoding = new MinHeap<ActiveRun>();
+  /** Tokens that a stream decoded since the start would have received. */
+  #decodedPerStream = 0;
   #advancedTo = 0;
   #inCapacity = 0;
   #loadTokens = 0;
   #evicted: string[] = [];
 
-  constructor(settings: MeasureEngineSettings) {
+  constructor(settings: SimulatedEngineSettings) {
     this.#settings = settings;
-    this.cache = new MeasureCache(settings.cacheTokens);
+    this.cache = new PrefixCache(settings.cacheTokens);
   }
 
-  /** @returns tokens handed to the engine and not finished */
+  /** @returns tokens of unfinished runs */
   get loadTokens(): number {
     return this.#loadTokens;
   }
@@ -120,23 +119,23 @@
     return evicted;
   }
 
-  /** @param run handed over now */
+  /** @param run starts or queues now */
   start(run: EngineRun, now: number): void {
-    this.#loadTokens += workOf(run);
+    this.#loadTokens += totalTokens(run);
     this.#waiting.push({run, cachedTokens: 0});
     this.#admit(now);
   }
 
-  /** @returns when {@link advance} is needed next; Infinity when idle */
+  /** @returns time of the next event; Infinity when idle */
   nextEventAt(): number {
     const prefillAt = this.#prefills[0]?.readyAt ?? Infinity;
     const rate = this.#ratePerMs();
     if (rate === 0) return prefillAt;
-    const left = this.#decoding.leastKey - this.#attained;
+    const left = this.#decoding.leastKey - this.#decodedPerStream;
     return Math.min(prefillAt, this.#advancedTo + Math.max(0, left) / rate);
   }
 
-  /** @returns what happened up to now */
+  /** @returns the events up to now */
   advance(now: number): EngineEvent[] {
     const events: EngineEvent[] = [];
     while (this.nextEventAt() <= now) {
@@ -162,7 +161,7 @@
   }
 
   #decodeUntil(time: number): void {
-    this.#attained += this.#ratePerMs() * (time - this.#advancedTo);
+    this.#decodedPerStream += this.#ratePerMs() * (time - this.#advancedTo);
     this.#advancedTo = time;
   }
 
@@ -170,18 +169,18 @@
     let head = this.#waiting[0];
     while (head && this.#fits(head.run)) {
       this.#waiting.shift();
-      this.#inCapacity += workOf(head.run);
+      this.#inCapacity += totalTokens(head.run);
       this.#beginPrefill(head, now);
       head = this.#waiting[0];
     }
   }
 
   #fits(run: EngineRun): boolean {
-    const total = this.#inCapacity + workOf(run);
+    const total = this.#inCapacity + totalTokens(run);
     return this.#inCapacity === 0 || total <= this.#settings.capacityTokens;
   }
 
-  #beginPrefill(active: Active, now: number): void {
+  #beginPrefill(active: ActiveRun, now: number): void {
     const {run} = active;
     const cached = this.cache.peek(run.chatKey);
     active.cachedTokens = Math.min(cached, run.contextTokens);
@@ -196,7 +195,7 @@
   #endPrefill({active}: Prefill): EngineEvent {
     this.#prefills.shift();
     const {run, cachedTokens} = active;
-    this.#decoding.push(this.#attained + run.answerTokens, active);
+    this.#decoding.push(this.#decodedPerStream + run.answerTokens, active);
     return {kind: 'firstToken', run, cachedTokens};
   }
 
@@ -204,7 +203,7 @@
     const active = this.#decoding.pop();
     if (!active) return [];
     const {run, cachedTokens} = active;
-    const work = workOf(run);
+    const work = totalTokens(run);
     this.#loadTokens -= work;
     this.#inCapacity -= work;
     this.#evicted.push(...this.cache.put(run.chatKey, work));
