--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_core.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_core.test.ts
@@ -215,8 +215,8 @@
     expect(carried()).toBe(2);
   });
 
-  // The same for snapshot chunks. Replies to heartbeats that overtook a chunk,
-  // and late replies, name the offset before it.
+  // A chunk is in transit. Replies to heartbeats that overtook it, and late
+  // replies, name the offset before the chunk, although it is not lost.
   it('resends a snapshot chunk only when it is lost', () => {
     const data = Buffer.from('a state of two parts');
     const snapshot = {index: 1, term: 1, members: MEMBERS, data};
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_core_model.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_core_model.test.ts
@@ -33,7 +33,7 @@
   faults: ModelFaults,
 ];
 
-/** Examples that fail without an earlier fix, or with a safeguard removed. */
+/** Examples that fail without the fix or safeguard against the named fault. */
 const REGRESSIONS: Example[] = [
   // A leader that removed itself, and whose log alone contains the removal, is
   // never elected.
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_losses.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_losses.test.ts
@@ -284,8 +284,8 @@
 });
 
 describe('hosts without a disk', () => {
-  // They receive the log and forward calls, but never vote: a restart would
-  // lose a vote kept in memory, and the entries acknowledged with it.
+  // Hosts without a disk receive the log and forward calls, but never vote: a
+  // restart would lose a vote kept in memory, and the acknowledged entries.
   it('receive the log, and are no voters', async () => {
     fleet = new Fleet(['a:1', 'b:1', 'c:1'], 1);
     for (const address of ['a:1', 'b:1', 'c:1']) await fleet.start(address);
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_node.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_node.test.ts
@@ -112,25 +112,29 @@
       nodes.push(await startNode(address, storage, ADDRESSES));
     }
     await advance(3000);
-    const former = nodes[0]!.node;
-    expect(former.status().role).toBe('leader');
-    expect(former.status().members).toHaveLength(3);
+    const leader = nodes[0]!.node;
+    expect(leader.status().role).toBe('leader');
+    expect(leader.status().members).toHaveLength(3);
     for (const text of ['a', 'b', 'c', 'd', 'e', 'f']) {
-      expect(await propose(former, text)).toBe('committed');
+      expect(await propose(leader, text)).toBe('committed');
     }
 
-    await former.stop();
-    const left = nodes.slice(1).map(({node}) => node);
-    await left[1]!.stop();
+    await leader.stop();
+    const survivors = nodes.slice(1).map(({node}) => node);
+    await survivors[1]!.stop();
     const emptied = new MemoryStorage('a:1-second');
-    const back = await startNode('a:1', emptied, ADDRESSES);
+    const returned = await startNode('a:1', emptied, ADDRESSES);
     await advance(5000);
-    expect(back.node.status()).toMatchObject({role: 'follower', members: []});
+    expect(returned.node.status()).toMatchObject({
+      role: 'follower',
+      members: [],
+    });
     expect((await emptied.open()).entries).toEqual([]);
   });
 
-  // The same with the other hosts running: the host joins as a learner,
-  // receives the snapshot, and replaces its previous identity as a voter.
+  // A host returns with an empty disk while the other hosts run. It joins as a
+  // learner, receives the snapshot, and replaces its previous identity as a
+  // voter.
   it('lets a host with an emptied disk catch up and vote again', async () => {
     const nodes = [];
     for (const address of ADDRESSES) {
@@ -143,9 +147,9 @@
     }
     await nodes[0]!.node.stop();
     const emptied = new MemoryStorage('a:1-second');
-    const back = await startNode('a:1', emptied, ADDRESSES);
+    const returned = await startNode('a:1', emptied, ADDRESSES);
     await advance(6000);
-    expect(back.register.value).toBe('abcdef');
+    expect(returned.register.value).toBe('abcdef');
     const leading = nodes.find(({node}) => node.status().role === 'leader')!;
     const {members} = leading.node.status();
     expect(members.map(({id, voter}) => `${id} ${voter}`).sort()).toEqual([
@@ -266,11 +270,11 @@
     const lostId = nodes[lost]!.node.status().id;
     await nodes[lost]!.node.stop();
     nodes.splice(lost, 1);
-    // By now the leader counts it as inactive.
+    // After this time the leader counts the lost voter as inactive.
     await advance(timings.electionTimeoutMs);
     nodes.push(await join('e:1'));
     await advance(2500);
-    // After less than four seconds it may only be restarting.
+    // For less than four seconds the lost voter may only be restarting.
     expect(voters()).toContain(lostId);
     expect(voters()).not.toContain('e:1');
     await advance(4000);
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_status_log.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_status_log.test.ts
@@ -3,8 +3,8 @@
 import {type ConsensusStatus, type MemberList} from '../../index.js';
 
 // A group can't elect a leader after two of its four disks were lost at once.
-// The logs must show which members are voters and how far each log reaches, and
-// a line for each heartbeat would bury that.
+// The logs must show which members are voters and how far each log reaches. A
+// line for each heartbeat would hide these lines.
 test('logs role, term and members when one of them changes', () => {
   const lines: unknown[] = [];
   const log = {
--- a/packages/lovagepond-consensus/src/consensus_formation.ts
+++ b/packages/lovagepond-consensus/src/consensus_formation.ts
@@ -61,10 +61,10 @@
 export const FORWARDED_ROUND = 0;
 
 /**
- * Time between two announcements of a leader to hosts that do not reply to it,
- * in milliseconds. It is short compared with the second that the hosts need to
- * serve again after a restart of all of them. Some of these hosts may never
- * return.
+ * Interval of a leader's announcements to hosts that do not reply to it, in
+ * milliseconds. It is short compared with the second that all hosts need to
+ * serve again after a restart of the whole fleet. Hosts that never return are
+ * sent announcements as well.
  */
 const ANNOUNCEMENT_INTERVAL_MS = 100;
 
--- a/packages/lovagepond-consensus/src/consensus_leadership.ts
+++ b/packages/lovagepond-consensus/src/consensus_leadership.ts
@@ -348,7 +348,8 @@
   }
 
   /**
-   * Sends a chunk of at most `bytes`; with 0, a request for the next offset.
+   * Sends a chunk of at most `bytes`. An empty chunk is a heartbeat, and the
+   * reply to it names the next offset.
    */
   #sendChunk(member: Member, transfer: SnapshotTransfer, bytes: number): void {
     const {snapshot, offset} = transfer;
--- a/packages/lovagepond-consensus/src/consensus_member_removal.ts
+++ b/packages/lovagepond-consensus/src/consensus_member_removal.ts
@@ -19,9 +19,9 @@
 
 /**
  * Time without a reply, in milliseconds, after which a voter is removed from a
- * group that has enough others. The next loss may follow four seconds after the
- * successor of a replaced host has started, and the old host stops during the
- * second of these four seconds.
+ * group that has enough others. The old host of a planned replacement stops
+ * between one and two seconds after its successor has started, and the next
+ * loss may follow four seconds after that start.
  */
 const SURPLUS_LOST_AFTER_MS = 1_000;
 
--- a/packages/lovagepond-consensus/src/consensus_rounds.ts
+++ b/packages/lovagepond-consensus/src/consensus_rounds.ts
@@ -51,8 +51,8 @@
   #confirmedAt = -Infinity;
   #tickedAt: number;
   /**
-   * End of the last stall that was excused, and the confirmed round at that
-   * time.
+   * End of the last stall that did not count as time without replies, and the
+   * confirmed round at that time.
    */
   #stalledUntil = -Infinity;
   #stalledRound = -1;
@@ -65,12 +65,13 @@
   }
 
   /**
-   * Excuses a stall of the leader's own event loop: the time does not count as
-   * missing replies, once between two confirmed rounds. A leader that takes
-   * over after a restart of all processes reads and forwards the state of a
-   * dozen engines, which stalls it for 0.3 s. It would then step down although
-   * the group is healthy, and callers would be refused for another half second.
-   * The lease is not extended and ends by the clock.
+   * Detects a stall of the leader's own event loop. Once between two confirmed
+   * rounds, the time of a stall does not count as time without replies.
+   *
+   * A leader elected after a restart of all processes reads and forwards the
+   * state of a dozen engines, which stalls it for 0.3 s. Without this exception
+   * it would step down although the group is healthy, and callers would be
+   * refused for another half second. The stall does not extend the lease.
    *
    * @param now monotonic milliseconds; call it with each tick
    */
