--- a/packages/lovagepond-core/src/__tests__/unit/core_crash_evidence.test.ts
+++ b/packages/lovagepond-core/src/__tests__/unit/core_crash_evidence.test.ts
@@ -173,8 +173,8 @@
           }
           const crashedAt = at * SECOND_MS;
           const name = `s${server}`;
-          const told = {server: name, requests, crashedAt};
-          const quarantined = evidence.noteCrash(told, crashedAt);
+          const report = {server: name, requests, crashedAt};
+          const quarantined = evidence.noteCrash(report, crashedAt);
           for (const one of requests) {
             const known = servers.get(one) ?? new Set<number>();
             servers.set(one, known.add(server));
--- a/packages/lovagepond-core/src/core_control_addresses.ts
+++ b/packages/lovagepond-core/src/core_control_addresses.ts
@@ -50,7 +50,10 @@
     this.#tried.clear();
   }
 
-  /** Selects another member, if possible one that has not failed meanwhile. */
+  /**
+   * Selects another member, preferably one that has not failed since the last
+   * contact with a member.
+   */
   selectNext(): void {
     this.#tried.add(this.#current);
     let untried = this.#findUntried();
--- a/packages/lovagepond-core/src/core_invariant.ts
+++ b/packages/lovagepond-core/src/core_invariant.ts
@@ -19,7 +19,7 @@
  *
  * @param condition what must be true
  * @param code number of this invariant, unique in the code base
- * @param message the violated condition, for the log
+ * @param message describes the violation, for the log
  * @throws InvariantError when the condition is false
  */
 export function invariant(
--- a/packages/lovagepond-process/src/process_lifecycle.ts
+++ b/packages/lovagepond-process/src/process_lifecycle.ts
@@ -1,9 +1,9 @@
 /**
  * State machine for shutdown, reload and dump of a process, without I/O.
  *
- * A graceful shutdown first withdraws readiness and waits until the load
- * balancers have noticed. If the address were closed at once, callers' requests
- * would be refused for as long as a balancer still lists this process.
+ * A graceful shutdown first withdraws readiness, and starts to drain only after
+ * a delay in which load balancers notice this. If the address were closed at
+ * once, requests would be refused while a balancer still lists this process.
  */
 import {EXIT_CODE, type ExitCode} from './exit_codes_constants.js';
 
@@ -30,7 +30,7 @@
 
 /** Time limits of a graceful shutdown. */
 export interface LifecycleSettings {
-  /** Time between withdrawing readiness and draining, milliseconds. */
+  /** Delay between withdrawing readiness and draining, milliseconds. */
   readonly announceDelayMs: number;
   /** Longest time to wait for requests in flight, milliseconds. */
   readonly drainLimitMs: number;
--- a/packages/lovagepond-protocol/src/protocol_membership.ts
+++ b/packages/lovagepond-protocol/src/protocol_membership.ts
@@ -27,7 +27,7 @@
 
 const STATES: ReadonlySet<string> = new Set(Object.values(SERVER_STATE));
 
-/** Maps a state that this version doesn't support to one without requests. */
+/** Unsupported states map to `joining`, in which a server gets no requests. */
 function readState(text: string | null | undefined): ServerState {
   const known = STATES.has(text ?? '');
   return known ? (text as ServerState) : SERVER_STATE.JOINING;
