--- a/packages/lovagepond-backend/src/__tests__/unit/backend_event_stream.test.ts
+++ b/packages/lovagepond-backend/src/__tests__/unit/backend_event_stream.test.ts
@@ -100,9 +100,9 @@
   });
 });
 
-test('an answer that nobody reads applies backpressure to the server', async () => {
-  // The caller reads slowly, so the sidecar reads nothing for a while. Without
-  // backpressure the complete answer would be buffered in the sidecar.
+test('a caller that reads nothing applies backpressure to the server', async () => {
+  // Without backpressure the sidecar would buffer the complete answer while its
+  // caller reads nothing.
   const sockets: Socket[] = [];
   const server = createServer((_req, res) => {
     const chunk = Buffer.alloc(64 * 1024);
@@ -122,17 +122,17 @@
   });
   const request = {path: '/', headers: {}, silenceMs: 5_000} as const;
   const exchange = client.send({method: 'GET', ...request}, false);
-  let former = -1;
+  let previous = -1;
   await expect
     .poll(() => {
       const sent = sockets[0]?.bytesWritten ?? -2;
-      const still = sent === former && sent > 0;
-      former = sent;
+      const still = sent === previous && sent > 0;
+      previous = sent;
       return still;
     })
     .toBe(true);
   // The kernel's buffers on both ends of the loopback hold part of the answer.
-  expect(former).toBeLessThan(32 * 1024 * 1024);
+  expect(previous).toBeLessThan(32 * 1024 * 1024);
   exchange.abort();
   await client.close();
   server.close();
--- a/packages/lovagepond-backend/src/__tests__/unit/backend_http_engine.test.ts
+++ b/packages/lovagepond-backend/src/__tests__/unit/backend_http_engine.test.ts
@@ -214,8 +214,8 @@
   const unknown = await collect(engine, completion('r2', {resumeFrom: 10}));
   expect(unknown.last).toMatchObject({failure: {kind: 'answerTruncated'}});
   await server.stop();
-  // A new client without pooled connections, as bytes can still be written to
-  // one whose end was not noticed yet.
+  // A new client has no pooled connections. Bytes can still be written to a
+  // pooled connection whose end was not noticed yet.
   const freshClient = connectEngine(server.address);
   const gone = await collect(freshClient, completion('r3'));
   expect(gone.events).toEqual([
--- a/packages/lovagepond-backend/src/__tests__/unit/backend_http_service.test.ts
+++ b/packages/lovagepond-backend/src/__tests__/unit/backend_http_service.test.ts
@@ -34,9 +34,9 @@
 });
 
 test('a failed call is "not run" only when no byte of it was sent', async () => {
-  // A redemption fails in every possible way. Whenever the service may have run
-  // it, the outcome says so, and it is never sent again. With a wrong "not run"
-  // it would be redeemed twice.
+  // A call that redeems a coupon fails in every possible way. Whenever the
+  // service may have run the call, the outcome says so, and the call is never
+  // sent again. With a wrong "not run" the coupon would be redeemed twice.
   const server = await startService();
   const service = connectService(server.address);
   const modes = {
--- a/packages/lovagepond-backend/src/backend_http_engine.ts
+++ b/packages/lovagepond-backend/src/backend_http_engine.ts
@@ -87,7 +87,7 @@
     const parsed = schema.safeParse(JSON.parse(answer.value.body.toString()));
     if (parsed.success) return {ok: true, value: parsed.data};
   } catch {
-    // Falls through to the failure below.
+    // Invalid JSON fails like a message that does not match the schema.
   }
   return failed('backendFailed', 'The engine sent an invalid JSON message.');
 }
--- a/packages/lovagepond-backend/src/backend_http_run.ts
+++ b/packages/lovagepond-backend/src/backend_http_run.ts
@@ -89,7 +89,7 @@
     return this.#dispatched && unwanted;
   }
 
-  /** @param kind error kind of the run if it has been dispatched */
+  /** @param kind error kind of the run if it was already dispatched */
   abort(kind: ErrorKind): void {
     this.#abortKind ??= kind;
     this.#exchange?.abort();
@@ -106,10 +106,10 @@
     }
     let end = yield* this.#runConnection(body, false);
     // The fault may be in the connection and not in the engine: when a device
-    // on the network path has dropped the connection's state, it stays silent
-    // forever. A new connection resumes from the delivered offset. The engine
-    // identifies the request by its id and rejects it when it can't continue,
-    // so that two generations are never joined.
+    // on the network path has dropped a connection's state, the connection
+    // stays silent forever. A new connection resumes from the delivered offset.
+    // The engine identifies the request by its id and rejects it when it can't
+    // resume its generation, so that two generations are never joined.
     if (end.kind === 'lost' && this.#canResume()) {
       this.#parser.reset();
       const second = yield* this.#runConnection(body, true);
@@ -171,9 +171,9 @@
 
   /**
    * Checks that the engine resumes the same generation: it must return the
-   * requested offset. An engine without support for resuming would run the
-   * request again and send the first bytes again, and the caller would get two
-   * generations as one answer.
+   * requested offset. An engine that can't resume would generate the answer
+   * again from its start, and the caller would get two generations as one
+   * answer.
    */
   #confirmsOffset(headers: IncomingHttpHeaders): boolean {
     if (this.#received === 0) return true;
--- a/packages/lovagepond-backend/src/backend_http_service.ts
+++ b/packages/lovagepond-backend/src/backend_http_service.ts
@@ -23,7 +23,7 @@
   [LOSS.ABORTED]: 'revoked',
 };
 
-/** Error kinds for a failure after that: the call may have run. */
+/** Error kinds for a failure after the first byte: the call may have run. */
 const LOST_AFTER_DISPATCH: Readonly<Record<Loss, ErrorKind>> = {
   [LOSS.UNREACHABLE]: 'backendFailed',
   [LOSS.SILENT]: 'backendSilent',
--- a/packages/lovagepond-backend/src/backend_model_engine.ts
+++ b/packages/lovagepond-backend/src/backend_model_engine.ts
@@ -39,7 +39,7 @@
  * `dispatched` it means that the request was not run.
  */
 export type EngineEvent =
-  /** The first byte is about to be sent; from now on it may have run. */
+  /** The first byte is about to be sent; from now on the request may run. */
   | {readonly kind: 'dispatched'}
   /** The engine added the request to its batch. */
   | {
