--- a/packages/lovagepond-cli/src/__tests__/unit/command_explain.test.ts
+++ b/packages/lovagepond-cli/src/__tests__/unit/command_explain.test.ts
@@ -2,7 +2,7 @@
 import {describe, expect, it} from 'vitest';
 import {runExplain} from '../../command_explain.js';
 
-/** Log lines of processes that ran. */
+/** Log lines recorded from running processes. */
 const LOGS = fileURLToPath(
   new URL('../../../../../examples/logs/three_failures.jsonl', import.meta.url),
 );
--- a/packages/lovagepond-cli/src/self_check.ts
+++ b/packages/lovagepond-cli/src/self_check.ts
@@ -102,7 +102,7 @@
     {role: 'assistant', content: answer.text},
     {role: 'user', content: 'And in autumn?'},
   ]);
-  if (cachedTokens === 0) throw new Error('the returning chat used no cache');
+  if (cachedTokens === 0) throw new Error('no tokens of the chat were cached');
   return `chat: came back through another router, ${cachedTokens} prompt tokens from the cache`;
 }
 
--- a/packages/lovagepond-cli/src/settings_gateway.ts
+++ b/packages/lovagepond-cli/src/settings_gateway.ts
@@ -34,7 +34,7 @@
   window: duration().optional(),
   /** Additional retries per window, shared by all gateways. */
   slack: decimal(0, MAX_COUNT).optional(),
-  /** Number of gateways assumed to share the slack until more are known. */
+  /** Smallest number of gateways assumed to share the slack. */
   shares: integer(1, MAX_COUNT).optional(),
 });
 
--- a/packages/lovagepond-cli/src/settings_reloader.ts
+++ b/packages/lovagepond-cli/src/settings_reloader.ts
@@ -28,7 +28,7 @@
    * @param file path of the settings file
    * @param schema the schema of the file
    * @param values the values in use
-   * @param log logs each changed key, and takes the new log level
+   * @param log receives the changed keys; its level is updated
    */
   constructor(
     file: string,
--- a/packages/lovagepond-cli/src/settings_utils.ts
+++ b/packages/lovagepond-cli/src/settings_utils.ts
@@ -25,7 +25,7 @@
 }
 
 /**
- * @param addresses addresses
+ * @param addresses the addresses from the settings file
  * @param port port that replaces the port of each address; undefined keeps them
  * @returns the addresses to use
  */
@@ -38,7 +38,7 @@
 }
 
 /**
- * @param addresses addresses
+ * @param addresses the addresses to format
  * @returns each address as `host:port`
  */
 export function formatAddresses(addresses: readonly HostPort[]): string[] {
--- a/packages/lovagepond-explain/src/explain_causes.ts
+++ b/packages/lovagepond-explain/src/explain_causes.ts
@@ -9,10 +9,11 @@
 const CAUSES: Readonly<Record<string, Cause>> = {
   answered: ({lines}) =>
     lines.length > 1
-      ? 'it was answered by a retry; its lines show why the first attempt failed'
-      : 'it was answered by the first attempt; if it took long, the time was ' +
+      ? 'a retry was answered; the lines above show why the first attempt failed'
+      : 'the first attempt was answered; if that took long, the time was ' +
         'spent at the server: check the load of the server at that time',
-  failed: () => 'the server ran it and answered with an error of its own',
+  failed: () =>
+    'the server ran the request and answered with an error of its own',
   cut: report =>
     `the server broke off (${lastReason(report)}); a partial answer that no ` +
     'other server may continue is aborted, so that it never looks complete',
@@ -32,17 +33,18 @@
     `revision ${processState?.revision ?? '?'} has no such selector, and control had ` +
     'confirmed this revision within two seconds',
   quarantined: () =>
-    'servers crashed while they ran it: search for its fingerprint in ' +
+    'servers crashed while they ran the request: search for its fingerprint in ' +
     '"request quarantined" and "backend server crashed", or run ' +
     '"lovagepond ctl quarantine list"',
   noBackendServer: ({processState}) =>
     `no server of the pool accepted work; ${processState?.servers ?? 'no'} servers were known`,
   overloaded: () =>
-    'every server that was tried was full and refused it without running it',
+    'every server that was tried was full and refused to run the request',
   unreachable: () => 'the connection to every server that was tried failed',
-  deadlineUnreachable: () => 'its deadline left no time to send it to a server',
+  deadlineUnreachable: () =>
+    'the deadline left no time to send the request to a server',
   backendFailed: report =>
-    `the server broke off (${lastReason(report)}) and may have run it`,
+    `the server broke off (${lastReason(report)}) and may have run the request`,
   backendSilent: () => 'the server sent no answer before the deadline',
 };
 
@@ -64,7 +66,7 @@
     message.startsWith('request '),
   );
   if (!last) {
-    return 'no line logs its end: it was still in flight, or lines are missing';
+    return 'no line logs its end: the request was in flight, or lines are missing';
   }
   const {outcome, reason} = last.fields;
   const kind = formatValue(outcome) || formatValue(reason);
--- a/packages/lovagepond-explain/src/explain_histogram.ts
+++ b/packages/lovagepond-explain/src/explain_histogram.ts
@@ -2,7 +2,7 @@
  * Histogram of request durations with bounded memory.
  */
 
-/** Ratio of neighbouring bucket bounds: quantiles are exact to a tenth. */
+/** Ratio of neighbouring bucket bounds: quantiles are exact to 10%. */
 const BUCKET_RATIO = 1.1;
 
 /** Counts durations in exponentially growing buckets. */
--- a/packages/lovagepond-explain/src/explain_report_text.ts
+++ b/packages/lovagepond-explain/src/explain_report_text.ts
@@ -6,7 +6,7 @@
 import {type ProcessState} from './explain_process_state.js';
 import {type RequestReport} from './explain_request.js';
 
-/** Fields that are left out: the rest of the report shows them. */
+/** Fields omitted from rendered lines: shown elsewhere or not needed. */
 const OMITTED_FIELDS: ReadonlySet<string> = new Set([
   'role',
   'name',
--- a/packages/lovagepond-explain/src/explain_request.ts
+++ b/packages/lovagepond-explain/src/explain_request.ts
@@ -27,7 +27,7 @@
   readonly nearbyFailures: readonly LogLine[];
 }
 
-/** Builds a report from log lines; log files may follow one another. */
+/** Builds a report from the lines of one or more log files. */
 export class RequestReportBuilder {
   readonly #id: string;
   readonly #processStates = new ProcessStateTracker();
@@ -51,7 +51,7 @@
     }
   }
 
-  /** @returns the report, or undefined when no line names the request */
+  /** @returns the report, or undefined when no line has the request's id */
   build(): RequestReport | undefined {
     if (this.#lines.length === 0) return undefined;
     const lines = [...this.#lines].sort(
--- a/packages/lovagepond-explain/src/explain_summary.ts
+++ b/packages/lovagepond-explain/src/explain_summary.ts
@@ -33,7 +33,7 @@
   readonly causes: Map<string, number>;
 }
 
-/** Requests that one cause left unanswered. */
+/** Number and share of the unanswered requests with the same cause. */
 export interface CauseShare {
   readonly cause: string;
   readonly requests: number;
@@ -147,11 +147,11 @@
       this.#getRuleCount(rule).durations.add(Number(fields['durationMs'] ?? 0));
       return;
     }
-    const begun = fields['status'] === 0 ? ', no answer started' : '';
+    const noAnswerNote = fields['status'] === 0 ? ', no answer started' : '';
     this.#countRequest(
       rule,
       timeMs,
-      `${outcome}${begun} (${failure ?? 'no failure'})`,
+      `${outcome}${noAnswerNote} (${failure ?? 'no failure'})`,
     );
   }
 
--- a/packages/lovagepond-explain/src/explain_summary_text.ts
+++ b/packages/lovagepond-explain/src/explain_summary_text.ts
@@ -3,7 +3,7 @@
  */
 import {type Summary} from './explain_summary.js';
 
-/** Causes with a row of their own; one row adds up the others. */
+/** Causes with a row of their own; one more row sums up the others. */
 const SHOWN_CAUSES = 12;
 
 function percent(share: number): string {
--- a/packages/lovagepond-operator/src/operator_server.ts
+++ b/packages/lovagepond-operator/src/operator_server.ts
@@ -81,7 +81,7 @@
       this.#server.listen(port, host, resolve);
     });
     const address = this.#server.address() as AddressInfo | null;
-    invariant(address, 400, 'a listening server has an address');
+    invariant(address, 400, 'listening server has no address');
     this.#log.info('administration listens', {host, port: address.port});
     return address.port;
   }
