--- a/packages/lovagepond-cli/src/role_router.ts
+++ b/packages/lovagepond-cli/src/role_router.ts
@@ -16,14 +16,18 @@
   schema: ROUTER_SCHEMA,
   createRole(values, dependencies) {
     const settings = {...DEFAULT_ROUTER_SETTINGS, ...toRouterSettings(values)};
-    const front = {...DEFAULT_CALLER_SETTINGS, ...toCallerSettings(values)};
+    const callerSettings = {
+      ...DEFAULT_CALLER_SETTINGS,
+      ...toCallerSettings(values),
+    };
     const {clock, log, random} = dependencies;
     return Promise.resolve(
       new RouterRole(settings, {
         clock,
         log,
         random,
-        createFront: handler => new CallerServer(front, {clock, handler}),
+        createFront: handler =>
+          new CallerServer(callerSettings, {clock, handler}),
       }),
     );
   },
--- a/packages/lovagepond-cli/src/standalone_set.ts
+++ b/packages/lovagepond-cli/src/standalone_set.ts
@@ -64,11 +64,11 @@
     return value;
   });
   const free = await findFreePorts(ports.size);
-  const moved = new Map(
+  const newPorts = new Map(
     [...ports].map((port, index) => [port, String(free[index])]),
   );
   return mapValues(set, value =>
-    value.replace(LOOPBACK_PORT, port => moved.get(port) ?? port),
+    value.replace(LOOPBACK_PORT, port => newPorts.get(port) ?? port),
   );
 }
 
--- a/packages/lovagepond-consensus/src/__tests__/model/consensus_model.ts
+++ b/packages/lovagepond-consensus/src/__tests__/model/consensus_model.ts
@@ -166,12 +166,12 @@
   deliver(): void {
     if (this.#network.length === 0) return;
     const at = this.#random.below(this.#network.length);
-    const picked = this.#network[at]!;
+    const packet = this.#network[at]!;
     const last = this.#network.pop()!;
     if (at < this.#network.length) this.#network[at] = last;
-    const to = this.#hostAt(picked.address);
-    if (!to?.core || this.#blocked.has(this.#link(picked.fromHost, to))) return;
-    to.core.receive(picked.message, this.nowAt(to));
+    const to = this.#hostAt(packet.address);
+    if (!to?.core || this.#blocked.has(this.#link(packet.fromHost, to))) return;
+    to.core.receive(packet.message, this.nowAt(to));
     this.#perform(to);
   }
 
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_core.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_core.test.ts
@@ -253,16 +253,16 @@
   it('requests a snapshot after the configured bytes of commands', () => {
     rig.lead();
     rig.acknowledge('b', 2);
-    const asked = (): number[] =>
+    const snapshotIndexes = (): number[] =>
       rig.actions.flatMap(action =>
         action.kind === 'takeSnapshot' ? [action.index] : [],
       );
     const bytes = TIMINGS.snapshotEveryBytes;
-    expect(asked()).toEqual([]);
+    expect(snapshotIndexes()).toEqual([]);
     rig.propose('x'.repeat(bytes));
     rig.sync();
     rig.acknowledge('b', 3);
-    expect(asked()).toEqual([3]);
+    expect(snapshotIndexes()).toEqual([3]);
     rig.core.snapshotTaken(3, Buffer.alloc(bytes));
     rig.core.flush(rig.now);
     rig.collect();
@@ -270,11 +270,11 @@
     rig.propose('x'.repeat(bytes));
     rig.sync();
     rig.acknowledge('b', 4);
-    expect(asked()).toEqual([3]);
+    expect(snapshotIndexes()).toEqual([3]);
     rig.propose('x'.repeat(bytes));
     rig.sync();
     rig.acknowledge('b', 5);
-    expect(asked()).toEqual([3, 5]);
+    expect(snapshotIndexes()).toEqual([3, 5]);
   });
 
   it('counts its own entries towards a commit only once synced', () => {
@@ -294,16 +294,16 @@
     rig.now = AFTER_TIMEOUT;
     rig.core.tick(rig.now);
     rig.collect();
-    const asked = (): number => rig.sent('preVote').length;
-    expect(asked()).toBe(2);
+    const countPreVotes = (): number => rig.sent('preVote').length;
+    expect(countPreVotes()).toBe(2);
     rig.now += T * 0.49;
     rig.core.tick(rig.now);
     rig.collect();
-    expect(asked()).toBe(2);
+    expect(countPreVotes()).toBe(2);
     rig.now += T * 0.51;
     rig.core.tick(rig.now);
     rig.collect();
-    expect(asked()).toBe(4);
+    expect(countPreVotes()).toBe(4);
   });
 
   // Vote requests of two candidates in the same term arrive, the second one
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_file_storage.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_file_storage.test.ts
@@ -178,8 +178,8 @@
     expect(lost).toMatchObject({kind: 'damaged', file: 'log-000000000002'});
     await writeFile(snapshot, bytes);
     await rm(join(folder, 'log-000000000002'));
-    const forgotten = await failureOf(new FileStorage(folder).open());
-    expect(forgotten).toMatchObject({kind: 'damaged'});
+    const withoutLog = await failureOf(new FileStorage(folder).open());
+    expect(withoutLog).toMatchObject({kind: 'damaged'});
   });
 
   // A sync fails once. The kernel may have dropped the pages, and a second sync
--- a/packages/lovagepond-consensus/src/consensus_elector.ts
+++ b/packages/lovagepond-consensus/src/consensus_elector.ts
@@ -131,7 +131,7 @@
       return;
     }
     const attempt = this.#attempt;
-    this.#askVoters({kind: 'preVote', ...this.#lastEntry(), attempt});
+    this.#sendToVoters({kind: 'preVote', ...this.#lastEntry(), attempt});
   }
 
   #startElection(now: number): void {
@@ -139,10 +139,10 @@
     state.becomeCandidate();
     state.postponeElection(now);
     this.#granted.clear();
-    this.#askVoters({kind: 'vote', ...this.#lastEntry()});
+    this.#sendToVoters({kind: 'vote', ...this.#lastEntry()});
   }
 
-  #askVoters(body: MessageBody): void {
+  #sendToVoters(body: MessageBody): void {
     const {replica, id, outbox} = this.#state;
     for (const member of replica.log.members) {
       if (!member.voter || member.id === id) continue;
--- a/packages/lovagepond-consensus/src/consensus_file_storage.ts
+++ b/packages/lovagepond-consensus/src/consensus_file_storage.ts
@@ -276,10 +276,10 @@
   async #replaceSegment(snapshot: Snapshot): Promise<void> {
     const {index, term} = snapshot;
     const {base, entries} = this.#content;
-    const holdsLast = entries.some(
+    const hasLastEntry = entries.some(
       entry => entry.index === index && entry.term === term,
     );
-    this.#content.entries = holdsLast
+    this.#content.entries = hasLastEntry
       ? entries.filter(entry => entry.index > index)
       : [];
     this.#content.base = {id: base.id, index};
--- a/packages/lovagepond-consensus/src/consensus_leadership.ts
+++ b/packages/lovagepond-consensus/src/consensus_leadership.ts
@@ -37,9 +37,9 @@
 /**
  * Number of heartbeat rounds of which one includes the observers. With all
  * heartbeats sent to four observers, an idle fleet of nine entry hosts needs
- * half as much processor time again: 68 s instead of 42 s in a run of a minute.
- * At this rate observers still have leader contact several times before they
- * would ask to join again.
+ * half as much CPU time again: 68 s instead of 42 s in a minute. At this rate
+ * observers still have leader contact several times before they would ask to
+ * join again.
  */
 const ROUNDS_PER_OBSERVER_HEARTBEAT = 4;
 
