--- a/packages/lovagepond-consensus/src/consensus_leadership.ts
+++ b/packages/lovagepond-consensus/src/consensus_leadership.ts
@@ -37,9 +37,9 @@
 /**
  * Number of heartbeat rounds of which one includes the observers. With all
  * heartbeats sent to four observers, an idle fleet of nine entry hosts needs
- * half as much processor time again: 68 s instead of 42 s in a run of a minute.
- * At this rate observers still have leader contact several times before they
- * would ask to join again.
+ * half as much CPU time again: 68 s instead of 42 s in a minute. At this rate
+ * observers still have leader contact several times before they would ask to
+ * join again.
  */
 const ROUNDS_PER_OBSERVER_HEARTBEAT = 4;
 
@@ -348,7 +348,8 @@
   }
 
   /**
-   * Sends a chunk of at most `bytes`; with 0, a request for the next offset.
+   * Sends a chunk of at most `bytes`. An empty chunk is a heartbeat, and the
+   * reply to it names the next offset.
    */
   #sendChunk(member: Member, transfer: SnapshotTransfer, bytes: number): void {
     const {snapshot, offset} = transfer;
