--- a/packages/lovagepond-backend/src/backend_fake_engine.ts
+++ b/packages/lovagepond-backend/src/backend_fake_engine.ts
@@ -241,7 +241,7 @@
   order(order: EngineOrder): EngineOrderOutcome {
     const checks = this.#settings.obeysFencing && !this.#faults.ignoreFencing;
     if (checks && order.fencingToken < this.#fencingFloor) {
-      const message = `the fencing token is below ${this.#fencingFloor}`;
+      const message = `the floor is ${this.#fencingFloor}`;
       return {outcome: 'fenced', message};
     }
     this.#fencingFloor = Math.max(this.#fencingFloor, order.fencingToken);
--- a/packages/lovagepond-backend/src/backend_fake_engine_host.ts
+++ b/packages/lovagepond-backend/src/backend_fake_engine_host.ts
@@ -192,5 +192,5 @@
 }
 
 function refuseResume(res: ServerResponse): void {
-  sendJson(res, 409, {error: {message: 'the engine has no answer to resume'}});
+  sendJson(res, 409, {error: {message: 'the answer is not held'}});
 }
--- a/packages/lovagepond-backend/src/backend_fake_engine_server.ts
+++ b/packages/lovagepond-backend/src/backend_fake_engine_server.ts
@@ -239,7 +239,7 @@
     const {workspace, chat} = cacheKeyOf(req);
     const tokens = this.#engine.cachedTokens({workspace, chat});
     if (tokens === 0) {
-      sendJson(res, 404, {error: {message: 'the context is not cached'}});
+      sendJson(res, 404, {error: {message: 'the chat is cold'}});
       return;
     }
     const body = Buffer.alloc(tokens * this.#settings.cacheBytesPerToken, chat);
