--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_harness.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_harness.ts
@@ -130,7 +130,6 @@
   selectors: ['read', 'write', 'talk', 'chat'].map(selector),
 });
 
-/** A response as received by a caller. */
 export interface CallerResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
@@ -139,7 +138,6 @@
   readonly whole: boolean;
 }
 
-/** A caller's request. */
 export interface Call {
   readonly path: string;
   readonly method?: string;
@@ -272,7 +270,6 @@
     }
   }
 
-  /** Stops the listener and the servers. */
   stop(): void {
     this.server.stop();
     for (const backend of this.#backends) {
@@ -281,7 +278,6 @@
     }
   }
 
-  /** @returns the response that the caller received */
   call({
     path,
     method = 'GET',
--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_role.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_role.test.ts
@@ -25,10 +25,7 @@
   lovagepond.v1.ControlUpdate
 >;
 
-/**
- * Time limit of a poll, milliseconds. A poll ends once its condition holds,
- * which takes longer on a busy machine.
- */
+/** Poll timeout, milliseconds: conditions take longer on a busy machine. */
 const WAIT_MS = 8_000;
 
 const ROUNDS = 4;
--- a/packages/lovagepond-gateway/src/gateway_admission.ts
+++ b/packages/lovagepond-gateway/src/gateway_admission.ts
@@ -23,7 +23,6 @@
   readonly facts: RequestFacts;
 }
 
-/** The result of admission control. */
 export type Admission =
   | {
       readonly ok: true;
@@ -60,7 +59,6 @@
     this.#random = random;
   }
 
-  /** The installed configuration. */
   get configuration(): Configuration {
     return this.#configuration;
   }
--- a/packages/lovagepond-gateway/src/gateway_attempt.ts
+++ b/packages/lovagepond-gateway/src/gateway_attempt.ts
@@ -15,7 +15,6 @@
   readonly body: Buffer;
 }
 
-/** A response's status and headers. */
 export interface ResponseHead {
   readonly status: number;
   readonly rawHeaders: readonly string[];
@@ -130,7 +129,6 @@
     );
   }
 
-  /** Resumes reading the response. */
   resume(): void {
     this.#controller?.resume();
   }
--- a/packages/lovagepond-gateway/src/gateway_choice.ts
+++ b/packages/lovagepond-gateway/src/gateway_choice.ts
@@ -39,7 +39,6 @@
   readonly fetch?: ContextFetch;
 }
 
-/** Settings of {@link GatewayChoice}. */
 export interface ChoiceSettings {
   readonly availabilityZone: string;
   /** The engines' estimated prefill rate. */
@@ -65,7 +64,6 @@
  */
 const FAILURE_LOAD = {REPEATABLE: 1.5, LOST: 4} as const;
 
-/** Selects servers for attempts. */
 export class GatewayChoice {
   readonly #settings: ChoiceSettings;
   readonly #hasher: KeyHasher;
--- a/packages/lovagepond-gateway/src/gateway_connections.ts
+++ b/packages/lovagepond-gateway/src/gateway_connections.ts
@@ -7,7 +7,6 @@
 import {type Client} from 'undici';
 import {buildConnector, HttpClient} from './http_client.js';
 
-/** Settings of {@link GatewayConnections}. */
 export interface ConnectionSettings {
   readonly connectTimeoutMs: number;
   /** Largest head of a response, bytes. */
@@ -59,7 +58,6 @@
   });
 }
 
-/** The gateway's connection pool. */
 export class GatewayConnections {
   readonly #settings: ConnectionSettings;
   readonly #idle = new Map<string, ServerConnection[]>();
--- a/packages/lovagepond-gateway/src/gateway_counters.ts
+++ b/packages/lovagepond-gateway/src/gateway_counters.ts
@@ -29,7 +29,6 @@
   readonly #failedAttempts = new Map<string, number>();
   #secondTries = 0;
 
-  /** @returns all counts */
   read(): GatewayCounts {
     return {
       endedByOutcome: Object.fromEntries(this.#ended),
--- a/packages/lovagepond-gateway/src/gateway_crash_detector.ts
+++ b/packages/lovagepond-gateway/src/gateway_crash_detector.ts
@@ -18,7 +18,6 @@
   SILENT: 'silent',
 } as const;
 
-/** One of the values of {@link REACHABILITY}. */
 export type Reachability = (typeof REACHABILITY)[keyof typeof REACHABILITY];
 
 /** Time limit for deciding whether a server crashed, milliseconds. */
--- a/packages/lovagepond-gateway/src/gateway_drain_admission.ts
+++ b/packages/lovagepond-gateway/src/gateway_drain_admission.ts
@@ -19,10 +19,7 @@
 /** Time between the expected end and the process's exit, milliseconds. */
 const END_MARGIN_MS = 300;
 
-/**
- * Estimates how long requests take, and rejects those that can't finish before
- * the process exits.
- */
+/** Rejects requests that can't finish before the process exits. */
 export class GatewayDrainAdmission {
   /** Estimated long duration by rule name, milliseconds. */
   readonly #longDurations = new Map<string, number>();
--- a/packages/lovagepond-gateway/src/gateway_engine_choice.ts
+++ b/packages/lovagepond-gateway/src/gateway_engine_choice.ts
@@ -66,10 +66,7 @@
   readonly freeWaitPart: number;
   /** A millisecond by which the first token is late. */
   readonly late: number;
-  /**
-   * A millisecond until the first token, late or not: decides between otherwise
-   * equal servers.
-   */
+  /** Any millisecond until the first token: decides between equal servers. */
   readonly early: number;
   /** Each request at the server: decides between equal servers, too. */
   readonly runningRequestMs: number;
--- a/packages/lovagepond-gateway/src/gateway_event_stream.ts
+++ b/packages/lovagepond-gateway/src/gateway_event_stream.ts
@@ -11,7 +11,6 @@
 const CARRIAGE_RETURN = 0x0d;
 const ID_LINE = /^id:\s*(\d+)\s*$/m;
 
-/** The result of parsing a chunk. */
 export type ParsedChunk =
   /** The bytes of the events completed by the chunk; may be empty. */
   | {readonly kind: 'events'; readonly bytes: Buffer}
--- a/packages/lovagepond-gateway/src/gateway_exchange.ts
+++ b/packages/lovagepond-gateway/src/gateway_exchange.ts
@@ -40,7 +40,6 @@
 
 const HIGHEST_PRIORITY = 9;
 
-/** Runs one admitted request. */
 export class Exchange {
   readonly #req: AdmittedRequest;
   readonly #deps: ExchangeDependencies;
@@ -49,7 +48,6 @@
   readonly #events: EventStream | undefined;
   readonly #tried = new Set<string>();
   #attempt: Attempt | undefined;
-  /** The current attempt's prefill. */
   #prefill: PrefillTracker | undefined;
   /** The current attempt's response timing; unset at engines. */
   #timing: ResponseTiming | undefined;
@@ -251,10 +249,7 @@
     this.#finish('answered');
   }
 
-  /**
-   * Clears the suspicion against the request. A close-delimited response proves
-   * nothing, as the server's crash may have ended it.
-   */
+  /** A close-delimited response proves nothing: a crash may have ended it. */
   #noteCompleteResponse(): void {
     if (this.#attempt?.isCloseDelimited) return;
     const {quarantine} = this.#deps;
--- a/packages/lovagepond-gateway/src/gateway_headers.ts
+++ b/packages/lovagepond-gateway/src/gateway_headers.ts
@@ -34,7 +34,6 @@
   readonly routerOnly: readonly string[];
 }
 
-/** The default header names. */
 export const DEFAULT_HEADER_NAMES: GatewayHeaderNames = Object.freeze({
   requestId: 'x-lovagepond-request-id',
   deadlineMs: 'x-lovagepond-deadline',
--- a/packages/lovagepond-gateway/src/gateway_peers.ts
+++ b/packages/lovagepond-gateway/src/gateway_peers.ts
@@ -7,10 +7,7 @@
   readonly at: number;
 }
 
-/**
- * Tracks when each other gateway was last seen, and the number of them that
- * control reports.
- */
+/** Tracks when other gateways were last seen, and how many control reports. */
 export class GatewayPeers {
   readonly #lastSeenAt = new Map<string, number>();
   #reportedCount: ReportedCount | undefined;
--- a/packages/lovagepond-gateway/src/gateway_quarantine.ts
+++ b/packages/lovagepond-gateway/src/gateway_quarantine.ts
@@ -19,7 +19,6 @@
 
 type QuarantineUpdate = NonNullable<ControlUpdate['quarantine']>;
 
-/** Dependencies of {@link GatewayQuarantine}. */
 export interface QuarantineDependencies {
   readonly clock: Clock;
   readonly log: Logger;
@@ -31,7 +30,6 @@
   readonly abortQuarantined: (fingerprint: string) => void;
 }
 
-/** Reports crashes and applies quarantines in one gateway. */
 export class GatewayQuarantine {
   readonly #deps: QuarantineDependencies;
   readonly #requests = new RequestQuarantine();
@@ -40,7 +38,6 @@
     this.#noteCrash(crash, now);
   });
 
-  /** @param deps its dependencies */
   constructor(deps: QuarantineDependencies) {
     this.#deps = deps;
     const {clock, report} = deps;
--- a/packages/lovagepond-gateway/src/gateway_retry_budget.ts
+++ b/packages/lovagepond-gateway/src/gateway_retry_budget.ts
@@ -9,7 +9,6 @@
  */
 import {type GatewayPeers} from './gateway_peers.js';
 
-/** Settings of {@link GatewayRetryBudget}. */
 export interface GatewayBudgetSettings {
   /** Retries as a fraction of requests. */
   readonly retryFraction: number;
--- a/packages/lovagepond-gateway/src/gateway_role.ts
+++ b/packages/lovagepond-gateway/src/gateway_role.ts
@@ -34,7 +34,6 @@
 import {probeServer} from './gateway_server_probe.js';
 import {type GatewaySettings} from './gateway_settings.js';
 
-/** Dependencies of {@link GatewayRole}. */
 export interface GatewayDependencies {
   readonly clock: Clock;
   readonly log: Logger;
@@ -65,7 +64,6 @@
 type UpdateKind = NonNullable<ControlUpdate['kind']>;
 type UpdateHandler = (update: ControlUpdate, now: number) => void;
 
-/** The role of a gateway process. */
 export class GatewayRole implements Role {
   readonly #settings: GatewaySettings;
   readonly #deps: GatewayDependencies;
@@ -166,7 +164,6 @@
     return this.#server?.port ?? 0;
   }
 
-  /** See {@link Role.start}. */
   async start(): Promise<void> {
     const {clock, log, random, names} = this.#deps;
     const hasher = await loadKeyHasher();
@@ -198,15 +195,13 @@
     }, REPORT_INTERVAL_MS);
   }
 
-  /** See {@link Role.isReady}. */
   isReady(): boolean {
     return !this.#draining && !this.#admission.isStarting(this.#readClock());
   }
 
   /**
-   * See {@link Role.drain}. Load balancers take seconds to notice that the
-   * gateway is no longer ready. Until then new connections are served, with one
-   * request each.
+   * Load balancers take seconds to notice that the gateway is no longer ready.
+   * Until then new connections are served, with one request each.
    */
   async drain(limitMs: number): Promise<void> {
     this.#draining = true;
@@ -219,7 +214,6 @@
     await Promise.race([this.#server?.finish(), limit]);
   }
 
-  /** See {@link Role.stop}. */
   stop(): Promise<void> {
     this.#draining = true;
     clearInterval(this.#timer);
@@ -230,7 +224,6 @@
     return Promise.resolve();
   }
 
-  /** See {@link Role.dump}. */
   dump(): StateDump {
     const at = this.#readClock();
     const state = {
@@ -316,9 +309,8 @@
       this.#install(configuration);
       return;
     }
-    // Without the delta, the gateway would use the old configuration until the
-    // next change. A new subscription sends the installed revision to control
-    // and receives the missing changes.
+    // Without the delta, the old configuration would stay in use until the next
+    // change. A new subscription receives the missing changes.
     this.#deps.log.error('configuration delta could not be applied', {
       held: held.revision,
       base: delta?.baseRevision,
--- a/packages/lovagepond-gateway/src/gateway_server.ts
+++ b/packages/lovagepond-gateway/src/gateway_server.ts
@@ -66,7 +66,6 @@
   ERR_HTTP_REQUEST_TIMEOUT: 'senderTooSlow',
 };
 
-/** Dependencies of {@link GatewayServer}. */
 export interface GatewayServerDependencies extends ExchangeDependencies {
   readonly admission: GatewayAdmission;
   readonly random: Random;
@@ -74,7 +73,6 @@
 
 type ListenerSettings = Pick<GatewaySettings, 'host' | 'port' | 'maxHeldBytes'>;
 
-/** Accepts callers' connections and handles their requests. */
 export class GatewayServer {
   readonly #settings: ListenerSettings;
   readonly #deps: GatewayServerDependencies;
--- a/packages/lovagepond-gateway/src/gateway_server_state.ts
+++ b/packages/lovagepond-gateway/src/gateway_server_state.ts
@@ -38,7 +38,6 @@
   readonly reportedAt: number;
 }
 
-/** The state of one backend server, as seen by this gateway. */
 export class ServerState {
   server: BackendServer;
   /** This gateway's requests in flight there. */
@@ -74,7 +73,6 @@
     return this.#isReplaced;
   }
 
-  /** Records that another incarnation responded at the server's address. */
   markReplaced(): void {
     this.#isReplaced = true;
   }
--- a/packages/lovagepond-gateway/src/gateway_settings.ts
+++ b/packages/lovagepond-gateway/src/gateway_settings.ts
@@ -3,7 +3,7 @@
  */
 import {type GatewayBudgetSettings} from './gateway_retry_budget.js';
 
-/** Settings of one gateway. All times are milliseconds. */
+/** All times are milliseconds. */
 export interface GatewaySettings extends GatewayBudgetSettings {
   readonly name: string;
   readonly region: string;
@@ -32,7 +32,6 @@
   readonly drainLingerMs: number;
 }
 
-/** Default settings. */
 export const DEFAULT_GATEWAY_SETTINGS = {
   region: 'default',
   availabilityZone: 'default',
--- a/packages/lovagepond-gateway/src/http_client.ts
+++ b/packages/lovagepond-gateway/src/http_client.ts
@@ -10,6 +10,5 @@
 /** undici's `Client`; of its request methods only `dispatch` is available. */
 export const HttpClient = UndiciClient as unknown as typeof Client;
 
-/** undici's `buildConnector`. */
 export const buildConnector =
   undiciBuildConnector as unknown as typeof BuildConnector;
