--- a/packages/lovagepond-router/src/__tests__/unit/router_connections.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_connections.test.ts
@@ -7,10 +7,9 @@
 
 afterEach(() => sidecar.stop());
 
-// A server is removed from the membership while a request is about to use its
-// connection or to revoke an attempt over it. The library throws on a call over
-// a closed channel. Uncaught, this error would end the router and truncate
-// every caller's stream.
+// A server leaves the membership while a request is about to use its connection
+// or to revoke an attempt over it. The library throws on a call over a closed
+// channel; uncaught, the error would end the router and truncate all streams.
 test('a call over a closed connection is lost and does not end the process', async () => {
   await sidecar.start();
   const connections = new SidecarConnections(1_000);
--- a/packages/lovagepond-router/src/__tests__/unit/router_control_link.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_control_link.test.ts
@@ -95,11 +95,10 @@
   });
 }
 
-// All hosts lost power and restart one by one. A router that starts first
-// connects to a member whose host is still down: nothing refuses the
-// connection, and the system retries only after a second. The router must
-// switch to another member before that, although it waits much longer for a
-// connected but silent member.
+// All hosts lost power and restart one by one. Nothing refuses a connection to
+// a host that is still down, and the system retries only after a second. The
+// router must switch to another member before that, although it waits much
+// longer for a connected but silent member.
 test('switches from a member that it cannot connect to', async () => {
   const addresses = [await startUnresponsiveServer(), await startMember()];
   await untilUpdateFrom(addresses, addresses[1]!);
--- a/packages/lovagepond-router/src/__tests__/unit/router_request.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_request.test.ts
@@ -6,11 +6,7 @@
 
 const SEED = 20261202;
 
-/**
- * Checks that the request has one final answer and that it is correct.
- *
- * @returns the failure's kind, or `whole`
- */
+/** Checks that one correct answer is final; returns its failure or `whole`. */
 function checkFinalAnswer(world: RequestWorld, nonRepeatable: boolean): string {
   expect(world.finals).toHaveLength(1);
   const final = world.finals[0]!;
--- a/packages/lovagepond-router/src/router_answer.ts
+++ b/packages/lovagepond-router/src/router_answer.ts
@@ -27,7 +27,6 @@
 /** How the delivered bytes compare to the end marker's total length. */
 export type EndVerdict = 'whole' | 'truncated' | 'overlong';
 
-/** Joins the pieces of one answer. */
 export class AnswerAssembler {
   #delivered = 0;
   #source: AnswerSource | undefined;
--- a/packages/lovagepond-router/src/router_connections.ts
+++ b/packages/lovagepond-router/src/router_connections.ts
@@ -44,10 +44,9 @@
   }
 
   /**
-   * Registers a call or stream that uses the connection. The library throws on
-   * a call over a closed channel. When another request has just closed the
-   * connection, this error, if uncaught, would end the process and all of its
-   * streams.
+   * Registers a call or stream. The library throws on a call over a channel
+   * that another request has just closed; uncaught, the error would end the
+   * process and all of its streams.
    *
    * @returns false when the connection is closed and must not be used
    */
@@ -171,7 +170,6 @@
     }
   }
 
-  /** Closes all connections. */
   close(): void {
     for (const connection of this.#byAddress.values()) {
       connection.close();
--- a/packages/lovagepond-router/src/router_control_link.ts
+++ b/packages/lovagepond-router/src/router_control_link.ts
@@ -47,7 +47,6 @@
   onUpdate(update: ControlUpdate, now: number): void;
 }
 
-/** Dependencies of {@link ControlLink}. */
 export interface ControlLinkDependencies {
   readonly clock: Clock;
   readonly log: Logger;
--- a/packages/lovagepond-router/src/router_counters.ts
+++ b/packages/lovagepond-router/src/router_counters.ts
@@ -36,7 +36,6 @@
   #retries = 0;
   #probes = 0;
 
-  /** @returns all counts */
   read(): RouterCounts {
     return {
       answered: this.#answered,
@@ -75,17 +74,14 @@
     if (body.warm) this.#returningWarm += 1;
   }
 
-  /** Counts a further attempt that is exempt from the retry budget. */
   noteHop(): void {
     this.#hops += 1;
   }
 
-  /** Counts a retry charged to the budget. */
   noteRetry(): void {
     this.#retries += 1;
   }
 
-  /** Counts a probe of a suspected server. */
   noteProbe(): void {
     this.#probes += 1;
   }
--- a/packages/lovagepond-router/src/router_crash_reporter.ts
+++ b/packages/lovagepond-router/src/router_crash_reporter.ts
@@ -4,7 +4,6 @@
 import {type Clock, type ServerCrash} from '@lovagepond/core';
 import {type CrashReport, type RequestQuarantine} from './router_quarantine.js';
 
-/** Dependencies of {@link CrashReporter}. */
 export interface CrashReporterDependencies {
   readonly clock: Clock;
   readonly quarantine: RequestQuarantine;
@@ -16,7 +15,6 @@
 export class CrashReporter {
   readonly #deps: CrashReporterDependencies;
 
-  /** @param deps the clock, the quarantine and the report call */
   constructor(deps: CrashReporterDependencies) {
     this.#deps = deps;
   }
--- a/packages/lovagepond-router/src/router_dispatcher.ts
+++ b/packages/lovagepond-router/src/router_dispatcher.ts
@@ -40,7 +40,6 @@
 import {type RouterSettings} from './router_settings.js';
 import {type RouterState} from './router_state.js';
 
-/** Dependencies of {@link RouterDispatcher}. */
 export interface DispatcherDependencies {
   readonly clock: Clock;
   readonly log: Logger;
@@ -96,7 +95,6 @@
     return counts;
   }
 
-  /** See {@link CallerHandler.handle}. */
   handle(request: CallerRequest, sink: ResponseSink, now: number): void {
     const runner = this.#prepare(request, sink, now);
     if (!runner) return;
@@ -118,7 +116,6 @@
     return new RequestRunner(this, request, admitted, sink);
   }
 
-  /** See {@link RunnerContext.place}. */
   place(query: PlacementQuery, now: number): Placed | Failure {
     const {runner, excluded, preferred, after} = query;
     const {choice, load, state} = this.#deps;
@@ -146,12 +143,10 @@
     return {...chosen, eligible};
   }
 
-  /** See {@link RunnerContext.heldRevision}. */
   heldRevision(): number {
     return this.#deps.state.revision;
   }
 
-  /** See {@link RunnerContext.configurationFor}. */
   configurationFor(target: AttemptTarget): Uint8Array | undefined {
     const {revisions} = this.#deps.state;
     return revisions.isBehind(target.incarnation)
@@ -159,12 +154,10 @@
       : undefined;
   }
 
-  /** See {@link RunnerContext.install}. */
   install(configuration: Uint8Array): void {
     this.#deps.state.install(configuration);
   }
 
-  /** See {@link RunnerContext.noteFrame}. */
   noteFrame(runner: RequestRunner, frame: Frame, now: number): void {
     const {load, state, evidence, counters} = this.#deps;
     const {body, incarnation} = frame;
@@ -182,7 +175,6 @@
     load.recordObserved(server.slot, tokens, now);
   }
 
-  /** See {@link RunnerContext.noteEvidence}. */
   noteEvidence(
     target: AttemptTarget,
     evidence: EvidenceKind,
@@ -191,17 +183,14 @@
     this.#deps.evidence.note(target, evidence, now);
   }
 
-  /** See {@link RunnerContext.noteDrop}. */
   noteDrop(reason: DropReason): void {
     this.#deps.counters.noteDropped(reason);
   }
 
-  /** See {@link RunnerContext.completeFailure}. */
   completeFailure(failure: Failure): Failure {
     return this.#deps.refusal.complete(failure);
   }
 
-  /** See {@link RunnerContext.noteFault}. */
   noteFault(runner: RequestRunner, err: unknown): void {
     const {requestId} = runner.request;
     this.#deps.log.error('unexpected error while handling a request', {
@@ -210,7 +199,6 @@
     });
   }
 
-  /** See {@link RunnerContext.noteDone}. */
   noteDone(runner: RequestRunner, failure: Failure | undefined): void {
     if (!this.#runners.delete(runner)) return;
     runner.close();
@@ -224,9 +212,7 @@
   }
 
   /**
-   * Aborts the requests in flight with a quarantined fingerprint.
-   *
-   * @param fingerprint the fingerprint
+   * @param fingerprint of the quarantined requests to abort
    * @param now current time, monotonic milliseconds
    */
   abortQuarantined(fingerprint: string, now: number): void {
@@ -262,7 +248,6 @@
     return makeFailure('quarantined', {retryAfterMs});
   }
 
-  /** @returns the eligible servers, or why the request is refused */
   #admit(request: CallerRequest, now: number): Eligible | Failure {
     const {state, choice, refusal} = this.#deps;
     if (!state.mayServe(now)) return makeFailure('notReady');
--- a/packages/lovagepond-router/src/router_early_refusal.ts
+++ b/packages/lovagepond-router/src/router_early_refusal.ts
@@ -106,9 +106,8 @@
   }
 
   /**
-   * Randomizes a retry delay. Callers that start simultaneously are refused
-   * simultaneously, and the same delay for all would make them retry together.
-   * The random part ranges over the time that the refused work takes.
+   * The random part ranges over the time that the refused work takes: callers
+   * that start together are refused together, and must not retry together.
    */
   #randomizeDelay(overrunMs: number, backlogMs: number): number {
     const base = Math.min(MAX_DELAY_PART_MS, Math.max(MIN_RETRY_MS, overrunMs));
--- a/packages/lovagepond-router/src/router_evidence.ts
+++ b/packages/lovagepond-router/src/router_evidence.ts
@@ -111,9 +111,9 @@
   }
 
   /**
-   * Marks a server as unavailable. A draining server still sends frames of its
-   * open streams, so frames don't clear this mark. It ends at its time limit or
-   * when a membership update no longer lists the server.
+   * Frames don't clear the mark, as a draining server still sends those of its
+   * open streams. The mark ends at its time limit or when a membership update
+   * no longer lists the server.
    */
   #noteUnavailable(record: Suspicion, now: number): void {
     record.unavailableUntil = now + this.#settings.unavailableMs;
@@ -141,10 +141,9 @@
   }
 
   /**
-   * Returns the probes that are due. A suspected server is probed by a
-   * dedicated message instead of a caller's request, and at a random time: a
-   * thousand routers that all send to a server as soon as it recovers would
-   * make it fail again.
+   * A suspected server is probed by a dedicated message instead of a caller's
+   * request, and at a random time: a thousand routers that all send to a server
+   * as soon as it recovers would make it fail again.
    *
    * @param now current time, monotonic milliseconds
    * @returns servers to probe now; each is returned once until its probe's
--- a/packages/lovagepond-router/src/router_frame_check.ts
+++ b/packages/lovagepond-router/src/router_frame_check.ts
@@ -23,12 +23,10 @@
 }
 
 /**
- * Whether a refusal contradicts the dispatch of its request. A refusal that
- * crosses with the dispatch concerns only the queued request. If it were
- * accepted, the router or the caller would repeat a running request. The only
- * valid refusal after `Started` is `unreachable`: the sidecar found that its
- * backend server never received the request. Once bytes of the answer have
- * arrived, `unreachable` isn't valid either.
+ * A refusal that crosses with the dispatch concerns only the queued request;
+ * accepted, it would make the router or the caller repeat a running one. After
+ * `Started` only `unreachable` is valid (the backend server never received the
+ * request), and only until bytes of the answer have arrived.
  */
 function contradictsStart(body: FrameBody, state: RequestState): boolean {
   if (body.kind !== 'refused') return false;
--- a/packages/lovagepond-router/src/router_frames.ts
+++ b/packages/lovagepond-router/src/router_frames.ts
@@ -64,7 +64,6 @@
   readonly crashedLife: string;
 }
 
-/** The content of one frame. */
 export type FrameBody =
   | AcceptedBody
   | StartedBody
--- a/packages/lovagepond-router/src/router_placement.ts
+++ b/packages/lovagepond-router/src/router_placement.ts
@@ -40,7 +40,6 @@
   | 'decodeTokensPerSecond'
 >;
 
-/** A placement policy's input. */
 export interface PlacementInput<Server extends PlacementServer> {
   readonly request: PlacementRequest;
   /** The eligible servers; never empty. */
--- a/packages/lovagepond-router/src/router_placement_rendezvous.ts
+++ b/packages/lovagepond-router/src/router_placement_rendezvous.ts
@@ -50,7 +50,6 @@
   return loadWith(input, server) > input.settings.loadBound * mean;
 }
 
-/** Moves the server to the front and keeps the order of the others. */
 function moveToFront<Server extends PlacementServer>(
   order: readonly Server[],
   server: Server,
@@ -136,10 +135,7 @@
   }
 }
 
-/**
- * Scores each candidate by its expected wait plus the cost of rebuilding the
- * context where it is not expected to be warm.
- */
+/** Scores candidates by expected wait plus the rebuild cost where not warm. */
 export class CostScorePolicy extends OrderedPolicy {
   protected override placeInOrder<Server extends PlacementServer>(
     input: PlacementInput<Server>,
--- a/packages/lovagepond-router/src/router_placement_table.ts
+++ b/packages/lovagepond-router/src/router_placement_table.ts
@@ -15,7 +15,6 @@
   TwoChoicesPolicy,
 } from './router_placement_simple.js';
 
-/** Factories of the placement policies by name. */
 export const PLACEMENT_POLICIES = {
   roundRobin: () => new RoundRobinPolicy(),
   rendezvous: hasher => new RendezvousPolicy(hasher),
@@ -27,7 +26,6 @@
   holdAndTake: hasher => new HoldAndTakePolicy(hasher),
 } as const satisfies Record<string, PlacementPolicyFactory>;
 
-/** Name of a placement policy. */
 export type PlacementPolicyName = keyof typeof PLACEMENT_POLICIES;
 
 /** The policy that a router uses unless its settings name another. */
--- a/packages/lovagepond-router/src/router_prober.ts
+++ b/packages/lovagepond-router/src/router_prober.ts
@@ -7,13 +7,11 @@
 import {type AttemptTarget} from './router_request_types.js';
 import {probeSidecar} from './router_sidecar_calls.js';
 
-/** Dependencies of {@link SidecarProber}. */
 export interface ProberDependencies {
   readonly clock: Clock;
   readonly connections: SidecarConnections;
   readonly evidence: RouterEvidence;
   readonly timeoutMs: number;
-  /** Called for each probe. */
   readonly onProbe: () => void;
 }
 
--- a/packages/lovagepond-router/src/router_rendezvous.ts
+++ b/packages/lovagepond-router/src/router_rendezvous.ts
@@ -72,7 +72,6 @@
       : this.#orderByRanking(key, chatKey, resultCount);
   }
 
-  /** Computes the rank of each server and keeps the lowest ranks. */
   #orderByRanking(
     key: PermutationKey,
     chatKey: HashKey,
@@ -114,7 +113,6 @@
     return this.#compareTie(index, best[place - 1] as number, chatKey) < 0;
   }
 
-  /** Walks the chat's permutation and collects occupied positions. */
   #orderByWalking(
     key: PermutationKey,
     chatKey: HashKey,
--- a/packages/lovagepond-router/src/router_rendezvous_permutation.ts
+++ b/packages/lovagepond-router/src/router_rendezvous_permutation.ts
@@ -14,7 +14,6 @@
 
 type Words = readonly [number, number, number, number];
 
-/** Number of positions. */
 export const POSITION_COUNT = MASK + 1;
 
 /** The round keys of one permutation. */
--- a/packages/lovagepond-router/src/router_request.ts
+++ b/packages/lovagepond-router/src/router_request.ts
@@ -277,12 +277,11 @@
   }
 
   /**
-   * Handles a connection that went silent or broke. A device on the network
-   * path may have dropped only this connection, so a new one is tried before
-   * the server is suspected. A dispatched attempt is sent again with the same
-   * id: the sidecar recognizes it, resumes from the delivered offset and
-   * doesn't dispatch it again. Any other attempt is revoked; the response says
-   * for certain whether the attempt was dispatched.
+   * A device on the network path may have dropped only this connection, so a
+   * new one is tried before the server is suspected. A dispatched attempt is
+   * sent again with the same id: the sidecar recognizes it, resumes from the
+   * delivered offset and doesn't dispatch it again. Any other attempt is
+   * revoked; the response says for certain whether it was dispatched.
    */
   #reconnect(now: number): void {
     // The response to the pending revocation decides on the next step.
--- a/packages/lovagepond-router/src/router_request_runner.ts
+++ b/packages/lovagepond-router/src/router_request_runner.ts
@@ -49,7 +49,6 @@
 /** The method of all callers' requests. */
 const METHOD = 'POST';
 
-/** Runs one request in flight. */
 export class RequestRunner {
   // Shared by all requests to keep the memory of each one small.
   static readonly #handlers: ActionHandlers = {
@@ -120,7 +119,6 @@
     return this.#machine.attempt && this.#placed;
   }
 
-  /** Starts the request. */
   start(): void {
     this.#unregister = this.#sink.onCancel(failure => {
       this.#receive({kind: 'callerGone'});
@@ -320,13 +318,11 @@
   }
 
   /**
-   * Closes an attempt. To the sidecar, the end of a stream looks like a lost
-   * connection, and the sidecar keeps the attempt for a router that reconnects.
-   * An abandoned attempt is therefore revoked. If the revocation is lost, the
-   * sidecar drops the attempt after its own time limit.
-   *
-   * The stream of a concluded attempt is left to end by itself; its frames are
-   * ignored.
+   * The sidecar takes the end of a stream for a lost connection and keeps the
+   * attempt for a reconnection. An abandoned attempt is therefore revoked; if
+   * the revocation is lost, the sidecar drops the attempt after its own time
+   * limit. The stream of a concluded attempt is left to end by itself; its
+   * frames are ignored.
    */
   #close({attempt, abandoned}: ActionOf<'close'>): void {
     if (abandoned) {
--- a/packages/lovagepond-router/src/router_request_types.ts
+++ b/packages/lovagepond-router/src/router_request_types.ts
@@ -4,7 +4,6 @@
 import {type Failure} from '@lovagepond/core';
 import {type Frame, type FrameBody} from './router_frames.js';
 
-/** The states of a request. */
 export const REQUEST_STATE = {
   RECEIVED: 'received',
   /** A backend server is chosen; the router connects to its sidecar. */
@@ -19,7 +18,6 @@
   DONE: 'done',
 } as const;
 
-/** One of the values of {@link REQUEST_STATE}. */
 export type RequestState = (typeof REQUEST_STATE)[keyof typeof REQUEST_STATE];
 
 /** Properties of a request that don't change. */
@@ -158,16 +156,13 @@
     }
   | {readonly kind: 'drop'; readonly reason: DropReason};
 
-/** Why an attempt is revoked. */
 export const REVOKE_REASON = {
   DEADLINE: 'deadline',
   CONNECTION_LOST: 'connectionLost',
 } as const;
 
-/** One of the values of {@link REVOKE_REASON}. */
 export type RevokeReason = (typeof REVOKE_REASON)[keyof typeof REVOKE_REASON];
 
-/** How an attempt is closed. */
 export const CLOSING = {
   /** Nothing of the attempt is left at its sidecar. */
   CONCLUDED: 'concluded',
@@ -175,7 +170,6 @@
   ABANDONED: 'abandoned',
 } as const;
 
-/** One of the values of {@link CLOSING}. */
 export type Closing = (typeof CLOSING)[keyof typeof CLOSING];
 
 /** The event type of the given kind. */
--- a/packages/lovagepond-router/src/router_retry_budget.ts
+++ b/packages/lovagepond-router/src/router_retry_budget.ts
@@ -5,7 +5,6 @@
  * times, which keeps it overloaded after the cause has passed.
  */
 
-/** Settings of {@link RetryBudget}. */
 export interface RetryBudgetSettings {
   /** Retries as a fraction of first attempts. */
   readonly retryFraction: number;
--- a/packages/lovagepond-router/src/router_revisions.ts
+++ b/packages/lovagepond-router/src/router_revisions.ts
@@ -20,7 +20,6 @@
   readonly islandAfterMs: number;
 }
 
-/** The result of installing a configuration. */
 export type InstallOutcome = 'installed' | 'notNewer' | 'unreadable';
 
 /** Keeps the configuration with the highest revision received. */
--- a/packages/lovagepond-router/src/router_role.ts
+++ b/packages/lovagepond-router/src/router_role.ts
@@ -39,7 +39,6 @@
   stop(): Promise<void>;
 }
 
-/** Dependencies of {@link RouterRole}. */
 export interface RouterDependencies {
   readonly clock: Clock;
   readonly log: Logger;
@@ -146,7 +145,6 @@
     return this.#running?.front.port ?? 0;
   }
 
-  /** See {@link Role.start}. */
   async start(): Promise<void> {
     const running = await this.#createComponents();
     this.#running = running;
@@ -157,23 +155,21 @@
     }, this.#settings.tickMs);
   }
 
-  /** See {@link Role.isReady}. */
   isReady(): boolean {
     if (this.#draining || !this.#running) return false;
     return this.#state.mayServe(this.#deps.clock.now());
   }
 
   /**
-   * See {@link Role.drain}. The router immediately reports that it isn't ready.
-   * The front end refuses new connections after its grace period. Requests in
-   * flight finish, and the subscription stays open until they have.
+   * Reports immediately that the router isn't ready. The front end refuses new
+   * connections after its grace period. Requests in flight finish, and the
+   * subscription stays open until they have.
    */
   async drain(limitMs: number): Promise<void> {
     this.#draining = true;
     await this.#running?.front.drain(limitMs);
   }
 
-  /** See {@link Role.stop}. */
   async stop(): Promise<void> {
     this.#draining = true;
     clearInterval(this.#timer);
@@ -182,7 +178,6 @@
     this.#connections.close();
   }
 
-  /** See {@link Role.dump}. */
   dump(): StateDump {
     const {revisions, membership} = this.#state;
     const state = {
--- a/packages/lovagepond-router/src/router_server_choice.ts
+++ b/packages/lovagepond-router/src/router_server_choice.ts
@@ -19,7 +19,6 @@
 import {RendezvousTable} from './router_rendezvous.js';
 import {type KeyHasher} from './router_rendezvous_hash.js';
 
-/** The input of a choice. */
 export interface ChoiceQuery {
   readonly request: PlacementRequest;
   readonly set: EligibleSet;
@@ -40,7 +39,6 @@
   readonly poolMeanTokens: number;
 }
 
-/** Dependencies of {@link ServerChoice}. */
 export interface ChoiceDependencies {
   readonly policy: PlacementPolicy;
   readonly hasher: KeyHasher;
--- a/packages/lovagepond-router/src/router_sidecar_calls.ts
+++ b/packages/lovagepond-router/src/router_sidecar_calls.ts
@@ -62,7 +62,6 @@
     this.#call.pause();
   }
 
-  /** Resumes reading frames. */
   resume(): void {
     this.#call.resume();
   }
@@ -145,8 +144,6 @@
 };
 
 /**
- * Asks a sidecar to revoke an attempt.
- *
  * @param connection a connection that is up
  * @param attemptId the attempt
  * @param incarnation the sidecar incarnation that the attempt was sent to
@@ -166,8 +163,6 @@
 }
 
 /**
- * Sends a newer configuration to a sidecar.
- *
  * @param connection a connection that is up
  * @param configuration the encoded configuration
  * @param timeoutMs timeout of the call, in milliseconds
