--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_claims.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_claims.test.ts
@@ -57,10 +57,7 @@
   readonly repeatable: boolean;
 }
 
-/**
- * Callers, one sidecar at a time, the ledger, and a service that counts its
- * runs.
- */
+/** Callers, one sidecar at a time, the ledger and a run-counting service. */
 class Harness {
   readonly ledger = new FakeLedger();
   readonly messages: Message[] = [];
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_gate_failures.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_gate_failures.test.ts
@@ -137,9 +137,8 @@
 
 describe('draining', () => {
   // The server drains with one request running, one that fits within the limit,
-  // and many that don't. The running one must not be interrupted and the
-  // fitting one must be served; the others and all new ones are refused at
-  // once.
+  // and many that don't. The first must not be interrupted, the second must be
+  // served, and the others and all new ones must be refused at once.
   it('refuses what does not fit and interrupts nothing', () => {
     const gate = makeGate({maxHoldMs: 60_000});
     gate.offer(makeOffer('running', {tokens: 1_000}), 0);
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_state.test.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_state.test.ts
@@ -7,10 +7,9 @@
 import {REVISION_CHECK, SidecarRevisions} from '../../sidecar_revisions.js';
 
 describe('the cache index', () => {
-  // The engine's events arrive late, and some are lost. A chat stored before
-  // the gap may have been evicted during it. Marked as warm, it would be held
-  // for a lost context; marked as cold, it would be sent away from a cached
-  // one.
+  // The engine's events arrive late or never. A chat stored before the gap may
+  // have been evicted during it: marked as warm, it would be held for a lost
+  // context; marked as cold, it would be sent away from a cached one.
   it('reports everything older than a gap as unknown', () => {
     const index = new SidecarCacheIndex(8);
     index.apply(1, 'w', 'old', 100);
--- a/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_test_utils.ts
+++ b/packages/lovagepond-sidecar/src/__tests__/unit/sidecar_test_utils.ts
@@ -134,10 +134,7 @@
   }
 }
 
-/**
- * A control process of one member: confirms revision 1 and accepts
- * announcements.
- */
+/** A single control member: confirms revision 1, accepts announcements. */
 export class FakeControl {
   readonly #server = new Server();
   readonly announced: lovagepond.v1.AnnounceRequest.$Properties[] = [];
--- a/packages/lovagepond-sidecar/src/sidecar_admission.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_admission.ts
@@ -26,7 +26,6 @@
  */
 const REACTION_MS = 300;
 
-/** Settings of {@link SidecarAdmission}. */
 export interface AdmissionSettings {
   readonly floorTokens: number;
   readonly capacityTokens: number;
@@ -107,9 +106,8 @@
   }
 
   /**
-   * Sets the engine's capacity. Work beyond it would wait inside the engine,
-   * where the fair queue does not order it and no other server can take it
-   * over.
+   * Work beyond the capacity would wait inside the engine, where the fair queue
+   * does not order it and no other server can take it over.
    *
    * @param tokens capacity that the engine reports; 0 when it reports none
    */
@@ -242,8 +240,8 @@
   }
 
   /**
-   * Checks whether a request may be dispatched. An idle engine always admits
-   * one request, as a request larger than the limit could otherwise never run.
+   * An idle engine always admits one request, as a request larger than the
+   * limit could otherwise never run.
    *
    * @param tokens the request's tokens
    * @param now current time
@@ -309,9 +307,8 @@
   }
 
   /**
-   * Weight of a mean by its age. Servers may have finished their work since an
-   * old mean was taken. At full weight it would let this engine run far above a
-   * pool that has become idle.
+   * Servers may have finished their work since an old mean was taken. At full
+   * weight, it would let this engine run far above a pool that has become idle.
    */
   #ageWeight(takenAt: number, now: number): number {
     const {meanFreshMs, meanTrustMs} = this.#settings;
@@ -321,12 +318,11 @@
   }
 
   /**
-   * Updates the number of ready servers. Control's count is soft state: a new
-   * leader may register the servers one by one, and a pool counted as one
-   * server has no bound. A count that falls by more than half therefore takes
-   * effect only after the previous count has aged. A smaller decrease takes
-   * effect at once: too high a count would keep the remaining servers from
-   * taking over the work of those that left.
+   * Control's count is soft state: a new leader may register the servers one by
+   * one, and a pool counted as one server has no bound. A count that falls by
+   * more than half therefore takes effect only after the previous count has
+   * aged. A smaller decrease takes effect at once: too high a count would keep
+   * the remaining servers from taking over the work of those that left.
    */
   #updateReadyServers(count: number, now: number): number {
     const aged = now - this.#ready.updatedAt > this.#settings.meanTrustMs;
--- a/packages/lovagepond-sidecar/src/sidecar_announcer.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_announcer.ts
@@ -8,7 +8,6 @@
 type AnnounceRequest = lovagepond.v1.AnnounceRequest.$Properties;
 type AnnounceResponse = lovagepond.v1.AnnounceResponse;
 
-/** Dependencies of {@link SidecarAnnouncer}. */
 export interface AnnouncerDependencies {
   readonly link: SidecarControlLink;
   readonly announceIntervalMs: number;
@@ -52,7 +51,6 @@
     this.#sending = false;
   }
 
-  /** Stops announcing. */
   stop(): void {
     this.#stopped = true;
     this.#sendAgain = false;
--- a/packages/lovagepond-sidecar/src/sidecar_attempts.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_attempts.ts
@@ -3,7 +3,6 @@
  * dispatch of the same attempt, and detects duplicates.
  */
 
-/** State of an attempt. */
 export const ATTEMPT_STATE = {
   HELD: 'held',
   CLAIMING: 'claiming',
@@ -13,7 +12,6 @@
   NOT_RUN: 'notRun',
 } as const;
 
-/** One of the values of {@link ATTEMPT_STATE}. */
 export type AttemptState = (typeof ATTEMPT_STATE)[keyof typeof ATTEMPT_STATE];
 
 /** Outcome of a revoke as sent to the router. */
@@ -23,7 +21,6 @@
   UNKNOWN: 'unknown',
 } as const;
 
-/** One of the values of {@link REVOKE_OUTCOME}. */
 export type RevokeOutcome =
   (typeof REVOKE_OUTCOME)[keyof typeof REVOKE_OUTCOME];
 
@@ -40,7 +37,6 @@
   keepUntil: number;
 }
 
-/** Settings of {@link SidecarAttempts}. */
 export interface AttemptsSettings {
   /** Retention of an attempt that was answered as not run, milliseconds. */
   readonly refusalRetentionMs: number;
--- a/packages/lovagepond-sidecar/src/sidecar_backend_watch.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_backend_watch.ts
@@ -10,7 +10,6 @@
 /** Number of consecutive failed probes after which the server is down. */
 const FAILURES_UNTIL_DOWN = 2;
 
-/** Dependencies of {@link SidecarBackendWatch}. */
 export interface WatchDependencies {
   readonly backend: Backend;
   readonly gate: SidecarGate;
@@ -71,7 +70,6 @@
     });
   }
 
-  /** Unsubscribes from cache events. */
   stop(): void {
     this.#unregister();
   }
--- a/packages/lovagepond-sidecar/src/sidecar_cache_index.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_cache_index.ts
@@ -55,10 +55,7 @@
   /** Incremented at each gap; entries of former epochs are unknown. */
   #epoch = 1;
   #nextSequence: number | undefined;
-  /**
-   * True when every event since the engine's start was received, so that chats
-   * without an entry are cold.
-   */
+  /** Every event since the engine's start was received: no entry means cold. */
   #complete = false;
 
   /** @param maxChats maximum number of entries */
@@ -132,10 +129,7 @@
     this.#put(number, epoch, Math.max(before, tokens));
   }
 
-  /**
-   * Clears the index after an engine restart. The contents of the new cache are
-   * unknown.
-   */
+  /** Clears the index after an engine restart, as the new cache is unknown. */
   reset(): void {
     this.#entries.clear();
     this.#invalidate();
--- a/packages/lovagepond-sidecar/src/sidecar_cache_mover.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_cache_mover.ts
@@ -23,7 +23,6 @@
 
 const BUSY_CHECK_MS = 100;
 
-/** Dependencies of {@link SidecarCacheMover}. */
 export interface MoverDependencies {
   readonly gate: SidecarGate;
   readonly backend: Backend;
@@ -42,7 +41,6 @@
   #moved = 0;
   #movedBytes = 0;
   #running = false;
-  /** The most recently served chats. */
   readonly recent: RecentChats;
 
   constructor(deps: MoverDependencies) {
--- a/packages/lovagepond-sidecar/src/sidecar_claims.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_claims.ts
@@ -46,7 +46,6 @@
       readonly outcome: RecordedOutcome;
     };
 
-/** Settings of {@link SidecarClaims}. */
 export interface ClaimsSettings {
   /** Time limit of a claim including its retries, milliseconds. */
   readonly claimTimeoutMs: number;
@@ -209,10 +208,7 @@
     return actions;
   }
 
-  /**
-   * Ends a claim or record that timed out. The ledger may hold the claim, so a
-   * "not run" record for this attempt is sent.
-   */
+  /** The ledger may hold an unanswered claim, so "not run" is recorded. */
   #giveUp(attemptId: string, claim: Claim, now: number): ClaimAction[] {
     if (claim.state === CLAIM_STATE.RECORDING) {
       this.#claims.delete(attemptId);
--- a/packages/lovagepond-sidecar/src/sidecar_client_pool.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_client_pool.ts
@@ -61,10 +61,7 @@
   });
 }
 
-/**
- * Connection pool: one client per address. A client whose call fails is
- * replaced.
- */
+/** One client per address; a client whose call fails is replaced. */
 export class ClientPool {
   readonly #timeoutMs: number;
   readonly #clients = new Map<string, Client>();
@@ -100,7 +97,6 @@
     }
   }
 
-  /** Closes all connections. */
   close(): void {
     for (const [address, client] of this.#clients) {
       this.#closeClient(address, client);
--- a/packages/lovagepond-sidecar/src/sidecar_configuration.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_configuration.ts
@@ -15,7 +15,6 @@
 
 const NO_BYTES = new Uint8Array();
 
-/** Dependencies of {@link SidecarConfiguration}. */
 export interface ConfigurationDependencies {
   readonly gate: SidecarGate;
   readonly log: Logger;
--- a/packages/lovagepond-sidecar/src/sidecar_control_feed.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_control_feed.ts
@@ -19,7 +19,6 @@
 
 const RETRY_MS = 200;
 
-/** Dependencies of {@link SidecarControlFeed}. */
 export interface FeedDependencies {
   readonly clock: Clock;
   readonly log: Logger;
@@ -119,10 +118,7 @@
     call.on('end', onLost);
   }
 
-  /**
-   * Subscribes to another member after a random delay, so that the sidecars do
-   * not all reconnect at the same time.
-   */
+  /** Randomizes the delay so that sidecars don't reconnect simultaneously. */
   #restart(reason: string): void {
     this.#deps.log.debug('subscribing to another control member', {reason});
     this.#close();
--- a/packages/lovagepond-sidecar/src/sidecar_control_link.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_control_link.ts
@@ -19,7 +19,6 @@
   readonly leader?: string | null;
 }
 
-/** Unary calls to control. */
 export class SidecarControlLink {
   readonly #addresses: ControlAddresses;
   readonly #clients: ClientPool;
@@ -97,7 +96,6 @@
     await this.#call(CONTROL_SERVICE.reportConvergence, message);
   }
 
-  /** Closes all connections. */
   close(): void {
     this.#clients.close();
   }
--- a/packages/lovagepond-sidecar/src/sidecar_dispatcher.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_dispatcher.ts
@@ -37,7 +37,6 @@
 const CRASH_CHECK_TIMEOUT_MS = 300;
 const NO_BYTES = new Uint8Array();
 
-/** Dependencies of {@link SidecarDispatcher}. */
 export interface DispatcherDependencies {
   readonly gate: SidecarGate;
   readonly backend: Backend;
@@ -317,10 +316,7 @@
     this.#onRunEnd(session, outcome, crashedInstance);
   }
 
-  /**
-   * Checks whether the backend instance has ended, for a limited time, so that
-   * the caller of an interrupted run is not kept waiting.
-   */
+  /** Time-limited, so that the caller of an interrupted run need not wait. */
   #hasEnded(instance: number): Promise<boolean> {
     const limit = new Promise<boolean>(resolve => {
       setTimeout(() => {
@@ -357,10 +353,7 @@
     this.perform(this.#gate.finish(request.attemptId, end, now));
   }
 
-  /**
-   * Records the outcome of a non-repeatable call. An answer too large to keep
-   * can't be replayed, so its outcome is recorded as unknown.
-   */
+  /** An answer too large to be kept for a replay is recorded as unknown. */
   #record(session: SidecarSession, outcome: RunOutcome): void {
     const {attemptId} = session.request;
     const answer = session.wholeAnswer();
--- a/packages/lovagepond-sidecar/src/sidecar_fair_queue.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_fair_queue.ts
@@ -91,7 +91,6 @@
   return share.weight * 2 ** (steps / PRIORITY_STEPS_PER_DOUBLING);
 }
 
-/** Queued requests of a sidecar. */
 export class SidecarFairQueue {
   #shares: ReadonlyMap<string, WorkspaceShare> = new Map();
   readonly #held = new Map<string, HeldRequest>();
@@ -260,10 +259,7 @@
     return tokens;
   }
 
-  /**
-   * Skips the rounds in which no request could be served, by adding their
-   * quanta at once.
-   */
+  /** Adds the quanta of rounds without a servable request at once. */
   #skipEmptyRounds(): void {
     let rounds = Infinity;
     for (const flow of this.#flows.values()) {
--- a/packages/lovagepond-sidecar/src/sidecar_fencing.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_fencing.ts
@@ -24,7 +24,6 @@
   WAIT: 'wait',
 } as const;
 
-/** One of the values of {@link ORDER_VERDICT}. */
 export type OrderVerdict = (typeof ORDER_VERDICT)[keyof typeof ORDER_VERDICT];
 
 /** How an order ended. */
--- a/packages/lovagepond-sidecar/src/sidecar_gate.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_gate.ts
@@ -72,7 +72,6 @@
     return this.#mode.notReady === undefined;
   }
 
-  /** @returns true while the server is draining */
   get draining(): boolean {
     return this.#components.drain.draining;
   }
@@ -289,8 +288,6 @@
   }
 
   /**
-   * Starts draining.
-   *
    * @param now current time
    * @param limitMs longest time for requests in flight, milliseconds
    * @returns refusals of requests that can't be served within the limit
@@ -306,8 +303,6 @@
   }
 
   /**
-   * Handles a failure of the backend server.
-   *
    * @param now current time
    * @returns refusals of all held requests, so that their routers can try
    *     another server
--- a/packages/lovagepond-sidecar/src/sidecar_gate_refusals.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_gate_refusals.ts
@@ -113,8 +113,7 @@
 }
 
 /**
- * Refuses a request when the router and the sidecar hold different revisions,
- * so that none runs under a configuration that was reported to operators as
+ * No request runs under a configuration that was reported to operators as
  * replaced. The frame carries this sidecar's revision, so that the router can
  * install the sidecar's configuration or send its own, whichever is newer.
  */
--- a/packages/lovagepond-sidecar/src/sidecar_hold.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_hold.ts
@@ -22,7 +22,6 @@
   readonly #reservations = new TakeReservations();
   #nextGiveUpAt = Infinity;
   #nextReviewAt = -Infinity;
-  /** The held requests. */
   readonly queue = new SidecarFairQueue();
   /** Processing rate of the backend server. */
   readonly estimate: SidecarWaitEstimate;
@@ -100,8 +99,6 @@
   }
 
   /**
-   * Reviews all held requests.
-   *
    * @param now current time
    * @returns requests to refuse as not run, removed from the queue
    */
--- a/packages/lovagepond-sidecar/src/sidecar_hold_review.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_hold_review.ts
@@ -7,13 +7,9 @@
 import {type HeldRequest, type SidecarFairQueue} from './sidecar_fair_queue.js';
 import {type SidecarWaitEstimate} from './sidecar_wait_estimate.js';
 
-/**
- * Factor by which the estimated wait must exceed the time left before a request
- * is refused.
- */
+/** Ratio of estimated wait to time left above which a request is refused. */
 const GIVE_UP_MARGIN = 1.25;
 
-/** State that the review reads. */
 export interface HoldReviewView {
   readonly queue: SidecarFairQueue;
   readonly estimate: SidecarWaitEstimate;
--- a/packages/lovagepond-sidecar/src/sidecar_kv_moves.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_kv_moves.ts
@@ -56,9 +56,7 @@
 export interface MoveView {
   /** @returns expected number of cached tokens here */
   warmTokens(named: NamedChat): number;
-  /**
-   * @returns the server that the chat will use next; undefined if there is none
-   */
+  /** @returns the chat's next server; undefined if there is none */
   nextServer(
     named: NamedChat,
   ): {readonly name: string; readonly address: string} | undefined;
@@ -92,10 +90,7 @@
 
 const MS_PER_SECOND = 1_000;
 
-/**
- * Byte-rate limiter; a single transfer may exceed the budget, which delays the
- * next one.
- */
+/** Byte-rate limiter; a transfer above the budget delays the next one. */
 export class ByteRate {
   readonly #bytesPerSecond: number;
   #freeAt = -Infinity;
--- a/packages/lovagepond-sidecar/src/sidecar_orders.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_orders.ts
@@ -19,7 +19,6 @@
   outcome: lovagepond.v1.OrderOutcome.$Properties,
 ) => Promise<void>;
 
-/** Dependencies of {@link SidecarOrders}. */
 export interface OrdersDependencies {
   readonly backendServer: string;
   readonly backend: Backend;
--- a/packages/lovagepond-sidecar/src/sidecar_peers.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_peers.ts
@@ -90,8 +90,7 @@
   }
 
   /**
-   * Sends a chat's first choice a pointer to this server, which served the
-   * chat.
+   * Sends the chat's first choice a pointer to this server, which served it.
    *
    * @param address `host:port` of the first choice's sidecar
    * @param workspace the chat's workspace
@@ -128,7 +127,6 @@
     return answer?.accepted ?? false;
   }
 
-  /** Closes all connections. */
   close(): void {
     this.#clients.close();
   }
--- a/packages/lovagepond-sidecar/src/sidecar_pointers.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_pointers.ts
@@ -12,7 +12,6 @@
   lastRequestId: string;
 }
 
-/** Settings of {@link SidecarPointers}. */
 export interface PointersSettings {
   readonly maxPointers: number;
   readonly pointerLifetimeMs: number;
@@ -101,11 +100,7 @@
     this.#pointers.delete(chatNumber(workspace, chat));
   }
 
-  /**
-   * Removes expired pointers.
-   *
-   * @param now current time
-   */
+  /** @param now current time */
   expire(now: number): void {
     for (const [number, pointer] of this.#pointers) {
       if (pointer.expiresAt > now) return;
--- a/packages/lovagepond-sidecar/src/sidecar_presence.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_presence.ts
@@ -13,7 +13,6 @@
 type AnnounceRequest = lovagepond.v1.AnnounceRequest.$Properties;
 type AnnounceResponse = lovagepond.v1.AnnounceResponse;
 
-/** Dependencies of {@link SidecarPresence}. */
 export interface PresenceDependencies {
   readonly gate: SidecarGate;
   readonly clock: Clock;
@@ -64,7 +63,6 @@
     void this.#announcer.announce();
   }
 
-  /** Stops announcing. */
   stop(): void {
     this.#announcer.stop();
   }
--- a/packages/lovagepond-sidecar/src/sidecar_revisions.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_revisions.ts
@@ -8,7 +8,6 @@
   Published,
 } from '@lovagepond/core';
 
-/** Settings of {@link SidecarRevisions}. */
 export interface RevisionsSettings {
   /**
    * Whether a sidecar that restarted and can't reach control serves with an
@@ -25,7 +24,6 @@
   SIDECAR_BEHIND: 'sidecarBehind',
 } as const;
 
-/** One of the values of {@link REVISION_CHECK}. */
 export type RevisionCheck =
   (typeof REVISION_CHECK)[keyof typeof REVISION_CHECK];
 
@@ -75,9 +73,7 @@
     return true;
   }
 
-  /**
-   * @param revision the revision that a majority holds, as reported by control
-   */
+  /** @param revision the revision that a majority holds, as control reports */
   confirm(revision: number): void {
     this.#confirmed = true;
     this.#floor = Math.max(this.#floor, revision);
--- a/packages/lovagepond-sidecar/src/sidecar_role.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_role.ts
@@ -34,7 +34,6 @@
 const RANDOM_DIGITS = 2 ** 32;
 const RADIX = 36;
 
-/** Dependencies of {@link SidecarRole}. */
 export interface SidecarDependencies {
   readonly clock: Clock;
   readonly log: Logger;
@@ -53,7 +52,6 @@
   return new Promise(resolve => setTimeout(resolve, ms));
 }
 
-/** One sidecar process. */
 export class SidecarRole implements Role {
   readonly #settings: SidecarSettings;
   readonly #deps: SidecarDependencies;
@@ -131,7 +129,6 @@
     return this.#incarnation;
   }
 
-  /** See {@link Role.start}. */
   async start(): Promise<void> {
     const {host, port, announcedAddress} = this.#settings;
     const hasher = await loadKeyHasher();
@@ -158,12 +155,10 @@
     });
   }
 
-  /** See {@link Role.isReady}. */
   isReady(): boolean {
     return this.#notReadyReason() === undefined && !this.#gate.draining;
   }
 
-  /** See {@link Role.drain}. */
   async drain(limitMs: number): Promise<void> {
     this.#isStopping = true;
     this.#startDrain(limitMs);
@@ -180,7 +175,6 @@
     await this.#server.finish(Math.max(0, endsAt - clock.now()));
   }
 
-  /** See {@link Role.stop}. */
   async stop(): Promise<void> {
     for (const timer of this.#timers) clearInterval(timer);
     this.#timers = [];
@@ -197,7 +191,6 @@
     else await backend.service.close();
   }
 
-  /** See {@link Role.dump}. */
   dump(): StateDump {
     const now = this.#deps.clock.now();
     const state = {
@@ -310,10 +303,7 @@
       : 'No configuration is confirmed yet.';
   }
 
-  /**
-   * Updates the gate's readiness. A change of state is announced at once, as
-   * routers get the state only from announcements.
-   */
+  /** Announces a change at once, as routers get it only by announcement. */
   #updateReadiness(): void {
     const before = this.#presence.state;
     this.#gate.setNotReady(this.#notReadyReason());
--- a/packages/lovagepond-sidecar/src/sidecar_run.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_run.ts
@@ -17,10 +17,7 @@
 const MAX_UNSENT_BYTES = 64 * 1024;
 const MAX_RESUMES = 2;
 
-/**
- * Failures after which the engine may still hold the generation, or may have
- * crashed.
- */
+/** After these, the engine may have crashed or still hold the generation. */
 const INTERRUPTED: ReadonlySet<ErrorKind> = new Set([
   'backendFailed',
   'backendSilent',
@@ -34,7 +31,6 @@
   /** No byte of the request reached the backend server. */
   | {readonly kind: 'notRun'; readonly failure: Failure};
 
-/** Dependencies of {@link runAttempt}. */
 export interface RunDependencies {
   readonly backend: Backend;
   readonly session: SidecarSession;
--- a/packages/lovagepond-sidecar/src/sidecar_service.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_service.ts
@@ -11,7 +11,6 @@
 
 const {v1} = lovagepond;
 
-/** Dependencies of {@link SidecarService}. */
 export interface ServiceDependencies {
   readonly gate: SidecarGate;
   readonly dispatcher: SidecarDispatcher;
@@ -32,7 +31,6 @@
     this.#deps = deps;
   }
 
-  /** See {@link SidecarHandlers.frameHead}. */
   frameHead(): FrameHead {
     const {gate, clock, incarnation} = this.#deps;
     const {runningTokens, queuedTokens} = gate.load(clock.now());
@@ -40,7 +38,6 @@
     return {incarnation, revision, runningTokens, queuedTokens};
   }
 
-  /** See {@link SidecarHandlers.offer}. */
   offer(
     request: lovagepond.v1.AttemptRequest,
     stream: FrameStream,
@@ -48,12 +45,10 @@
     return this.#deps.dispatcher.offer(request, stream);
   }
 
-  /** See {@link SidecarHandlers.streamClosed}. */
   streamClosed(session: SidecarSession, stream: FrameStream): void {
     this.#deps.dispatcher.streamClosed(session, stream);
   }
 
-  /** See {@link SidecarHandlers.revoke}. */
   revoke(
     request: lovagepond.v1.RevokeRequest.$Properties,
   ): lovagepond.v1.RevokeResponse {
@@ -65,13 +60,11 @@
     return new v1.RevokeResponse({outcome});
   }
 
-  /** See {@link SidecarHandlers.probe}. */
   probe(): lovagepond.v1.ProbeResponse {
     const {draining} = this.#deps.gate;
     return new v1.ProbeResponse({...this.frameHead(), draining});
   }
 
-  /** See {@link SidecarHandlers.install}. */
   install(
     request: lovagepond.v1.InstallRequest.$Properties,
   ): lovagepond.v1.InstallResponse {
@@ -79,7 +72,6 @@
     return new v1.InstallResponse({revision: this.#deps.revision()});
   }
 
-  /** See {@link SidecarHandlers.moveCache}. */
   async moveCache(
     request: lovagepond.v1.MoveCacheRequest.$Properties,
   ): Promise<lovagepond.v1.MoveCacheResponse> {
@@ -87,7 +79,6 @@
     return new v1.MoveCacheResponse({accepted});
   }
 
-  /** See {@link SidecarHandlers.point}. */
   point(
     request: lovagepond.v1.PointerRequest.$Properties,
   ): lovagepond.v1.PointerResponse {
@@ -99,7 +90,6 @@
     return new v1.PointerResponse();
   }
 
-  /** See {@link SidecarHandlers.take}. */
   take(
     request: lovagepond.v1.TakeRequest.$Properties,
   ): lovagepond.v1.TakeResponse {
--- a/packages/lovagepond-sidecar/src/sidecar_sessions.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_sessions.ts
@@ -3,7 +3,6 @@
  */
 import {type SidecarSession} from './sidecar_session.js';
 
-/** Settings of {@link SidecarSessions}. */
 export interface SessionsSettings {
   readonly heartbeatIntervalMs: number;
   /** How long a run continues without an attached stream, milliseconds. */
--- a/packages/lovagepond-sidecar/src/sidecar_settings.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_settings.ts
@@ -13,7 +13,6 @@
   REFUSE: 'refuse',
 } as const;
 
-/** One of the values of {@link PARTITION_POLICY}. */
 export type PartitionPolicy =
   (typeof PARTITION_POLICY)[keyof typeof PARTITION_POLICY];
 
--- a/packages/lovagepond-sidecar/src/sidecar_take.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_take.ts
@@ -84,7 +84,6 @@
   readonly tokens: number;
 }
 
-/** Settings of {@link SidecarTaker}. */
 export interface TakerSettings {
   /** Minimum time between two takes, milliseconds. */
   readonly takeIntervalMs: number;
--- a/packages/lovagepond-sidecar/src/sidecar_take_client.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_take_client.ts
@@ -10,7 +10,6 @@
   type TakerSettings,
 } from './sidecar_take.js';
 
-/** Dependencies of {@link SidecarTakeClient}. */
 export interface TakeClientDependencies {
   readonly gate: SidecarGate;
   readonly peers: SidecarPeers;
--- a/packages/lovagepond-sidecar/src/sidecar_types.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_types.ts
@@ -49,7 +49,6 @@
   UNKNOWN: 'unknown',
 } as const;
 
-/** One of the values of {@link WARMTH}. */
 export type Warmth = (typeof WARMTH)[keyof typeof WARMTH];
 
 /** State of one chat in the cache index. */
@@ -75,10 +74,7 @@
   readonly pointer: string;
 }
 
-/**
- * A duplicate of a known attempt arrived. The attempt may have run, but the
- * duplicate did not.
- */
+/** A duplicate of a known attempt arrived; only the first may have run. */
 export interface RejectDuplicateAction {
   readonly kind: 'rejectDuplicate';
   readonly attemptId: string;
