--- a/packages/lovagepond-caller/src/__tests__/unit/caller_server.test.ts
+++ b/packages/lovagepond-caller/src/__tests__/unit/caller_server.test.ts
@@ -130,9 +130,8 @@
 });
 
 test('a rejected sender gets its response before the close', async () => {
-  // The request is rejected by its head while the caller still sends the body.
-  // An immediate close would reset the connection, and the caller would see
-  // only the reset.
+  // Rejected by its head while the caller still sends the body. An immediate
+  // close would reset the connection, and the caller would see only the reset.
   const server = await startServer(respondOk, {maxBodyBytes: 2_000});
   const body = 'x'.repeat(8 * 1024 * 1024);
   const {socket, received} = openRaw(server, rawRequest(body));
--- a/packages/lovagepond-caller/src/__tests__/unit/caller_test_utils.ts
+++ b/packages/lovagepond-caller/src/__tests__/unit/caller_test_utils.ts
@@ -57,7 +57,6 @@
   return fetch(url(server, path), {method: 'POST', headers: all, body});
 }
 
-/** The error object of a response. */
 export async function errorOf(
   res: Response,
 ): Promise<{kind: string; disposition: string; retryAfterMs: number}> {
--- a/packages/lovagepond-caller/src/caller_body.ts
+++ b/packages/lovagepond-caller/src/caller_body.ts
@@ -10,7 +10,6 @@
   failure: makeFailure('payloadTooLarge'),
 } as const;
 
-/** Limits of one body. */
 export interface BodyLimits {
   readonly maxBytes: number;
   readonly timeoutMs: number;
--- a/packages/lovagepond-caller/src/caller_constants.ts
+++ b/packages/lovagepond-caller/src/caller_constants.ts
@@ -20,7 +20,6 @@
   REQUEST_ID: 'x-lovagepond-request-id',
 } as const;
 
-/** Paths for callers. */
 export const CALLER_PATH = {
   CHAT_COMPLETIONS: '/v1/chat/completions',
   SERVICES: '/services/',
--- a/packages/lovagepond-caller/src/caller_errors.ts
+++ b/packages/lovagepond-caller/src/caller_errors.ts
@@ -5,7 +5,6 @@
 
 const MS_PER_SECOND = 1000;
 
-/** The body of an error response. */
 export interface CallerErrorBody {
   readonly error: {
     readonly kind: Failure['kind'];
@@ -33,10 +32,7 @@
   return JSON.stringify(body);
 }
 
-/**
- * @param failure the failure
- * @returns milliseconds until the caller may retry, 0 if it should not
- */
+/** @returns milliseconds until the caller may retry, 0 if it should not */
 function retryAfterOf(failure: Failure): number {
   if (!answerFor(failure.kind).retryable) return 0;
   return Math.max(1, Math.ceil(failure.retryAfterMs));
--- a/packages/lovagepond-caller/src/caller_exchange.ts
+++ b/packages/lovagepond-caller/src/caller_exchange.ts
@@ -37,7 +37,6 @@
   readonly refusals: CallerRefusals;
   /** Draws the jitter of retry times. */
   readonly random: Random;
-  /** @returns a new unique request id */
   readonly nextRequestId: () => string;
 }
 
@@ -112,8 +111,6 @@
 }
 
 /**
- * Runs one exchange.
- *
  * @param req the request, its body unread
  * @param res its response
  * @param route the path including its query, and the endpoint
--- a/packages/lovagepond-caller/src/caller_keys.ts
+++ b/packages/lovagepond-caller/src/caller_keys.ts
@@ -43,7 +43,6 @@
     return {ok: true, value: release};
   }
 
-  /** Number of keys in flight. */
   get size(): number {
     return this.#uses.size;
   }
--- a/packages/lovagepond-caller/src/caller_request.ts
+++ b/packages/lovagepond-caller/src/caller_request.ts
@@ -14,13 +14,11 @@
 import {CALLER_HEADER, DEFAULT_CHAT_KIND} from './caller_constants.js';
 import {type CallerRequest, type CallerSettings} from './caller_types.js';
 
-/** The endpoints for callers. */
 export const ENDPOINT = {
   COMPLETION: 'completion',
   SERVICE: 'service',
 } as const;
 
-/** One of the values of {@link ENDPOINT}. */
 export type Endpoint = (typeof ENDPOINT)[keyof typeof ENDPOINT];
 
 /** The decoded headers. */
@@ -136,11 +134,7 @@
   };
 }
 
-/**
- * @param path path including its query
- * @param body the request's body
- * @returns SHA-256 of both, as a key reused on another path is another request
- */
+/** Includes the path, as a key reused on another path is another request. */
 function digestCall(path: string, body: Uint8Array): Uint8Array {
   return createHash('sha256').update(path).update('\0').update(body).digest();
 }
--- a/packages/lovagepond-caller/src/caller_response.ts
+++ b/packages/lovagepond-caller/src/caller_response.ts
@@ -16,7 +16,6 @@
 } from './caller_errors.js';
 import {type ResponseHeaders, type ResponseSink} from './caller_types.js';
 
-/** Limits of one response. */
 export interface ResponseLimits {
   readonly maxWholeAnswerBytes: number;
   readonly maxBufferedBytes: number;
@@ -99,10 +98,9 @@
     }
     if (!this.begun) this.begin(200, EVENT_STREAM_TYPE);
     if (this.#res.write(chunk)) return;
-    // If the caller reads more slowly than the engine generates, the whole
-    // response would be buffered here, so the producer awaits the socket. The
-    // byte limit covers a producer that does not await, and the time limit a
-    // caller that has stopped reading: the memory for one caller is bounded.
+    // The producer awaits the socket, as a slow reader's whole response would
+    // otherwise be buffered here. The byte limit covers a producer that does
+    // not await, and the time limit a caller that has stopped reading.
     if (this.#res.writableLength > this.#limits.maxBufferedBytes) {
       this.#disconnectSlowReader();
       return;
--- a/packages/lovagepond-caller/src/caller_server.ts
+++ b/packages/lovagepond-caller/src/caller_server.ts
@@ -20,7 +20,6 @@
   type CallerSettings,
 } from './caller_types.js';
 
-/** Dependencies of {@link CallerServer}. */
 export interface CallerServerDependencies {
   readonly clock: Clock;
   readonly handler: CallerHandler;
@@ -87,7 +86,6 @@
     return address?.port ?? this.#settings.port;
   }
 
-  /** Counters for metrics and the state dump. */
   get counters(): CallerCounters {
     return {
       connections: this.#openConnections,
