--- a/packages/lovagepond-sidecar/src/sidecar_cache_index.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_cache_index.ts
@@ -55,7 +55,10 @@
   /** Incremented at each gap; entries of former epochs are unknown. */
   #epoch = 1;
   #nextSequence: number | undefined;
-  /** Every event since the engine's start was received: no entry means cold. */
+  /**
+   * No event since the engine's start was missed and no entry was evicted, so
+   * chats without an entry are cold.
+   */
   #complete = false;
 
   /** @param maxChats maximum number of entries */
