--- a/packages/lovagepond-sidecar/src/sidecar_cache_index.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_cache_index.ts
@@ -56,8 +56,8 @@
   #epoch = 1;
   #nextSequence: number | undefined;
   /**
-   * True when every event since the engine's start was received, so that chats
-   * without an entry are cold.
+   * No event since the engine's start was missed and no entry was evicted, so
+   * chats without an entry are cold.
    */
   #complete = false;
 
@@ -132,10 +132,7 @@
     this.#put(number, epoch, Math.max(before, tokens));
   }
 
-  /**
-   * Clears the index after an engine restart. The contents of the new cache are
-   * unknown.
-   */
+  /** Clears the index after an engine restart, as the new cache is unknown. */
   reset(): void {
     this.#entries.clear();
     this.#invalidate();
