--- a/packages/lovagepond-consensus/src/__tests__/model/consensus_model.ts
+++ b/packages/lovagepond-consensus/src/__tests__/model/consensus_model.ts
@@ -131,10 +131,7 @@
     this.#perform(host);
   }
 
-  /**
-   * Proposes in bursts only. Between bursts the model time advances faster: see
-   * #stepMs.
-   */
+  /** Proposes in bursts only; #stepMs lets more time pass between them. */
   #proposeInBurst(): void {
     if (this.#random.next() < BURST_TOGGLE_SHARE) {
       this.#isBursting = !this.#isBursting;
@@ -367,9 +364,7 @@
     return isIdle ? IDLE_STEP_MS : this.#faults.stepMs;
   }
 
-  /**
-   * Returns a random host in the leader role, which may be a deposed leader.
-   */
+  /** Returns a random leader, which may be deposed. */
   pickLeader(): ModelHost {
     const leads = (host: ModelHost): boolean =>
       host.core !== undefined && this.status(host).role === 'leader';
--- a/packages/lovagepond-consensus/src/__tests__/model/consensus_model_host.ts
+++ b/packages/lovagepond-consensus/src/__tests__/model/consensus_model_host.ts
@@ -69,9 +69,7 @@
     expect(host.state.digest).toBe(this.#digests[index]);
   }
 
-  /**
-   * Checks that entries are applied in order and never change once committed.
-   */
+  /** Checks that entries are applied in order and never change afterwards. */
   apply(host: ModelHost, entry: LogEntry): void {
     expect(entry.index).toBe(host.state.index + 1);
     const digest = mixDigest(host.state.digest, entry);
--- a/packages/lovagepond-consensus/src/consensus_action_performer.ts
+++ b/packages/lovagepond-consensus/src/consensus_action_performer.ts
@@ -20,7 +20,6 @@
 /** Called with the last applied index after entries were applied. */
 export type AppliedListener = (appliedIndex: number) => void;
 
-/** Dependencies of {@link ActionPerformer}. */
 export interface PerformerDependencies {
   readonly stateMachine: StateMachine;
   readonly transport: ConsensusTransport;
--- a/packages/lovagepond-consensus/src/consensus_core.ts
+++ b/packages/lovagepond-consensus/src/consensus_core.ts
@@ -26,9 +26,8 @@
 } from './consensus_types.js';
 
 /**
- * Time without leader contact after which a member asks to join again, in
- * election timeouts. A group that has a quorum has elected a new leader by
- * then.
+ * Time without leader contact, in election timeouts, after which a member asks
+ * to join again. A group with a quorum has elected a new leader by then.
  */
 const REJOIN_AFTER_TIMEOUTS = 3;
 
@@ -83,7 +82,6 @@
   },
 };
 
-/** One member of the group, without I/O. */
 export class ConsensusCore {
   readonly #state: MemberState;
   readonly #roles: CoreRoles;
@@ -99,10 +97,7 @@
     this.#roles = {state, elector, follower: new Follower(state)};
   }
 
-  /**
-   * @returns the actions collected since the last call, to be performed in
-   *     order
-   */
+  /** @returns the actions since the last call, in the order to perform */
   takeActions(): readonly ConsensusAction[] {
     return this.#state.outbox.take();
   }
@@ -209,9 +204,8 @@
   changeMembers(change: MemberChange, now: number): Proposal {
     const {leadership, replica} = this.#state;
     if (!leadership) return {kind: 'notLeader'};
-    // Two concurrent changes, or one next to an uncommitted change from an
-    // earlier term, can result in two majorities without a common voter, and so
-    // in two leaders.
+    // Two concurrent changes, or one beside an uncommitted change of an earlier
+    // term, can give two majorities without a common voter: two leaders.
     if (!leadership.hasCommittedInTerm) {
       return {kind: 'refused', reason: CHANGE_REFUSAL.TERM_NOT_COMMITTED};
     }
@@ -270,9 +264,8 @@
   }
 
   /**
-   * Detects that this member may have been removed while it was down. The
-   * leader sends nothing to a removed member, so that member has to ask to join
-   * again.
+   * A member removed while it was down gets no messages from the leader and has
+   * to ask to join again.
    *
    * @param now monotonic milliseconds
    * @returns true if this member has stored state, does not lead, and had no
@@ -321,9 +314,8 @@
     const {leadership, replica, term, id} = this.#state;
     if (!leadership) return;
     const index = leadership.majorityIndex();
-    // An entry of an earlier term can still be overwritten by another leader
-    // although a majority stores it. It is committed only together with a later
-    // entry of the current term.
+    // Another leader can still overwrite an entry of an earlier term that a
+    // majority stores. Only a later entry of the current term commits it.
     if (replica.log.termAt(index) !== term) return;
     replica.commitTo(index);
     const {members, membersIndex} = replica.log;
--- a/packages/lovagepond-consensus/src/consensus_dependencies.ts
+++ b/packages/lovagepond-consensus/src/consensus_dependencies.ts
@@ -7,7 +7,6 @@
 import {type ConsensusTransport} from './consensus_transport.js';
 import {type StateMachine} from './consensus_types.js';
 
-/** Dependencies of a consensus node. */
 export interface ConsensusDependencies {
   readonly stateMachine: StateMachine;
   readonly storage: ConsensusStorage;
@@ -22,8 +21,8 @@
   readonly random: Random;
   readonly log: Logger;
   /**
-   * Start of this process on `clock`: no previous process has given a promise
-   * since then. Defaults to the start of the member.
+   * Start of this process on `clock`; no earlier process gave a promise after
+   * it. Defaults to the start of the member.
    */
   readonly processStartedAt?: number;
 }
--- a/packages/lovagepond-consensus/src/consensus_disk.ts
+++ b/packages/lovagepond-consensus/src/consensus_disk.ts
@@ -13,7 +13,6 @@
 import {join} from 'node:path';
 import {toStorageError} from './consensus_storage_errors.js';
 
-/** An open file. */
 export interface DiskFile {
   /**
    * @param bytes the bytes to write
--- a/packages/lovagepond-consensus/src/consensus_elector.ts
+++ b/packages/lovagepond-consensus/src/consensus_elector.ts
@@ -11,7 +11,6 @@
 } from './consensus_messages.js';
 import {MEMBER_ROLE, type MemberId} from './consensus_types.js';
 
-/** Handles votes and elections of one member. */
 export class Elector {
   readonly #state: MemberState;
   readonly #granted = new Set<MemberId>();
@@ -88,9 +87,8 @@
   }
 
   /**
-   * Counts the vote of this member for itself once the vote is synced. Counted
-   * earlier, the vote could be lost in a crash and the member could vote again
-   * in the same term.
+   * Counts this member's own vote only once it is synced: after a crash that
+   * lost it, the member could vote again in the same term.
    *
    * @param now monotonic milliseconds
    */
@@ -100,11 +98,11 @@
   }
 
   /**
-   * A learner, such as a member that lost its disk and was not promoted yet,
-   * must not become a candidate, because its log may be incomplete. A voter
-   * whose removal is not committed yet must be able to: if only its log
-   * contains the removal, the remaining voters can't win an election against
-   * that longer log, and the group would have no leader.
+   * A learner, such as a member that lost its disk, must not become a
+   * candidate: its log may be incomplete. A voter whose removal is not
+   * committed must be able to: if only its log contains the removal, the other
+   * voters can't win against that longer log, and the group would have no
+   * leader.
    */
   #mayBeElected(): boolean {
     const {id, replica} = this.#state;
--- a/packages/lovagepond-consensus/src/consensus_file_storage.ts
+++ b/packages/lovagepond-consensus/src/consensus_file_storage.ts
@@ -94,7 +94,6 @@
   entries.length = Math.max(0, Math.min(entries.length, from - first));
 }
 
-/** Durable storage in one folder. */
 export class FileStorage implements ConsensusStorage {
   readonly #disk: Disk;
   readonly #rewritesOnOpen: boolean;
@@ -269,10 +268,7 @@
     await this.#removeOld();
   }
 
-  /**
-   * Drops the entries that the snapshot covers, or all entries if the log
-   * contradicts the snapshot.
-   */
+  /** Drops the covered entries, or all if the log contradicts the snapshot. */
   async #replaceSegment(snapshot: Snapshot): Promise<void> {
     const {index, term} = snapshot;
     const {base, entries} = this.#content;
--- a/packages/lovagepond-consensus/src/consensus_follower.ts
+++ b/packages/lovagepond-consensus/src/consensus_follower.ts
@@ -5,7 +5,6 @@
 import {type AppendRequest, type SnapshotChunk} from './consensus_messages.js';
 import {SnapshotReceiver} from './consensus_snapshot_receiver.js';
 
-/** Handles the messages of a leader to one member. */
 export class Follower {
   readonly #state: MemberState;
   readonly #receiver = new SnapshotReceiver();
--- a/packages/lovagepond-consensus/src/consensus_formation.ts
+++ b/packages/lovagepond-consensus/src/consensus_formation.ts
@@ -37,9 +37,7 @@
   hasLostLeader(now: number): boolean;
   isLeading(): boolean;
   members(): MemberList;
-  /**
-   * True if this host leads and the member replied within an election timeout.
-   */
+  /** True if this host leads and got a reply within an election timeout. */
   isActive(id: MemberId): boolean;
 }
 
@@ -54,17 +52,13 @@
   /** A host that is not a member asks to join. */
   | {readonly kind: 'join'; readonly hello: HelloRequest};
 
-/**
- * Round number of a join request that a member forwarded. The rounds of a host
- * start at 1.
- */
+/** Round of a forwarded join request; the rounds of a host start at 1. */
 export const FORWARDED_ROUND = 0;
 
 /**
- * Interval of a leader's announcements to hosts that do not reply to it, in
- * milliseconds. It is short compared with the second that all hosts need to
- * serve again after a restart of the whole fleet. Hosts that never return are
- * sent announcements as well.
+ * Interval of a leader's announcements to hosts that do not reply, even those
+ * that never return, in milliseconds. It is short compared with the second that
+ * all hosts need to serve again after a restart of the fleet.
  */
 const ANNOUNCEMENT_INTERVAL_MS = 100;
 
@@ -77,10 +71,7 @@
   readonly #blankPeers = new Map<string, Member>();
   /** Addresses of hosts that reported that they have no disk. */
   readonly #observers = new Set<string>();
-  /**
-   * Addresses of members that announced themselves while this host belonged to
-   * no group.
-   */
+  /** Addresses of members announced while this host belonged to no group. */
   readonly #announced = new Set<string>();
   #actions: FormationAction[] = [];
   #round = 0;
@@ -101,10 +92,7 @@
     return actions;
   }
 
-  /**
-   * Addresses of members that announced themselves while this host belongs to
-   * no group. Callers of this host can be redirected to them.
-   */
+  /** Addresses to which callers are redirected while this host has no group. */
   get announcedMembers(): readonly string[] {
     return this.#view.isBlank() ? [...this.#announced] : [];
   }
@@ -165,9 +153,9 @@
 
   /**
    * Announces this leader to seeds and to members that do not reply. Hosts with
-   * empty storage know only the seeds, and the seeds may all have empty storage
-   * too. After a restart of all hosts, those without a disk would only exchange
-   * hellos with each other until the leader removed their previous identities.
+   * empty storage know only the seeds, which may be empty too: after a restart
+   * of all hosts they would only exchange hellos until the leader removed their
+   * previous identities.
    */
   #announce(now: number): void {
     if (now < this.#nextAnnouncement) return;
--- a/packages/lovagepond-consensus/src/consensus_formation_performer.ts
+++ b/packages/lovagepond-consensus/src/consensus_formation_performer.ts
@@ -18,7 +18,6 @@
   type MemberList,
 } from './consensus_types.js';
 
-/** Functions that the performer calls. */
 export interface FormationPerformerDependencies {
   send(address: string, message: FormationMessage): void;
   status(): ConsensusStatus;
@@ -33,7 +32,6 @@
   ) => void;
 };
 
-/** Performs the actions of a formation. */
 export class FormationPerformer {
   readonly #dependencies: FormationPerformerDependencies;
   readonly #handlers: Handlers = {
@@ -73,10 +71,9 @@
   }
 
   /**
-   * Forwards a join request to the leader. The joining host may know only
-   * followers. Without the leader it would wait forever, the lost voter would
-   * keep counting towards the quorum, and the next loss would leave the group
-   * without a majority.
+   * Forwards a join request, as the joining host may know only followers.
+   * Without the leader it would wait forever, the lost voter would keep
+   * counting towards the quorum, and the next loss would cost the majority.
    */
   #forward(hello: HelloRequest, leader: Member): void {
     this.#dependencies.send(leader.address, {...hello, round: FORWARDED_ROUND});
--- a/packages/lovagepond-consensus/src/consensus_frames.ts
+++ b/packages/lovagepond-consensus/src/consensus_frames.ts
@@ -13,10 +13,7 @@
 /** Frames at the start of a file. */
 export interface FrameScan {
   readonly payloads: readonly Buffer[];
-  /**
-   * Total size of the intact frames in bytes; the rest of the file is a torn
-   * write.
-   */
+  /** Bytes of the intact frames; the rest of the file is a torn write. */
   readonly length: number;
 }
 
--- a/packages/lovagepond-consensus/src/consensus_leadership.ts
+++ b/packages/lovagepond-consensus/src/consensus_leadership.ts
@@ -35,11 +35,10 @@
 }
 
 /**
- * Number of heartbeat rounds of which one includes the observers. With all
- * heartbeats sent to four observers, an idle fleet of nine entry hosts needs
- * half as much CPU time again: 68 s instead of 42 s in a minute. At this rate
- * observers still have leader contact several times before they would ask to
- * join again.
+ * One of this many heartbeat rounds includes the observers. With all heartbeats
+ * sent to four observers, an idle fleet of nine entry hosts needs 68 s of CPU
+ * time in a minute instead of 42 s. At this rate observers still have leader
+ * contact several times before they would ask to join again.
  */
 const ROUNDS_PER_OBSERVER_HEARTBEAT = 4;
 
@@ -277,10 +276,7 @@
     this.#probe(member, progress, now);
   }
 
-  /**
-   * Sends an append message without entries, to find out how far the log of the
-   * follower matches.
-   */
+  /** Asks by an empty append how far the log of the follower matches. */
   #probe(member: Member, progress: FollowerProgress, now: number): void {
     const prevIndex = progress.heartbeatIndex;
     const prevTerm = this.#view.replica.log.termAt(prevIndex);
--- a/packages/lovagepond-consensus/src/consensus_log.ts
+++ b/packages/lovagepond-consensus/src/consensus_log.ts
@@ -171,9 +171,7 @@
     this.#lists = [{index, members}, ...later];
   }
 
-  /**
-   * @param base last entry covered by a snapshot that replaces the whole log
-   */
+  /** @param base last entry covered by a snapshot that replaces the log */
   reset(base: LogBase): void {
     this.#baseIndex = base.index;
     this.#baseTerm = base.term;
--- a/packages/lovagepond-consensus/src/consensus_member_removal.ts
+++ b/packages/lovagepond-consensus/src/consensus_member_removal.ts
@@ -10,10 +10,9 @@
 import {type MemberId, type MemberList} from './consensus_types.js';
 
 /**
- * Time without a reply, in milliseconds, after which a joining host may replace
- * a voter, and after which a learner is removed. It is longer than a restart or
- * a short freeze, because a member that returns later needs another membership
- * change.
+ * Silence, in milliseconds, after which a joining host may replace a voter and
+ * after which a learner is removed. It exceeds a restart or a short freeze, as
+ * a member that returns later needs another membership change.
  */
 export const LOST_AFTER_MS = 4_000;
 
@@ -25,10 +24,7 @@
  */
 const SURPLUS_LOST_AFTER_MS = 1_000;
 
-/**
- * Minimum number of voters that a removal leaves: two voters tolerate no
- * failure.
- */
+/** Minimum of voters after a removal: two voters tolerate no failure. */
 const MIN_VOTERS = 3;
 
 /** Input for choosing a member to remove. */
--- a/packages/lovagepond-consensus/src/consensus_member_replacement.ts
+++ b/packages/lovagepond-consensus/src/consensus_member_replacement.ts
@@ -213,9 +213,8 @@
   }
 
   /**
-   * A member that was removed by an operator must not return without one. So
-   * members with stored state may join only if the group removes unresponsive
-   * members automatically.
+   * Members with stored state may join only if unresponsive members are removed
+   * automatically: one that an operator removed must not return on its own.
    */
   #mayJoin({address, blank}: JoiningHost): boolean {
     if (!blank && this.#view.toleratedLosses === undefined) return false;
--- a/packages/lovagepond-consensus/src/consensus_member_state.ts
+++ b/packages/lovagepond-consensus/src/consensus_member_state.ts
@@ -25,8 +25,7 @@
   readonly random: Random;
   /**
    * Time by which any previous run of this member had ended, in monotonic
-   * milliseconds: that run gave no promise to a leader after it. Defaults to
-   * the time at which this member is created.
+   * milliseconds; it gave no promise later. Defaults to the creation time.
    */
   readonly previousRunEndedBy?: number;
 }
@@ -46,7 +45,6 @@
 /** A message without its envelope. */
 export type MessageBody = WithoutEnvelope<ConsensusMessage>;
 
-/** Term, role and voting promise of one member. */
 export class MemberState {
   readonly id: MemberId;
   readonly parts: CoreOptions;
@@ -72,16 +70,13 @@
     this.#term = stored.hardState.term;
     this.#vote = stored.hardState.vote;
     // A restarted member does not know which leader it promised to follow, so
-    // it counts the end of its previous run as leader contact: its vote must
-    // not cut a lease short. A sole voter waits as well, because a leader that
-    // is removing itself may still lead. Counting from the end of the previous
-    // run instead of the creation of this member means that most of the promise
-    // has expired by now.
+    // the end of its previous run counts as leader contact: its vote must not
+    // cut a lease short. A sole voter waits too, as a leader that is removing
+    // itself may still lead. Most of the promise has expired by now.
     this.#leaderContact = options.previousRunEndedBy ?? now;
     this.#electionDue = now + this.#firstTimeout(now);
   }
 
-  /** The current term. */
   get term(): number {
     return this.#term;
   }
@@ -91,7 +86,6 @@
     return this.#vote;
   }
 
-  /** Role of this member in its term. */
   get role(): MemberRole {
     return this.#role;
   }
@@ -115,10 +109,9 @@
   }
 
   /**
-   * Leases rely on this promise: for an election timeout after a message from
-   * the leader, this member votes for no other member. The promise also
-   * prevents a member that was partitioned off and requests votes with a higher
-   * term from deposing the leader.
+   * For an election timeout after a message of the leader, this member votes
+   * for no other; leases rely on this. It also keeps a partitioned member that
+   * requests votes with a higher term from deposing the leader.
    *
    * @param now monotonic milliseconds
    * @returns true while this member must not vote for another member
@@ -286,10 +279,7 @@
     this.outbox.push({kind: 'leaderChanged', leader});
   }
 
-  /**
-   * Random, because members that start together must not start elections
-   * together.
-   */
+  /** Random: members that start together must not start elections together. */
   #firstTimeout(now: number): number {
     const {timings, random} = this.parts;
     const {electionTimeoutMs} = timings;
--- a/packages/lovagepond-consensus/src/consensus_members.ts
+++ b/packages/lovagepond-consensus/src/consensus_members.ts
@@ -10,7 +10,6 @@
   type MemberList,
 } from './consensus_types.js';
 
-/** One change of the members. */
 export type MemberChange =
   | {
       readonly kind: 'addLearner';
--- a/packages/lovagepond-consensus/src/consensus_messages.ts
+++ b/packages/lovagepond-consensus/src/consensus_messages.ts
@@ -13,8 +13,7 @@
   /** Address of the sender; a new member does not know the addresses yet. */
   readonly fromAddress: string;
   /**
-   * Identity of the receiver. A member with another identity at the same
-   * address ignores the message.
+   * Identity of the receiver; another one at its address ignores the message.
    */
   readonly to: MemberId;
   readonly term: number;
@@ -29,7 +28,6 @@
   readonly attempt: number;
 }
 
-/** Reply to {@link PreVoteRequest}. */
 export interface PreVoteReply extends Envelope {
   readonly kind: 'preVoteReply';
   readonly granted: boolean;
@@ -60,13 +58,10 @@
   readonly round: number;
 }
 
-/** Reply to {@link AppendRequest}. */
 export interface AppendReply extends Envelope {
   readonly kind: 'appendReply';
   readonly success: boolean;
-  /**
-   * On success: last synced index at which the log equals that of the leader.
-   */
+  /** On success: last synced index that matches the log of the leader. */
   readonly matchIndex: number;
   /** On refusal: the refused `prevIndex`, and the index to try next. */
   readonly refusedIndex: number;
@@ -74,7 +69,6 @@
   readonly round: number;
 }
 
-/** A chunk of a snapshot. */
 export interface SnapshotChunk extends Envelope {
   readonly kind: 'snapshotChunk';
   readonly snapshotIndex: number;
@@ -86,7 +80,6 @@
   readonly round: number;
 }
 
-/** Reply to {@link SnapshotChunk}. */
 export interface SnapshotReply extends Envelope {
   readonly kind: 'snapshotReply';
   readonly snapshotIndex: number;
@@ -108,20 +101,14 @@
   | SnapshotChunk
   | SnapshotReply;
 
-/**
- * Asks the host at an address, whatever its identity, whether it belongs to a
- * group.
- */
+/** Asks whichever host is at an address whether it belongs to a group. */
 export interface HelloRequest {
   readonly kind: 'hello';
   readonly from: MemberId;
   readonly fromAddress: string;
   /** The data folder of the sender is empty: it belongs to no group. */
   readonly blank: boolean;
-  /**
-   * If true, the sender asks to join; if false, it announces that it is a
-   * member.
-   */
+  /** True to ask to join, false to announce the sender as a member. */
   readonly joins: boolean;
   /** The sender has no disk and never votes. */
   readonly observer: boolean;
@@ -129,7 +116,6 @@
   readonly round: number;
 }
 
-/** Reply to {@link HelloRequest}. */
 export interface HelloReply {
   readonly kind: 'helloReply';
   readonly from: MemberId;
--- a/packages/lovagepond-consensus/src/consensus_node.ts
+++ b/packages/lovagepond-consensus/src/consensus_node.ts
@@ -42,10 +42,7 @@
 /** Interval between attempts to reopen failed storage, milliseconds. */
 const REOPEN_MS = 500;
 
-/**
- * True if the stored data is damaged: only an operator can resolve that, so
- * storage is not reopened.
- */
+/** Only an operator can resolve damaged data: storage is not reopened. */
 function isDamage(err: unknown): boolean {
   return err instanceof StorageError && err.failure.kind === 'damaged';
 }
@@ -62,7 +59,6 @@
   leaseValid: false,
 };
 
-/** One member of the group. */
 export class ConsensusNode {
   readonly #settings: ConsensusSettings;
   readonly #dependencies: ConsensusDependencies;
@@ -216,10 +212,7 @@
     return this.#core?.status(this.#now()) ?? this.#lastStatus;
   }
 
-  /**
-   * @returns addresses of members to which callers can be redirected while this
-   *     host belongs to no group
-   */
+  /** @returns addresses for callers while this host belongs to no group */
   announcedMembers(): readonly string[] {
     return this.#formation?.announcedMembers ?? [];
   }
@@ -332,9 +325,7 @@
     return this.#pending.addProposal(proposal.index, proposal.term);
   }
 
-  /**
-   * Proposals in the same event loop iteration share one message and one sync.
-   */
+  /** Proposals of one event loop iteration share one message and one sync. */
   #scheduleFlush(): void {
     if (this.#flushScheduled) return;
     this.#flushScheduled = true;
@@ -378,9 +369,9 @@
   }
 
   /**
-   * Restarts from the stored data, as after a restart of the process. Otherwise
-   * a disk that was full or failed writes for a while would cost the group a
-   * member for good, and the next loss would cost it its majority.
+   * Restarts from the stored data. Otherwise a disk that failed or was full for
+   * a while would cost the group a member for good, and the next loss its
+   * majority.
    */
   async #reopen(): Promise<void> {
     const {reopenStorage, stateMachine, log} = this.#dependencies;
--- a/packages/lovagepond-consensus/src/consensus_outbox.ts
+++ b/packages/lovagepond-consensus/src/consensus_outbox.ts
@@ -26,10 +26,7 @@
   /** The node replies immediately by `snapshotTaken`. */
   | {readonly kind: 'takeSnapshot'; readonly index: number}
   | {readonly kind: 'leaderChanged'; readonly leader: Member | undefined}
-  /**
-   * This member lost leadership: the outcome of its pending proposals is
-   * unknown.
-   */
+  /** Leadership is lost: the outcome of pending proposals is unknown. */
   | {readonly kind: 'leadershipLost'}
   | {
       readonly kind: 'readReady';
@@ -87,9 +84,8 @@
   }
 
   /**
-   * Sends the message once term and vote are synced. A term or vote that is
-   * sent before could be lost in a crash, and the member could then vote for
-   * another candidate in the same term, which would lead to two leaders.
+   * Sends the message once term and vote are synced. Otherwise a crash could
+   * lose them, and a second vote in the same term could elect two leaders.
    *
    * @param address address of the receiver
    * @param message the message
@@ -138,7 +134,6 @@
     this.#index = index;
   }
 
-  /** The last synced index. */
   get index(): number {
     return this.#index;
   }
--- a/packages/lovagepond-consensus/src/consensus_progress.ts
+++ b/packages/lovagepond-consensus/src/consensus_progress.ts
@@ -13,7 +13,6 @@
   SNAPSHOT: 'snapshot',
 } as const;
 
-/** One of the values of {@link PROGRESS_MODE}. */
 export type ProgressMode = (typeof PROGRESS_MODE)[keyof typeof PROGRESS_MODE];
 
 /** A snapshot transfer to a follower. */
@@ -31,38 +30,29 @@
 }
 
 /**
- * Total size of unacknowledged entries, in bytes, at which the next message
- * waits for an acknowledgement. Messages may be reordered: when a short one
- * overtakes a long one, the follower refuses it and the leader sends everything
- * again, so a member that returns with an empty disk would receive its log many
- * times. Messages below this size arrive in order.
+ * Unacknowledged bytes at which the next message waits. When a short message
+ * overtakes a long one, the follower refuses it and the leader resends
+ * everything, so a member with an empty disk would receive its log many times.
+ * Messages below this size arrive in order.
  */
 const MAX_INFLIGHT_BYTES = 16 * 1024;
 
 /**
- * Time after which unacknowledged entries are sent again to a follower that
- * replies, in milliseconds. The value is many times the transfer time of a full
- * message on a slow link (21 ms for 256 KiB at 100 Mbit/s). Resending with each
- * heartbeat would queue long messages faster than the follower can receive
- * them.
+ * Time after which unacknowledged entries are resent to a follower that
+ * replies, in milliseconds: many times the 21 ms of a full message (256 KiB) on
+ * a 100 Mbit/s link. Resending with each heartbeat would queue long messages
+ * faster than the follower receives them.
  */
 const RESEND_AFTER_MS = 400;
 
-/** Replication progress of one follower. */
 export class FollowerProgress {
-  /**
-   * Last index up to which the synced log of the follower matches that of the
-   * leader.
-   */
+  /** Last index at which the synced log matches that of the leader. */
   match = 0;
   /** Next index to send. */
   next: number;
   /** Latest confirmation round acknowledged by the follower. */
   ackedRound = 0;
-  /**
-   * Time of the last reply, monotonic milliseconds; undefined before the first
-   * reply.
-   */
+  /** Time of the last reply, monotonic ms; undefined before the first. */
   lastReplyAt: number | undefined;
   mode: ProgressMode = PROGRESS_MODE.PROBE;
   transfer: SnapshotTransfer | undefined;
@@ -72,9 +62,7 @@
   /** Time of sending the last snapshot chunk, monotonic milliseconds. */
   #chunkSentAt = 0;
 
-  /**
-   * Time when the leader began to track the follower, monotonic milliseconds.
-   */
+  /** Start of tracking the follower, monotonic milliseconds. */
   readonly trackedSince: number;
 
   /**
@@ -114,11 +102,7 @@
     this.next = lastIndex + 1;
   }
 
-  /**
-   * Records that a snapshot chunk was sent.
-   *
-   * @param now monotonic milliseconds
-   */
+  /** @param now monotonic milliseconds */
   sentChunk(now: number): void {
     this.waiting = true;
     this.#chunkSentAt = now;
--- a/packages/lovagepond-consensus/src/consensus_records.ts
+++ b/packages/lovagepond-consensus/src/consensus_records.ts
@@ -12,10 +12,7 @@
   type Snapshot,
 } from './consensus_types.js';
 
-/**
- * First record of a segment: identity of the member and index of the snapshot
- * that the segment follows.
- */
+/** First record of a segment; `index` is that of the snapshot it follows. */
 export interface SegmentBase {
   readonly id: MemberId;
   readonly index: number;
--- a/packages/lovagepond-consensus/src/consensus_replica.ts
+++ b/packages/lovagepond-consensus/src/consensus_replica.ts
@@ -23,7 +23,6 @@
   readonly snapshot: Snapshot;
 }
 
-/** Log and snapshot of one member. */
 export class Replica {
   readonly log: ReplicatedLog;
   readonly #outbox: Outbox;
@@ -35,9 +34,7 @@
   /** Index up to which the log matches that of the leader in this term. */
   #verifiedIndex: number;
   #writtenIndex: number;
-  /**
-   * Total size of the entries committed since the last snapshot was requested.
-   */
+  /** Bytes of entries committed since the last snapshot was requested. */
   #bytesSinceSnapshot = 0;
 
   constructor(stored: StoredState, timings: ConsensusTimings, outbox: Outbox) {
@@ -59,7 +56,6 @@
     return this.#commitIndex;
   }
 
-  /** Last log index that is synced. */
   get syncedIndex(): number {
     return this.#synced.index;
   }
@@ -208,10 +204,7 @@
     this.#write({...(conflict && {truncateFrom: index}), entries: added});
   }
 
-  /**
-   * Skips a whole term at a time, so that few messages are needed to find the
-   * matching index after a long divergence.
-   */
+  /** Skips a term at a time, to find the matching index in few messages. */
   #hintBefore(index: number): number {
     if (index > this.log.lastIndex) return this.log.lastIndex;
     const term = this.log.termAt(index);
--- a/packages/lovagepond-consensus/src/consensus_rounds.ts
+++ b/packages/lovagepond-consensus/src/consensus_rounds.ts
@@ -22,13 +22,10 @@
 }
 
 /**
- * The lease must end before the promises of the followers do. The clock of the
- * leader may be slow and that of a follower fast, each by the allowance.
- * Without this factor, a deposed leader would still answer reads that miss
+ * Length of a lease on the clock of the leader. It must end before the promises
+ * of the followers do: that clock may be slow and a follower's fast, each by
+ * the allowance. Otherwise a deposed leader would still answer reads that miss
  * commits of its successor.
- *
- * @param timings timings of the group
- * @returns duration of a lease on the clock of the leader, milliseconds
  */
 function leaseLengthMs(timings: ConsensusTimings): number {
   const drift = timings.clockDriftAllowance;
@@ -68,10 +65,10 @@
    * Detects a stall of the leader's own event loop. Once between two confirmed
    * rounds, the time of a stall does not count as time without replies.
    *
-   * A leader elected after a restart of all processes reads and forwards the
-   * state of a dozen engines, which stalls it for 0.3 s. Without this exception
-   * it would step down although the group is healthy, and callers would be
-   * refused for another half second. The stall does not extend the lease.
+   * A leader elected after a restart of all processes stalls for 0.3 s while it
+   * reads and forwards the state of a dozen engines. Without this exception it
+   * would step down although the group is healthy, and callers would be refused
+   * for another half second. The stall does not extend the lease.
    *
    * @param now monotonic milliseconds; call it with each tick
    */
--- a/packages/lovagepond-consensus/src/consensus_snapshot_receiver.ts
+++ b/packages/lovagepond-consensus/src/consensus_snapshot_receiver.ts
@@ -15,8 +15,7 @@
    * @returns the next offset expected
    */
   add(chunk: SnapshotChunk): number {
-    // Snapshots of different leaders at the same index may differ in their
-    // bytes.
+    // Snapshots of different leaders at the same index may differ.
     const key = `${chunk.from} ${chunk.term} ${chunk.snapshotIndex}`;
     if (key !== this.#key) this.#restart(key);
     if (chunk.offset === this.#received && chunk.data.length > 0) {
--- a/packages/lovagepond-consensus/src/consensus_status_log.ts
+++ b/packages/lovagepond-consensus/src/consensus_status_log.ts
@@ -9,10 +9,7 @@
   type MemberRole,
 } from './consensus_types.js';
 
-/**
- * Number of characters of an identity that are logged; they identify a member
- * in its group.
- */
+/** Logged part of an identity; it identifies a member in its group. */
 const SHOWN_ID_LENGTH = 8;
 
 function describe({id, address, voter}: Member): string {
@@ -20,7 +17,6 @@
   return voter ? shown : `${shown} (learner)`;
 }
 
-/** Logs status changes of one member. */
 export class StatusLog {
   readonly #log: Logger;
   #members: MemberList | undefined;
--- a/packages/lovagepond-consensus/src/consensus_storage_errors.ts
+++ b/packages/lovagepond-consensus/src/consensus_storage_errors.ts
@@ -5,9 +5,7 @@
 
 /** Reason for a storage failure: a tagged union over `kind`. */
 export type StorageFailure =
-  /**
-   * Stored bytes differ from those written, and a torn last write is ruled out.
-   */
+  /** Stored bytes differ from those written, and not by a torn last write. */
   | {
       readonly kind: 'damaged';
       readonly file: string;
--- a/packages/lovagepond-consensus/src/consensus_storage_writer.ts
+++ b/packages/lovagepond-consensus/src/consensus_storage_writer.ts
@@ -11,7 +11,6 @@
   {kind: 'write'} | {kind: 'saveSnapshot'}
 >;
 
-/** Callbacks of the writer. */
 export interface StorageWriterEvents {
   /** @param id all actions up to this id are synced */
   onStored(id: number): void;
@@ -43,10 +42,7 @@
     if (!this.#running) void this.#drain();
   }
 
-  /**
-   * Stops reporting. Pending actions are dropped; a running one may still
-   * complete.
-   */
+  /** Drops pending actions and stops reporting; a running one may complete. */
   stop(): void {
     this.#stopped = true;
     this.#waiting = [];
--- a/packages/lovagepond-consensus/src/consensus_transport.ts
+++ b/packages/lovagepond-consensus/src/consensus_transport.ts
@@ -4,13 +4,9 @@
 import {type Unregister} from '@lovagepond/core';
 import {type TransportMessage} from './consensus_messages.js';
 
-/** Called with each received message. */
 export type MessageListener = (message: TransportMessage) => void;
 
-/**
- * Sends messages without delivery guarantees: they may be lost, duplicated,
- * delayed or reordered.
- */
+/** Sends messages that may be lost, duplicated, delayed or reordered. */
 export interface ConsensusTransport {
   /**
    * @param address `host:port` of the receiver
@@ -24,10 +20,7 @@
   onMessage(listener: MessageListener): Unregister;
 }
 
-/**
- * Connects members in the same process, for tests and for trying the package
- * out.
- */
+/** Connects members of one process, for tests and for trying the package. */
 export class MemoryNetwork {
   readonly #listeners = new Map<string, Set<MessageListener>>();
 
--- a/packages/lovagepond-consensus/src/consensus_types.ts
+++ b/packages/lovagepond-consensus/src/consensus_types.ts
@@ -13,10 +13,7 @@
   readonly id: MemberId;
   /** `host:port` at which the other members reach it. */
   readonly address: string;
-  /**
-   * False for a learner, which receives the log and does not count towards the
-   * quorum.
-   */
+  /** False for a learner: it gets the log but counts towards no quorum. */
   readonly voter: boolean;
   /** Set for a permanent learner that keeps its log in memory only. */
   readonly observer?: true | undefined;
@@ -25,7 +22,6 @@
 /** The members, voters and learners, as of some log index. */
 export type MemberList = readonly Member[];
 
-/** Kinds of log entries. */
 export const ENTRY_KIND = {
   /** A command for the state machine. */
   COMMAND: 'command',
@@ -35,7 +31,6 @@
   NOOP: 'noop',
 } as const;
 
-/** One of the values of {@link ENTRY_KIND}. */
 export type EntryKind = (typeof ENTRY_KIND)[keyof typeof ENTRY_KIND];
 
 /** One entry of the replicated log. Indexes start at 1. */
@@ -53,9 +48,7 @@
   readonly vote: MemberId;
 }
 
-/**
- * The state of the state machine after `index`, with the members at that index.
- */
+/** State machine state after `index`, with the members at that index. */
 export interface Snapshot {
   readonly index: number;
   readonly term: number;
@@ -63,7 +56,6 @@
   readonly data: Uint8Array;
 }
 
-/** Roles of a member in a term. */
 export const MEMBER_ROLE = {
   FOLLOWER: 'follower',
   PRE_CANDIDATE: 'preCandidate',
@@ -71,7 +63,6 @@
   LEADER: 'leader',
 } as const;
 
-/** One of the values of {@link MEMBER_ROLE}. */
 export type MemberRole = (typeof MEMBER_ROLE)[keyof typeof MEMBER_ROLE];
 
 /**
@@ -92,17 +83,13 @@
   restore(snapshot: Uint8Array): void;
 }
 
-/** Outcome of a proposal. */
 export type ProposeOutcome =
   | {
       readonly kind: 'committed';
       readonly result: Uint8Array;
       readonly index: number;
     }
-  /**
-   * The proposal was not committed and never will be, so proposing it to
-   * another member is safe.
-   */
+  /** The proposal is never committed, so proposing it elsewhere is safe. */
   | {readonly kind: 'notLeader'; readonly leader?: Member}
   /** The proposal may or may not be committed later. */
   | {readonly kind: 'unknown'};
@@ -115,7 +102,6 @@
   | {readonly kind: 'ok'; readonly index: number}
   | {readonly kind: 'notLeader'; readonly leader?: Member};
 
-/** Reasons for refusing a membership change. */
 export const CHANGE_REFUSAL = {
   /** The previous membership change is not committed yet. */
   CHANGE_PENDING: 'changePending',
@@ -130,11 +116,9 @@
   OBSERVER: 'observer',
 } as const;
 
-/** One of the values of {@link CHANGE_REFUSAL}. */
 export type ChangeRefusal =
   (typeof CHANGE_REFUSAL)[keyof typeof CHANGE_REFUSAL];
 
-/** Outcome of a membership change. */
 export type ChangeOutcome =
   | {readonly kind: 'committed'; readonly index: number}
   | {readonly kind: 'refused'; readonly reason: ChangeRefusal}
@@ -164,9 +148,7 @@
 /** Timings and limits of a group; all members must use the same values. */
 export interface ConsensusTimings {
   readonly heartbeatIntervalMs: number;
-  /**
-   * Members start an election after at least this long without leader contact.
-   */
+  /** Minimum time without leader contact before an election starts. */
   readonly electionTimeoutMs: number;
   /** Maximum relative error of the rate of a monotonic clock, such as 0.02. */
   readonly clockDriftAllowance: number;
@@ -204,7 +186,6 @@
   maxInflightAppends: 16,
 };
 
-/** Settings of one member. */
 export interface ConsensusSettings {
   /** `host:port` at which the other members reach this one. */
   readonly address: string;
