--- a/packages/lovagepond-control/src/__tests__/model/control_cluster.ts
+++ b/packages/lovagepond-control/src/__tests__/model/control_cluster.ts
@@ -158,12 +158,7 @@
   }
 }
 
-/**
- * Advances virtual time until a promise resolves.
- *
- * @param work the promise
- * @returns its result; undefined if it takes longer than about 5 s
- */
+/** Advances virtual time until `work` resolves; undefined after about 5 s. */
 export async function settle<Value>(
   work: Promise<Value>,
 ): Promise<Value | undefined> {
--- a/packages/lovagepond-control/src/__tests__/unit/control_role.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/control_role.test.ts
@@ -273,9 +273,8 @@
   return role.dump().state['nodeName'] as string;
 }
 
-// Guards against crash counts that are kept by each router or member alone.
-// Routers report to different members, and a router that is subscribed to any
-// one of them must get the quarantine.
+// Guards against crash counts kept by each router or member alone. Routers
+// report to different members, and every router must get the quarantine.
 test('every member adds up crashes reported to different members', async () => {
   const members = await startMembers(3);
   const request = Buffer.alloc(16, 7);
--- a/packages/lovagepond-control/src/__tests__/unit/direct_server_table.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/direct_server_table.test.ts
@@ -104,9 +104,8 @@
     expect(placesOf(table)).toEqual({'a@2000': 'a@1000'});
   });
 
-  // Guards against a delayed announcement of a previous instance, which arrives
-  // after a later instance joined or ended. Requests would be sent to a server
-  // that no longer exists.
+  // Guards against a delayed announcement of a previous instance, after a later
+  // one joined or ended. Requests would be sent to a server that is gone.
   test('is not replaced by a previous instance', () => {
     const table = new DirectServerTable();
     table.join(instance(1_000), 0);
--- a/packages/lovagepond-control/src/__tests__/unit/leader_take_over.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/leader_take_over.test.ts
@@ -68,9 +68,8 @@
 const ROUTER = {...FOLLOWER, node: 'r', role: 'router'};
 const LEADER = {id: 'l', address: 'leader:1', voter: true};
 
-// A host without stored state has contact with the leader at once, and gets the
-// log later. A gateway that waits there for the configuration would get it
-// later than from other members.
+// A host without stored state has contact with the leader before it has the
+// log. A gateway that waits there gets the configuration later than elsewhere.
 test.each([
   ['has no leader', {}, ['introducer:1']],
   ['has no log', {leader: LEADER}, ['leader:1']],
--- a/packages/lovagepond-control/src/__tests__/unit/ledger_state.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/ledger_state.test.ts
@@ -194,9 +194,8 @@
 });
 
 // Guards against a claim that reaches the leader after its sidecar gave up and
-// recorded "notRun". If the claim were granted, it would stay open although no
-// sidecar dispatches the call, and every repeat would get "inProgress" until
-// the claim expires.
+// recorded "notRun". Granted, it would stay open although no sidecar dispatches
+// the call, and every repeat would get "inProgress" until it expires.
 test('a claim that arrives after its sidecar gave up is not granted', () => {
   const ledger = new LedgerState(() => LIMITS);
   ledger.record({...RECORD, outcome: 'notRun'}, 0);
--- a/packages/lovagepond-control/src/__tests__/unit/membership_registry.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/membership_registry.test.ts
@@ -92,8 +92,7 @@
 });
 
 // Guards against emptied server lists when the leader's network fails towards
-// the sidecars but not towards the other members. Every lease lapses, although
-// all servers are healthy.
+// the sidecars only. Every lease lapses, although all servers are healthy.
 test('expiry is suspended when most servers lapse at once', () => {
   const leader = startLeader();
   leader.run(FLEET, 0, 5_000);
--- a/packages/lovagepond-control/src/announce_handler.ts
+++ b/packages/lovagepond-control/src/announce_handler.ts
@@ -30,7 +30,6 @@
  */
 const MIN_FLOOR = 1;
 
-/** Dependencies of {@link AnnounceHandler}. */
 export interface AnnounceHandlerDependencies {
   readonly clock: Clock;
   readonly machine: ControlStateMachine;
@@ -43,7 +42,6 @@
   readonly hasTakenOver: () => boolean;
 }
 
-/** Handles the Announce call. */
 export class AnnounceHandler {
   readonly #deps: AnnounceHandlerDependencies;
 
--- a/packages/lovagepond-control/src/configuration_documents.ts
+++ b/packages/lovagepond-control/src/configuration_documents.ts
@@ -13,14 +13,12 @@
 import {type ControlStateMachine} from './control_state_machine.js';
 import {type Proposer} from './proposer.js';
 
-/** Answer to an install. */
 export type InstallAnswer =
   /** Committed; `version` is in force, maybe higher than the submitted one. */
   | {readonly kind: 'accepted'; readonly version: number}
   | {readonly kind: 'invalid'; readonly faults: readonly ConfigurationFault[]}
   | RetryableFailure;
 
-/** Answer to a read. */
 export type DocumentAnswer =
   | {
       readonly kind: 'found';
@@ -60,8 +58,7 @@
   }
 
   /**
-   * Reads the latest document behind a read barrier, so that an outdated one is
-   * never returned as current.
+   * Reads behind a barrier, so that no outdated document passes as current.
    *
    * @returns the latest document; `notLeader` when the barrier fails
    */
--- a/packages/lovagepond-control/src/configuration_state.ts
+++ b/packages/lovagepond-control/src/configuration_state.ts
@@ -34,7 +34,6 @@
   readonly changed: readonly string[];
 }
 
-/** Serialized form. */
 export interface ConfigurationSnapshot {
   readonly current: Configuration;
   readonly history: readonly RevisionRecord[];
@@ -63,9 +62,8 @@
   }
 
   /**
-   * Applies a change under optimistic concurrency control. Of concurrent
-   * changes with the same base revision, the first in the log is accepted and
-   * the others result in a conflict.
+   * Applies a change under optimistic concurrency control: of changes with the
+   * same base revision, the first in the log is accepted, the others conflict.
    *
    * @param payload the change
    * @param stamp the proposer's stamp
@@ -85,9 +83,8 @@
   }
 
   /**
-   * Installs a complete configuration under a version that the operators' own
-   * system assigned. The highest version wins in any order of arrival: a
-   * retried or outdated install changes nothing.
+   * Installs a complete configuration. The highest version assigned by the
+   * operators' own system wins: a retried or outdated install changes nothing.
    *
    * @param payload the configuration, validated by the proposer
    * @param stamp the proposer's stamp
@@ -213,10 +210,7 @@
   restore: edit => `revision ${edit.revision}`,
 };
 
-/**
- * @param edit an edit
- * @returns the place of its target, for a message
- */
+/** @returns the place of the edit's target, for a message */
 function describeTarget(edit: ConfigurationEdit): string {
   return TARGETS[edit.kind](edit as never);
 }
--- a/packages/lovagepond-control/src/confirmation_rounds.ts
+++ b/packages/lovagepond-control/src/confirmation_rounds.ts
@@ -3,10 +3,7 @@
  */
 import {type SubscriptionFeed} from './subscription_feed.js';
 
-/**
- * Starts a read barrier and resolves with the revision that it confirms, or
- * with undefined when it fails.
- */
+/** Starts a read barrier; resolves with the confirmed revision, if any. */
 export type ConfirmRevision = () => Promise<number | undefined>;
 
 /**
--- a/packages/lovagepond-control/src/context_inventory.ts
+++ b/packages/lovagepond-control/src/context_inventory.ts
@@ -2,9 +2,8 @@
  * Queries engines for the parts of prompts in their caches.
  *
  * After a restart of all other processes the engines still hold these parts,
- * but no router has a record of them. Without the query, routers would send
- * prompts to other engines, which process them again and so delay the first
- * tokens.
+ * but no router has a record of them. Without the query, prompts would go to
+ * other engines, which process them again and so delay the first tokens.
  */
 import {type Logger} from '@lovagepond/core';
 import {type ReadingReport} from './reading_report_log.js';
@@ -25,7 +24,6 @@
   readonly address: string;
 }
 
-/** Dependencies of {@link collectHeldContexts}. */
 export interface InventoryDependencies {
   readonly readHeldContexts: HeldContextsReader;
   readonly log: Logger;
@@ -42,8 +40,7 @@
 const MAX_CONCURRENT_QUERIES = 8;
 
 /**
- * Queries the servers, a few at a time. This costs little time, as each server
- * answers within some milliseconds.
+ * Queries a few servers at a time; each answers within some milliseconds.
  *
  * @param servers the servers to query
  * @param deps the reader, the log and the callback for the answers
--- a/packages/lovagepond-control/src/control_administration.ts
+++ b/packages/lovagepond-control/src/control_administration.ts
@@ -57,7 +57,6 @@
   /** The operation may have been committed: retry with the same id. */
   | {readonly kind: 'unknown'};
 
-/** Answer to a change. */
 export type ChangeAnswer =
   | {
       readonly kind: 'accepted';
@@ -68,10 +67,7 @@
   | {
       readonly kind: 'conflict';
       readonly currentRevision: number;
-      /**
-       * From the base revision to the current one; empty when the history no
-       * longer has the base revision.
-       */
+      /** Changes since the base revision; empty once that is no longer kept. */
       readonly differences: readonly ConfigurationDifference[];
     }
   | {
@@ -108,7 +104,6 @@
 /** The state that operators set for a backend server. */
 export const WANTED_STATE = {READY: 'ready', DRAINING: 'draining'} as const;
 
-/** One of the values of {@link WANTED_STATE}. */
 export type WantedState = (typeof WANTED_STATE)[keyof typeof WANTED_STATE];
 
 /** The action that an order requests from a backend server. */
@@ -118,10 +113,8 @@
   CHANGE_ROLE: 'changeRole',
 } as const;
 
-/** One of the values of {@link ORDER_ACTION}. */
 export type OrderAction = (typeof ORDER_ACTION)[keyof typeof ORDER_ACTION];
 
-/** An order to issue. */
 export interface OrderRequest {
   /** Issuing an order again under the same id has no further effect. */
   readonly orderId: string;
@@ -138,7 +131,6 @@
   FENCED: 'fenced',
 } as const;
 
-/** One of the values of {@link ORDER_OUTCOME}. */
 export type OrderOutcomeKind =
   (typeof ORDER_OUTCOME)[keyof typeof ORDER_OUTCOME];
 
--- a/packages/lovagepond-control/src/control_channel_constants.ts
+++ b/packages/lovagepond-control/src/control_channel_constants.ts
@@ -13,13 +13,9 @@
   'grpc.keepalive_permit_without_calls': 1,
 };
 
-/**
- * Disables gRPC's channel diagnostics (channelz), which cost processor time at
- * each call and aren't used here.
- */
+/** Channel diagnostics cost processor time at each call and aren't used. */
 const LOW_OVERHEAD: ChannelOptions = {'grpc.enable_channelz': 0};
 
-/** Options of control's gRPC server. */
 export const SERVER_OPTIONS: ChannelOptions = {
   ...KEEPALIVE,
   ...LOW_OVERHEAD,
--- a/packages/lovagepond-control/src/control_commands.ts
+++ b/packages/lovagepond-control/src/control_commands.ts
@@ -109,7 +109,6 @@
   readonly answered: readonly string[];
 }
 
-/** Result of {@link CRASHES_COMMAND}. */
 export interface CrashesResult {
   /** Requests that the command quarantines. */
   readonly quarantined: readonly string[];
@@ -125,11 +124,8 @@
   readonly historyLimit: number;
 }
 
-/** Sets the limits that all members share. */
 export const LIMITS_COMMAND = createCommand<ControlLimits>('limits');
-/** Changes the configuration if its base revision is the current one. */
 export const CHANGE_COMMAND = createCommand<ChangePayload>('change');
-/** Installs a complete configuration under the operators' own version. */
 export const INSTALL_COMMAND = createCommand<InstallPayload>('install');
 /** Claims a non-repeatable call before it is dispatched. */
 export const CLAIM_COMMAND = createCommand<ClaimPayload>('claim');
--- a/packages/lovagepond-control/src/control_leadership.ts
+++ b/packages/lovagepond-control/src/control_leadership.ts
@@ -20,13 +20,9 @@
   type ReadingReport,
 } from './reading_report_log.js';
 
-/**
- * Delay of the context inventory, milliseconds. It gives gateways time to
- * subscribe and to be confirmed first.
- */
+/** Lets gateways subscribe and be confirmed first; milliseconds. */
 const INVENTORY_DELAY_MS = 150;
 
-/** Dependencies of {@link ControlLeadership}. */
 export interface LeadershipDependencies {
   readonly clock: Clock;
   readonly log: Logger;
@@ -122,10 +118,7 @@
     return answer.kind === 'committed';
   }
 
-  /**
-   * Queries engines for their cached contexts: after a stop of all processes,
-   * no router or member has this information.
-   */
+  /** After a stop of all processes, only engines know their cached contexts. */
   #takeInventory(): void {
     const {readHeldContexts, machine, log, onReport} = this.#deps;
     if (!readHeldContexts) return;
--- a/packages/lovagepond-control/src/control_log.ts
+++ b/packages/lovagepond-control/src/control_log.ts
@@ -3,7 +3,6 @@
  */
 import {type ConsensusNode} from '@lovagepond/consensus';
 
-/** The replicated log. */
 export type ReplicatedLog = Pick<
   ConsensusNode,
   | 'addLearner'
--- a/packages/lovagepond-control/src/control_member_state.ts
+++ b/packages/lovagepond-control/src/control_member_state.ts
@@ -55,7 +55,6 @@
  */
 const RUNNING_REQUESTS_DELAY_MS = 20;
 
-/** Dependencies of {@link ControlMemberState}. */
 export interface MemberStateDependencies {
   readonly clock: Clock;
   readonly log: Logger;
--- a/packages/lovagepond-control/src/control_role.ts
+++ b/packages/lovagepond-control/src/control_role.ts
@@ -37,7 +37,6 @@
 /** Interval at which leadership, leases and subscriptions are checked. */
 const TICK_MS = 100;
 
-/** Dependencies of {@link ControlRole}. */
 export interface ControlDependencies {
   readonly clock: Clock;
   readonly log: Logger;
@@ -57,7 +56,6 @@
   readonly readHeldContexts?: HeldContextsReader;
 }
 
-/** One control member. */
 export class ControlRole implements Role {
   readonly administration: ControlAdministration;
   /** Whole configurations with version numbers of the operators' own system. */
--- a/packages/lovagepond-control/src/control_server.ts
+++ b/packages/lovagepond-control/src/control_server.ts
@@ -55,7 +55,6 @@
   },
 };
 
-/** Serves CONTROL_SERVICE. */
 export class ControlServer {
   readonly server: Server;
   readonly #log: Logger;
@@ -85,8 +84,6 @@
   }
 
   /**
-   * Starts to listen.
-   *
    * @param host address to listen on
    * @param port port to listen on; 0 lets the system choose
    * @returns the port in use
@@ -104,7 +101,7 @@
     });
   }
 
-  /** Stops immediately and cancels calls in flight. */
+  /** Cancels calls in flight. */
   stop(): void {
     this.server.forceShutdown();
   }
--- a/packages/lovagepond-control/src/control_settings.ts
+++ b/packages/lovagepond-control/src/control_settings.ts
@@ -6,7 +6,6 @@
   DEFAULT_CONSENSUS_TIMINGS,
 } from '@lovagepond/consensus';
 
-/** Settings of a control member. */
 export interface ControlSettings {
   /** Name of this process in logs, dumps and convergence reports. */
   readonly nodeName: string;
@@ -67,9 +66,8 @@
 const MINUTE_MS = 60_000;
 
 /**
- * Timings of consensus for control's commands. Commands are small and quickly
- * applied, while a snapshot holds the whole ledger: snapshots are taken less
- * often than by default.
+ * Snapshots are taken less often than by default: commands are small and
+ * quickly applied, while a snapshot holds the whole ledger.
  */
 export const CONTROL_TIMINGS: ConsensusTimings = {
   ...DEFAULT_CONSENSUS_TIMINGS,
--- a/packages/lovagepond-control/src/control_state_machine.ts
+++ b/packages/lovagepond-control/src/control_state_machine.ts
@@ -71,10 +71,8 @@
   readonly crashes?: CrashEvidenceSnapshot;
 }
 
-/** Applies one command. */
 type Handler = (payload: unknown, stamp: CommandStamp) => unknown;
 
-/** The replicated state machine of control. */
 export class ControlStateMachine implements StateMachine {
   readonly configuration = new ConfigurationState(
     () => this.#limits.historyLimit,
@@ -265,9 +263,8 @@
 const PACKED_HEAD_ENCODING = 'base64';
 
 /**
- * Compresses the head, which holds complete configurations, as a snapshot is
- * sent to each host that joins. The compressed bytes may contain a newline,
- * which ends the head, and are therefore base64-encoded.
+ * Compresses the head, as each host that joins is sent a snapshot. Base64
+ * avoids newlines in the compressed bytes, which would end the head.
  */
 function packHead(head: ControlSnapshot): Buffer {
   const bytes = packText(JSON.stringify(head));
--- a/packages/lovagepond-control/src/crash_reports.ts
+++ b/packages/lovagepond-control/src/crash_reports.ts
@@ -31,7 +31,6 @@
 const MAX_CRASHES = 64;
 const MAX_FINGERPRINTS = 512;
 
-/** Dependencies of {@link CrashReports}. */
 export interface CrashReportsDependencies {
   readonly clock: Clock;
   readonly log: Logger;
--- a/packages/lovagepond-control/src/direct_server_table.ts
+++ b/packages/lovagepond-control/src/direct_server_table.ts
@@ -38,7 +38,6 @@
   readonly sinceMs: number;
 }
 
-/** Serialized form. */
 export interface DirectServerSnapshot {
   readonly records: readonly DirectServerRecord[];
   readonly vacant: readonly VacantPlace[];
@@ -55,15 +54,13 @@
 
 /**
  * A server that joins later is a standby for this time, as the server that it
- * replaces leaves within seconds. After this time it gets a place of its own;
- * milliseconds.
+ * replaces leaves within seconds. Then it gets its own place; milliseconds.
  */
 const STANDBY_MS = 8_000;
 
 /**
- * A place that is vacant for this time is discarded. Other servers have taken
- * over its prompts by then, and moving these back would have them processed
- * once more; milliseconds.
+ * A place vacant for this time is discarded: other servers hold its prompts by
+ * then, and moving these back would have them processed again; milliseconds.
  */
 const VACANCY_RETENTION_MS = 8_000;
 
@@ -143,9 +140,7 @@
   }
 
   /**
-   * Removes a server permanently.
-   *
-   * @param name the server
+   * @param name the server, which never joins again
    * @param timeMs replicated time
    */
   end(name: string, timeMs: number): void {
--- a/packages/lovagepond-control/src/direct_servers.ts
+++ b/packages/lovagepond-control/src/direct_servers.ts
@@ -52,7 +52,6 @@
   /** The announcement may have been committed: the server must resend it. */
   | {readonly kind: 'unknown'};
 
-/** Dependencies of {@link DirectServers}. */
 export interface DirectServersDependencies {
   readonly clock: Clock;
   readonly machine: ControlStateMachine;
@@ -102,8 +101,7 @@
   }
 
   /**
-   * Removes a server that reports its end, whether or not it has announced
-   * before that it is leaving.
+   * Removes a server that reports its end, even without an earlier leave.
    *
    * @param instance the server; without a start, its instance in the table ends
    * @returns the answer; only the leader accepts the report
@@ -124,8 +122,7 @@
   }
 
   /**
-   * Drops servers whose lease expired, assigns places to servers that have been
-   * standbys for long enough, and discards places vacant for too long.
+   * Drops servers whose lease expired, and assigns and discards due places.
    *
    * @param lapsed names of servers whose lease expired, with or without sidecar
    * @param now monotonic milliseconds
@@ -154,10 +151,9 @@
   }
 
   /**
-   * Checks the announced pool. An announcement of a pool that isn't configured
-   * may come from a foreign sender. If it were accepted, it would remove the
-   * server that runs at its address. Without configured pools, any pool is
-   * accepted.
+   * An announcement of a pool that isn't configured may come from a foreign
+   * sender; accepted, it would remove the server that runs at its address.
+   * Without configured pools, any pool is accepted.
    */
   #isKnownPool(pool: string): boolean {
     const {content} = this.#deps.machine.configuration.current.read();
@@ -208,10 +204,7 @@
     if (isNew || record.leaving) this.#publishTable();
   }
 
-  /**
-   * Copies the whole table to the registry, as a change to one server may have
-   * changed the places of others.
-   */
+  /** Copies the whole table, as one change may move the places of others. */
   #publishTable(): void {
     const {machine, registry, publish, clock} = this.#deps;
     const table = machine.directServers;
@@ -238,9 +231,8 @@
 >;
 
 /**
- * Names each instance differently, so that all nodes treat it as a separate
- * server: state of the previous instance, such as its cached prompts, load and
- * pauses, isn't carried over.
+ * Names each instance differently, so that no node carries over state of the
+ * previous one, such as its cached prompts, load and pauses.
  */
 function instanceName({incarnation, startedAtMs}: ServerInstance): string {
   return startedAtMs === undefined
--- a/packages/lovagepond-control/src/expiry_queue.ts
+++ b/packages/lovagepond-control/src/expiry_queue.ts
@@ -33,7 +33,6 @@
     return key;
   }
 
-  /** Removes all keys. */
   clear(): void {
     this.#keys = [];
     this.#times = [];
--- a/packages/lovagepond-control/src/leader_client.ts
+++ b/packages/lovagepond-control/src/leader_client.ts
@@ -26,7 +26,6 @@
 /** Time before a stream that ended is reopened, milliseconds. */
 const REOPEN_AFTER_MS = 200;
 
-/** Settings of {@link LeaderClient}. */
 export interface LeaderClientSettings {
   readonly nodeName: string;
   readonly region: string;
@@ -38,7 +37,6 @@
   readonly callTimeoutMs: number;
 }
 
-/** Dependencies of {@link LeaderClient}. */
 export interface LeaderClientDependencies {
   readonly clock: Clock;
   readonly log: Logger;
@@ -66,7 +64,6 @@
   readonly at: number;
 }
 
-/** Client of the current leader. */
 export class LeaderClient {
   readonly #settings: LeaderClientSettings;
   readonly #deps: LeaderClientDependencies;
@@ -114,8 +111,6 @@
   }
 
   /**
-   * Forwards a report to the leader.
-   *
    * @param report a node's revision
    * @returns the revision in force, confirmed by a majority after the call
    *     began; undefined when the leader didn't answer
@@ -127,8 +122,7 @@
   }
 
   /**
-   * Forwards a router's report of readings to the leader, without retries: a
-   * lost report only means that some prompts are processed again.
+   * Doesn't retry: a lost report only means that prompts are processed again.
    *
    * @param report the router's report
    */
@@ -151,8 +145,6 @@
   }
 
   /**
-   * Forwards a router's report of crashes to the leader.
-   *
    * @param report the router's report
    * @returns the leader's answer; `recorded` is false when there was none
    */
--- a/packages/lovagepond-control/src/ledger_buckets.ts
+++ b/packages/lovagepond-control/src/ledger_buckets.ts
@@ -4,9 +4,8 @@
  *
  * Encoding a million entries at once would block the event loop for longer than
  * an election timeout, and the leader would lose its leadership at each
- * snapshot. An entry changes soon after its creation and then stays the same
- * until it expires, so nearly all buckets are unchanged since the previous
- * snapshot.
+ * snapshot. Entries change soon after their creation and then not until they
+ * expire, so nearly all buckets are unchanged since the previous snapshot.
  */
 
 /** Entries of one bucket, in the order of their creation. */
@@ -73,7 +72,6 @@
     if (bucket.keys.size === 0) this.#buckets.delete(id);
   }
 
-  /** Removes all keys. */
   clear(): void {
     this.#buckets.clear();
     this.#bucketOfKey.clear();
--- a/packages/lovagepond-control/src/ledger_entries.ts
+++ b/packages/lovagepond-control/src/ledger_entries.ts
@@ -115,8 +115,6 @@
   }
 
   /**
-   * Sets an entry's state to unknown.
-   *
    * @param key a key whose outcome can no longer be determined
    * @param timeMs replicated time
    */
--- a/packages/lovagepond-control/src/ledger_entry.ts
+++ b/packages/lovagepond-control/src/ledger_entry.ts
@@ -12,7 +12,6 @@
   UNKNOWN: 'unknown',
 } as const;
 
-/** One of the values of {@link ENTRY_STATE}. */
 export type EntryState = (typeof ENTRY_STATE)[keyof typeof ENTRY_STATE];
 
 /** The sidecar incarnation that holds a claim; its claims share one object. */
--- a/packages/lovagepond-control/src/ledger_handler.ts
+++ b/packages/lovagepond-control/src/ledger_handler.ts
@@ -33,7 +33,6 @@
   'unknown',
 ]);
 
-/** Handles Claim, Record and ReportOrder. */
 export class LedgerHandler {
   readonly #proposer: Proposer;
 
--- a/packages/lovagepond-control/src/ledger_incarnations.ts
+++ b/packages/lovagepond-control/src/ledger_incarnations.ts
@@ -8,10 +8,9 @@
 const MAX_FORMER_INCARNATIONS = 8;
 
 /**
- * A sidecar without a new registration for this long is removed, together with
- * its superseded incarnations, as the names of replaced hosts would otherwise
- * accumulate. A sidecar that is still running registers again with its next
- * announcement.
+ * A sidecar without a new registration for this long is removed with its
+ * superseded incarnations, as the names of replaced hosts would otherwise
+ * accumulate. One that still runs registers again with its next announcement.
  */
 const REGISTRATION_RETENTION_MS = 7 * 24 * 3_600_000;
 
@@ -22,7 +21,6 @@
   readonly sinceMs: number;
 }
 
-/** Serialized form. */
 export type IncarnationSnapshot = readonly (readonly [string, Registration])[];
 
 /** The incarnations of sidecars. Part of the replicated state. */
@@ -39,10 +37,9 @@
   }
 
   /**
-   * Makes an incarnation the current one, unless it was superseded. If the late
-   * announcement of a superseded incarnation were accepted, the open claims of
-   * the running one would become unknown, and the two would supersede each
-   * other forever.
+   * Makes an incarnation the current one, unless it was superseded: its late
+   * announcement would make the open claims of the running one unknown, and the
+   * two would supersede each other forever.
    *
    * @param server the sidecar's backend server
    * @param incarnation the incarnation
--- a/packages/lovagepond-control/src/ledger_state.ts
+++ b/packages/lovagepond-control/src/ledger_state.ts
@@ -25,7 +25,6 @@
   type IncarnationSnapshot,
 } from './ledger_incarnations.js';
 
-/** Answer to a claim. */
 export type ClaimResult =
   | {readonly kind: 'granted'}
   | {
@@ -217,9 +216,8 @@
 
   /**
    * Revokes an attempt that reported "notRun", as a sidecar does when its claim
-   * gets no answer. The claim may still arrive later. If it were granted, the
-   * key would stay open although no sidecar dispatches the call, and every
-   * repeated call would wait.
+   * gets no answer. A claim granted later would keep the key open although no
+   * sidecar dispatches the call, and every repeated call would wait.
    */
   #revokeAttempt(key: string, record: RecordPayload, timeMs: number): void {
     const attempt = attemptKeyOf(key, record.attempt);
--- a/packages/lovagepond-control/src/member_administration.ts
+++ b/packages/lovagepond-control/src/member_administration.ts
@@ -48,7 +48,6 @@
 import {type ProposalResult, type Proposer} from './proposer.js';
 import {type ReplicatedLog} from './control_log.js';
 
-/** Dependencies of {@link MemberAdministration}. */
 export interface AdministrationDependencies {
   readonly clock: Clock;
   readonly log: ReplicatedLog;
@@ -65,7 +64,6 @@
   readonly confirmRevision: () => Promise<number | undefined>;
 }
 
-/** Implements {@link ControlAdministration}. */
 export class MemberAdministration implements ControlAdministration {
   readonly #deps: AdministrationDependencies;
   readonly #changer: ConfigurationChanger;
--- a/packages/lovagepond-control/src/member_transport.ts
+++ b/packages/lovagepond-control/src/member_transport.ts
@@ -50,7 +50,6 @@
   reply?: WireMessage;
 }
 
-/** A connection to another member. */
 interface Peer {
   client: Client;
   /** Start of the connection attempt, monotonic milliseconds. */
@@ -60,7 +59,6 @@
   lost: number;
 }
 
-/** The consensus transport of one member. */
 export class MemberTransport implements ConsensusTransport {
   readonly #clock: Clock;
   readonly #options: ChannelOptions;
@@ -138,13 +136,10 @@
   }
 
   /**
-   * Handles a message. A reply to its sender is returned in the acknowledgement
-   * rather than in a call of its own: half of all messages are replies to
-   * heartbeats. Eight idle members with 27 gateways need 0.75 of a core this
-   * way, and 0.92 with separate calls.
-   *
-   * @param wire a message
-   * @returns the acknowledgement, with a reply if one was sent meanwhile
+   * Returns a reply to the sender in the acknowledgement rather than in a call
+   * of its own, as half of all messages are replies to heartbeats. Eight idle
+   * members with 27 gateways need 0.75 of a core this way, 0.92 with separate
+   * calls.
    */
   #deliver(wire: WireMessage): lovagepond.v1.ConsensusAck {
     const message = decodeMemberMessage(wire);
@@ -182,9 +177,9 @@
   }
 
   /**
-   * Drops the connection to a member that just sent a message, and so is up,
-   * if that connection is failing. Replies would otherwise be lost until the
-   * end of its backoff, which delays the election after a stop of all members.
+   * Drops the connection to a member that just sent a message, and so is up, if
+   * that connection is failing. Replies would otherwise be lost until the end
+   * of its backoff, which delays the election after a stop of all members.
    */
   #dropIfStuck(address: string): void {
     const peer = this.#peers.get(address);
--- a/packages/lovagepond-control/src/membership_flapping.ts
+++ b/packages/lovagepond-control/src/membership_flapping.ts
@@ -7,7 +7,6 @@
  * stable is held back after its last flap.
  */
 
-/** Settings of the flap damping. */
 export interface FlapSettings {
   /** Half-life of the penalty. */
   readonly halfLifeMs: number;
--- a/packages/lovagepond-control/src/membership_log.ts
+++ b/packages/lovagepond-control/src/membership_log.ts
@@ -49,7 +49,6 @@
     return this.#complete;
   }
 
-  /** Number of backend servers in the list. */
   get size(): number {
     return this.#servers.size;
   }
@@ -68,8 +67,7 @@
   }
 
   /**
-   * Raises the version, so that a new leader's versions are higher than those
-   * of all previous leaders.
+   * Keeps a new leader's versions above those of all previous leaders.
    *
    * @param version the minimum version
    */
@@ -101,7 +99,6 @@
     this.#addDeparture(known.server);
   }
 
-  /** Marks the list as complete. */
   markComplete(): void {
     if (this.#complete) return;
     this.#complete = true;
@@ -115,9 +112,8 @@
   }
 
   /**
-   * Applies a change of the leader's list, under the leader's version. A change
-   * with a lower version than this list comes from a deposed leader and is
-   * ignored.
+   * Applies a change under the leader's version. One with a lower version than
+   * this list comes from a deposed leader and is ignored.
    *
    * @param change a change from the leader; changes must be passed in order
    */
@@ -166,9 +162,8 @@
   }
 
   /**
-   * Returns whether the subscriber needs the whole list. An incomplete list is
-   * never sent as whole: after a change of leader, routers would drop every
-   * server that hasn't renewed its lease yet.
+   * An incomplete list is never sent as whole: after a change of leader,
+   * routers would drop every server that hasn't renewed its lease yet.
    */
   #needsWhole(version: number): boolean {
     if (!this.#complete) return false;
--- a/packages/lovagepond-control/src/membership_registry.ts
+++ b/packages/lovagepond-control/src/membership_registry.ts
@@ -20,7 +20,6 @@
   readonly queuedTokens: number;
 }
 
-/** Settings of the registry. */
 export interface RegistrySettings {
   /** A server that doesn't renew its lease for this long is removed. */
   readonly leaseMs: number;
@@ -101,10 +100,9 @@
   }
 
   /**
-   * Initializes the registry of a new leader from the list that this member
-   * mirrored as a follower. Every server gets a full lease: it renewed with the
-   * previous leader, and dropping all servers would empty the routers' lists at
-   * each change of leader.
+   * Initializes a new leader's registry from the list that it mirrored as a
+   * follower. Every server gets a full lease, as it renewed with the previous
+   * leader: otherwise each change of leader would empty the routers' lists.
    *
    * @param term the leader's term
    * @param now monotonic milliseconds
@@ -166,9 +164,7 @@
   }
 
   /**
-   * Removes a server that has ended.
-   *
-   * @param name a server, in the list or not
+   * @param name a server that has ended, in the list or not
    * @param now monotonic milliseconds
    */
   remove(name: string, now: number): void {
@@ -269,9 +265,8 @@
   }
 
   /**
-   * A flapping server is held in `joining`, unless fewer than half of the
-   * servers of its pool would stay ready: a flapping server is better than no
-   * server.
+   * Holds a flapping server in `joining`, unless fewer than half of its pool
+   * would stay ready: a flapping server is better than none.
    */
   #isHeld(announcement: Announcement, now: number): boolean {
     if (!this.#damper.isHeld(announcement.name, now)) return false;
@@ -282,10 +277,9 @@
   }
 
   /**
-   * Suspends expiry when most servers lapse at once. The likely cause is this
-   * leader's network: sidecars can't reach it while the other members can.
-   * Removing the servers would empty every router's list although they are
-   * healthy. Routers detect failed servers by themselves.
+   * Suspends expiry when most servers lapse at once: the likely cause is this
+   * leader's network. Removing the servers would empty every router's list
+   * although they are healthy, and routers detect failed servers by themselves.
    */
   #isExpirySuspended(lapsed: readonly ServerRecord[], now: number): boolean {
     const failed = lapsed.filter(record => !isLeaving(record)).length;
--- a/packages/lovagepond-control/src/membership_slots.ts
+++ b/packages/lovagepond-control/src/membership_slots.ts
@@ -61,8 +61,6 @@
   }
 
   /**
-   * Releases a server's slot.
-   *
    * @param name the server that left
    * @param now monotonic milliseconds
    */
--- a/packages/lovagepond-control/src/operation_results.ts
+++ b/packages/lovagepond-control/src/operation_results.ts
@@ -22,7 +22,6 @@
   readonly result: OperationResult;
 }
 
-/** Serialized form. */
 export type OperationSnapshot = readonly (readonly [string, StoredResult])[];
 
 /** Eight days of operations at the rate that the largest user plans for. */
--- a/packages/lovagepond-control/src/order_state.ts
+++ b/packages/lovagepond-control/src/order_state.ts
@@ -27,7 +27,6 @@
   | {readonly kind: 'operationReuse'}
   | {readonly kind: 'tooMany'};
 
-/** Serialized form. */
 export interface OrderSnapshot {
   readonly lastToken: number;
   readonly oldFloor: number;
--- a/packages/lovagepond-control/src/proposer.ts
+++ b/packages/lovagepond-control/src/proposer.ts
@@ -12,7 +12,6 @@
 export type ProposalResult<Value> =
   {readonly kind: 'committed'; readonly value: Value} | RetryableFailure;
 
-/** Dependencies of {@link Proposer}. */
 export interface ProposerDependencies {
   readonly log: ReplicatedLog;
   readonly machine: ControlStateMachine;
@@ -28,8 +27,6 @@
   }
 
   /**
-   * Proposes a command.
-   *
    * @param command the kind of command
    * @param payload its payload
    * @returns its result once a majority has synced and this member applied it
--- a/packages/lovagepond-control/src/reading_report_log.ts
+++ b/packages/lovagepond-control/src/reading_report_log.ts
@@ -53,8 +53,7 @@
 /**
  * Readings kept for new subscribers, apart from the numbers of requests. Nine
  * gateways report these five times a second each: in a common log they would
- * displace all readings within half a minute, and a starting gateway would get
- * no cached prompts.
+ * displace all readings within half a minute, and a new gateway would get none.
  */
 const MAX_READINGS = 2_048;
 
--- a/packages/lovagepond-control/src/revision_confirmer.ts
+++ b/packages/lovagepond-control/src/revision_confirmer.ts
@@ -13,7 +13,6 @@
 
 type ConfirmedRevision = number | undefined;
 
-/** Dependencies of {@link RevisionConfirmer}. */
 export interface RevisionConfirmerDependencies {
   /** This member's name. */
   readonly nodeName: string;
--- a/packages/lovagepond-control/src/running_request_feed.ts
+++ b/packages/lovagepond-control/src/running_request_feed.ts
@@ -17,8 +17,7 @@
 const INTERVAL_MS_PER_SERVER = 2;
 
 /**
- * Time after which an unchanged number is sent again, milliseconds: routers
- * discard it after 3 s.
+ * Interval of resending an unchanged number, ms; routers discard it after 3 s.
  */
 const RESEND_INTERVAL_MS = 1_000;
 
--- a/packages/lovagepond-control/src/running_request_totals.ts
+++ b/packages/lovagepond-control/src/running_request_totals.ts
@@ -2,9 +2,8 @@
  * Totals of all routers' running requests at each backend server.
  *
  * Forwarding each router's reports would send every router data in proportion
- * to the number of routers times the number of servers. A router only needs the
- * sum of the other routers' requests at a server, which grows with the number
- * of servers alone.
+ * to routers times servers. A router only needs the sum of the other routers'
+ * requests at each server, which grows with the number of servers alone.
  */
 import {
   type ReadingReport,
@@ -12,8 +11,7 @@
 } from './reading_report_log.js';
 
 /**
- * Time for which a router's number of requests counts without a new report,
- * milliseconds: nearly all requests have ended by then.
+ * Validity of a router's report, ms: nearly all requests have ended by then.
  */
 const REPORT_VALID_MS = 3_000;
 
--- a/packages/lovagepond-control/src/subscription_feed.ts
+++ b/packages/lovagepond-control/src/subscription_feed.ts
@@ -197,10 +197,7 @@
     return content && {revision, content};
   }
 
-  /**
-   * Quarantines are sent before the servers: a router without servers runs no
-   * request.
-   */
+  /** Sent before the servers, as a router without servers runs no request. */
   #nextQuarantine(view: FeedView): FeedUpdate[] {
     if (this.subscriber.role !== ROUTER_ROLE) return [];
     const {crashesVersion} = view;
--- a/packages/lovagepond-control/src/subscription_hub.ts
+++ b/packages/lovagepond-control/src/subscription_hub.ts
@@ -28,7 +28,6 @@
   isRedirected?: boolean;
 }
 
-/** Settings of the hub. */
 export interface HubSettings extends FeedSettings {
   /** Time without contact after which the member ends its subscriptions. */
   readonly leaderContactLimitMs: number;
@@ -78,10 +77,9 @@
   }
 
   /**
-   * Returns whether subscribers are accepted and kept. After a start of all
-   * members, none has contact until a leader is elected. Subscribers wait for
-   * it at a member that has just started: if refused, they would cycle through
-   * all members and reach each too late.
+   * After a start of all members, none has contact until a leader is elected.
+   * Subscribers wait for it at a member that has just started: if refused, they
+   * would cycle through all members and reach each too late.
    *
    * @param now monotonic milliseconds
    * @returns true while subscribers are accepted and kept
@@ -94,8 +92,6 @@
   }
 
   /**
-   * Adds a subscription.
-   *
    * @param subscriber the subscriber
    * @param sink receives its updates
    * @returns the feed, to be confirmed after a read barrier, and a function
@@ -115,10 +111,9 @@
   }
 
   /**
-   * Records the member's last contact. Without contact, all subscriptions are
-   * ended, so that subscribers move to a member that has contact. Otherwise,
-   * those of a partitioned member would keep an old configuration for as long
-   * as the partition lasts.
+   * Without contact, ends all subscriptions, so that subscribers move to a
+   * member that has contact. Those of a partitioned member would keep an old
+   * configuration for as long as the partition lasts.
    *
    * @param contactAt time of the last contact, monotonic milliseconds
    * @param now monotonic milliseconds
