--- a/packages/lovagepond-core/src/core_commands.ts
+++ b/packages/lovagepond-core/src/core_commands.ts
@@ -17,8 +17,6 @@
 export type CommandListener<Payload> = (payload: Payload) => boolean;
 
 /**
- * Creates a command constant.
- *
  * @param name the command's name in logs and dumps
  * @returns the constant to dispatch and to register listeners for
  */
--- a/packages/lovagepond-core/src/core_configuration.ts
+++ b/packages/lovagepond-core/src/core_configuration.ts
@@ -289,8 +289,6 @@
 }
 
 /**
- * Validates a whole configuration.
- *
  * @param input parsed JSON from an operator
  * @returns the content with defaults filled in, or all faults with their places
  */
--- a/packages/lovagepond-core/src/core_configuration_delta.ts
+++ b/packages/lovagepond-core/src/core_configuration_delta.ts
@@ -22,7 +22,6 @@
   'requestKinds',
 ] as const;
 
-/** One of the values of {@link CONFIGURATION_SECTIONS}. */
 export type ConfigurationSection = (typeof CONFIGURATION_SECTIONS)[number];
 
 /** Any named object of a configuration. */
--- a/packages/lovagepond-core/src/core_control_addresses.ts
+++ b/packages/lovagepond-core/src/core_control_addresses.ts
@@ -9,12 +9,11 @@
  *
  * Settings are read only at start. With the configured addresses alone, a
  * gateway would lose control for good once its three control hosts have been
- * replaced one after the other: it would receive no further update and answer
- * callers with 503, although control works. Each member reports the addresses
- * of the whole group, so a process that was connected recently can reach
- * another member. Configured addresses are tried last, as these members may
- * have been replaced. They are still needed after a long disconnection, when
- * all discovered members may be gone.
+ * replaced one after the other, and answer callers with 503 although control
+ * works. Each member reports the addresses of the whole group, so a process
+ * that was connected recently can reach another member. Configured addresses
+ * are tried last, as these members may have been replaced, but they are needed
+ * after a long disconnection, when all discovered members may be gone.
  */
 export class ControlAddresses {
   readonly #configured: readonly string[];
@@ -51,8 +50,7 @@
   }
 
   /**
-   * Selects another member, preferably one that has not failed since the last
-   * contact with a member.
+   * Selects another member, preferably one not tried since the last contact.
    */
   selectNext(): void {
     this.#tried.add(this.#current);
--- a/packages/lovagepond-core/src/core_crash_evidence.ts
+++ b/packages/lovagepond-core/src/core_crash_evidence.ts
@@ -44,7 +44,6 @@
   quarantines: number;
 }
 
-/** Serialized form. */
 export interface CrashEvidenceSnapshot {
   readonly evidence: readonly Readonly<Evidence>[];
   readonly recent: readonly ServerCrash[];
--- a/packages/lovagepond-core/src/core_errors.ts
+++ b/packages/lovagepond-core/src/core_errors.ts
@@ -15,7 +15,6 @@
   RAN: 'ran',
 } as const;
 
-/** One of the values of {@link DISPOSITION}. */
 export type Disposition = (typeof DISPOSITION)[keyof typeof DISPOSITION];
 
 /** The answer for one kind of error. */
@@ -149,7 +148,6 @@
   internal: mayHaveRun(500, 'The request failed inside lovagepond.'),
 } as const satisfies Record<string, ErrorAnswer>;
 
-/** One of the keys of {@link ERROR_ANSWERS}. */
 export type ErrorKind = keyof typeof ERROR_ANSWERS;
 
 /** A failure as it is passed between components and processes. */
--- a/packages/lovagepond-core/src/core_invariant.ts
+++ b/packages/lovagepond-core/src/core_invariant.ts
@@ -15,8 +15,6 @@
 }
 
 /**
- * Throws unless the condition holds.
- *
  * @param condition what must be true
  * @param code number of this invariant, unique in the code base
  * @param message describes the violation, for the log
--- a/packages/lovagepond-core/src/core_labels.ts
+++ b/packages/lovagepond-core/src/core_labels.ts
@@ -47,8 +47,6 @@
 }
 
 /**
- * Parses a label expression.
- *
  * @param text the expression, for example `tier=gold, zone in (a|b)`
  * @returns the terms, or a message that quotes the first invalid term
  */
--- a/packages/lovagepond-core/src/core_membership.ts
+++ b/packages/lovagepond-core/src/core_membership.ts
@@ -12,7 +12,6 @@
   DRAINING: 'draining',
 } as const;
 
-/** One of the values of {@link SERVER_STATE}. */
 export type ServerState = (typeof SERVER_STATE)[keyof typeof SERVER_STATE];
 
 /** One backend server as its sidecar announced it. */
@@ -33,15 +32,13 @@
   /** Position of the server's byte in the load digest. */
   readonly slot: number;
   /**
-   * Requests that a server without a sidecar processes concurrently. Routers
-   * send to such a server directly, and `address` is its own. Absent or 0 for
-   * a server behind a sidecar.
+   * Concurrent requests of a server without a sidecar, to which routers send
+   * directly, at its own `address`. Absent or 0 behind a sidecar.
    */
   readonly directSlots?: number;
   /**
    * Stable position to which shared prompts are assigned, for a server without
-   * a sidecar. A successor takes over the place of a server that leaves. Empty
-   * while the server is on standby.
+   * a sidecar. A successor takes it over. Empty while on standby.
    */
   readonly place?: string;
 }
--- a/packages/lovagepond-core/src/core_registration.ts
+++ b/packages/lovagepond-core/src/core_registration.ts
@@ -6,8 +6,6 @@
 export type Unregister = () => void;
 
 /**
- * Merges several unregister functions into one.
- *
  * @param unregisters the functions, called in reverse order
  * @returns one function that calls each of them once
  */
--- a/packages/lovagepond-core/src/core_role.ts
+++ b/packages/lovagepond-core/src/core_role.ts
@@ -31,7 +31,6 @@
   readonly state: Readonly<Record<string, unknown>>;
 }
 
-/** One running role. */
 export interface Role {
   /** Binds its addresses and starts; resolves once it accepts connections. */
   start(): Promise<void>;
