--- a/packages/lovagepond-backend/src/__tests__/unit/backend_test_utils.ts
+++ b/packages/lovagepond-backend/src/__tests__/unit/backend_test_utils.ts
@@ -147,8 +147,7 @@
 }
 
 /**
- * Starts a server that answers each connection with the next text, and all
- * further connections with the last one.
+ * Answers each connection with the next text, all further ones with the last.
  */
 export async function startRawServer(...texts: string[]): Promise<string> {
   const server = createServer(socket => {
--- a/packages/lovagepond-backend/src/backend_cache_subscription.ts
+++ b/packages/lovagepond-backend/src/backend_cache_subscription.ts
@@ -15,7 +15,6 @@
 const LAST_RETRY_MS = 4_000;
 const HTTP_OK = 200;
 
-/** One subscription to the cache events of an engine. */
 export class CacheSubscription {
   readonly #client: HttpBackendClient;
   readonly #random: Random;
--- a/packages/lovagepond-backend/src/backend_engine_protocol.ts
+++ b/packages/lovagepond-backend/src/backend_engine_protocol.ts
@@ -68,7 +68,6 @@
   tokens: count.default(0),
 });
 
-/** The outcome of an order. */
 export const orderOutcomeSchema = z.object({
   outcome: z.enum(['done', 'failed', 'fenced']),
   message: z.string().default(''),
--- a/packages/lovagepond-backend/src/backend_fake_cache.ts
+++ b/packages/lovagepond-backend/src/backend_fake_cache.ts
@@ -17,7 +17,6 @@
   return `${key.workspace}\0${key.chat}`;
 }
 
-/** The cached contexts of chats. */
 export class FakePrefixCache {
   readonly #limitTokens: number;
   /** In LRU order, the least recently used first. */
@@ -49,9 +48,8 @@
   }
 
   /**
-   * @param key the chat
-   * @returns its cached tokens, 0 when not cached; marks it as most recently
-   *     used
+   * @param key the chat, which becomes the most recently used one
+   * @returns its cached tokens, 0 when not cached
    */
   use(key: CacheKey): number {
     const name = nameOf(key);
--- a/packages/lovagepond-backend/src/backend_fake_engine.ts
+++ b/packages/lovagepond-backend/src/backend_fake_engine.ts
@@ -83,7 +83,6 @@
 const LOAD_REPORTS_PER_TRIM = 64;
 const NO_LOAD = {runningTokens: 0, waitingTokens: 0, runningRequests: 0};
 
-/** A model engine in virtual time. */
 export class FakeEngine {
   readonly #settings: FakeEngineSettings;
   #batch: FakeBatch;
@@ -115,7 +114,6 @@
     return this.#role;
   }
 
-  /** The loaded models. */
   get models(): readonly string[] {
     return this.#models;
   }
--- a/packages/lovagepond-backend/src/backend_fake_engine_host.ts
+++ b/packages/lovagepond-backend/src/backend_fake_engine_host.ts
@@ -19,7 +19,6 @@
   readonly orders: number;
 }
 
-/** Dependencies of {@link FakeEngineHost}. */
 export interface FakeEngineHostDependencies {
   readonly engine: FakeEngine;
   readonly clock: Clock;
@@ -88,7 +87,6 @@
     for (const stream of this.#streams.values()) stream.heartbeat();
   }
 
-  /** Counts an order. */
   countOrder(): void {
     this.#counters.orders += 1;
   }
--- a/packages/lovagepond-backend/src/backend_fake_engine_server.ts
+++ b/packages/lovagepond-backend/src/backend_fake_engine_server.ts
@@ -43,7 +43,6 @@
   readonly defaultAnswerTokens: number;
 }
 
-/** Defaults of the server's own settings. */
 export const DEFAULT_FAKE_SERVER_SETTINGS = Object.freeze({
   host: '127.0.0.1',
   port: 0,
@@ -89,7 +88,6 @@
   };
 }
 
-/** Serves a {@link FakeEngine} to sidecars over HTTP. */
 export class FakeEngineServer implements Role {
   readonly #settings: FakeEngineServerSettings;
   readonly #clock: Clock;
--- a/packages/lovagepond-backend/src/backend_fake_faults.ts
+++ b/packages/lovagepond-backend/src/backend_fake_faults.ts
@@ -20,8 +20,7 @@
   /** The connection is cut after this many; the answer can be resumed. */
   cutAfterTokens: count.optional(),
   /**
-   * The answer ends cleanly but early, without its end marker, and can't be
-   * resumed.
+   * The answer ends cleanly but without its end marker; it can't be resumed.
    */
   truncateAfterTokens: count.optional(),
   /** After this many tokens nothing is sent; the connection stays open. */
--- a/packages/lovagepond-backend/src/backend_fake_service.ts
+++ b/packages/lovagepond-backend/src/backend_fake_service.ts
@@ -33,7 +33,6 @@
   z.infer<typeof fakeServiceFaultsSchema>
 >;
 
-/** Address of the fake service. */
 export interface FakeServiceSettings {
   readonly host: string;
   /** 0 selects a free port. */
--- a/packages/lovagepond-backend/src/backend_http_client.ts
+++ b/packages/lovagepond-backend/src/backend_http_client.ts
@@ -51,7 +51,6 @@
 const MAX_HEADER_BYTES = 32 * 1024;
 const IDLE_CONNECTION_MS = 4_000;
 
-/** Sends requests to one backend server. */
 export class HttpBackendClient {
   readonly #settings: HttpClientSettings;
   readonly #pool: Pool;
@@ -122,9 +121,9 @@
 
   /**
    * Like {@link HttpBackendClient.sendBuffered}, but retries once over a new
-   * connection when the pooled connection failed. When a device on the network
-   * path has dropped a connection's state, that connection stays silent forever
-   * while new ones work. Only a second failure is attributed to the server.
+   * connection when the pooled one failed. A connection whose state a device on
+   * the network path has dropped stays silent forever while new ones work. Only
+   * a second failure is attributed to the server.
    *
    * @param request the request to send; idempotent
    * @returns the answer, or the reason why the last attempt failed
--- a/packages/lovagepond-backend/src/backend_http_engine.ts
+++ b/packages/lovagepond-backend/src/backend_http_engine.ts
@@ -43,7 +43,6 @@
   readonly maxCacheBytes: number;
 }
 
-/** Default of {@link HttpEngineSettings.maxCacheBytes}. */
 export const DEFAULT_MAX_CACHE_BYTES = 64 * 1024 * 1024;
 
 const HTTP_OK = 200;
--- a/packages/lovagepond-backend/src/backend_http_exchange.ts
+++ b/packages/lovagepond-backend/src/backend_http_exchange.ts
@@ -18,7 +18,6 @@
   ABORTED: 'aborted',
 } as const;
 
-/** One of the values of {@link LOSS}. */
 export type Loss = (typeof LOSS)[keyof typeof LOSS];
 
 /** Events of an exchange; the last one is `complete` or `lost`. */
@@ -99,10 +98,7 @@
     this.#fail(LOSS.ABORTED);
   }
 
-  /**
-   * Stops collecting events but lets the exchange complete, so that its
-   * connection can be reused.
-   */
+  /** Ignores further events; once complete, the connection can be reused. */
   detach(): void {
     this.#detached = true;
     this.#controller?.resume();
@@ -127,10 +123,9 @@
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
-    // Undici calls this right before it writes the head. A second call means
-    // that it sends the request again after a lost connection. The server may
-    // already have run the first one, so the exchange aborts and reports an
-    // unknown outcome.
+    // Undici calls this right before it writes the head. A second call resends
+    // the request after a lost connection. The server may already have run it,
+    // so the exchange aborts and reports an unknown outcome.
     if (this.#dispatched || this.#aborted) {
       controller.abort(new Error('request must not be sent twice'));
       this.#fail(this.#aborted ? LOSS.ABORTED : LOSS.BROKEN);
@@ -159,8 +154,7 @@
       if (this.#keptBytes > MAX_KEPT_BYTES) this.abort();
       return;
     }
-    // Backpressure: with a reader slower than the server, the buffer would grow
-    // without limit. Pausing the socket makes the server wait.
+    // Backpressure: with a slow reader, the buffer would grow without limit.
     if (this.#keptBytes > MAX_KEPT_BYTES) controller.pause();
     this.#push({kind: 'chunk', bytes});
   }
--- a/packages/lovagepond-backend/src/backend_http_run.ts
+++ b/packages/lovagepond-backend/src/backend_http_run.ts
@@ -105,11 +105,10 @@
       return;
     }
     let end = yield* this.#runConnection(body, false);
-    // The fault may be in the connection and not in the engine: when a device
-    // on the network path has dropped a connection's state, the connection
-    // stays silent forever. A new connection resumes from the delivered offset.
-    // The engine identifies the request by its id and rejects it when it can't
-    // resume its generation, so that two generations are never joined.
+    // The fault may be in the connection: when a device on the network path has
+    // dropped its state, it stays silent forever. A new one resumes from the
+    // delivered offset. The engine rejects the request when it can't resume the
+    // generation of that id, so that two generations are never joined.
     if (end.kind === 'lost' && this.#canResume()) {
       this.#parser.reset();
       const second = yield* this.#runConnection(body, true);
@@ -170,10 +169,9 @@
   }
 
   /**
-   * Checks that the engine resumes the same generation: it must return the
-   * requested offset. An engine that can't resume would generate the answer
-   * again from its start, and the caller would get two generations as one
-   * answer.
+   * The engine must return the requested offset. If it can't resume, it would
+   * generate the answer again from its start, and the caller would get two
+   * generations as one answer.
    */
   #confirmsOffset(headers: IncomingHttpHeaders): boolean {
     if (this.#received === 0) return true;
--- a/packages/lovagepond-backend/src/backend_model_engine.ts
+++ b/packages/lovagepond-backend/src/backend_model_engine.ts
@@ -3,7 +3,6 @@
  */
 import {type Failure, type Result, type Unregister} from '@lovagepond/core';
 
-/** One request for an engine. */
 export interface EngineRequest {
   /** The engine repeats this id in each event of the answer. */
   readonly requestId: string;
@@ -17,9 +16,8 @@
   /** Whether the answer is streamed as server-sent events. */
   readonly stream: boolean;
   /**
-   * Number of bytes of the answer that were already delivered. Above 0 the
-   * engine must resume the same generation; it rejects the request when it no
-   * longer has that generation.
+   * Bytes of the answer that were already delivered. Above 0 the engine must
+   * resume the same generation, or reject the request.
    */
   readonly resumeFrom: number;
   /** Monotonic milliseconds. */
@@ -116,7 +114,6 @@
   CHANGE_ROLE: 'changeRole',
 } as const;
 
-/** One of the values of {@link ORDER_ACTION}. */
 export type OrderAction = (typeof ORDER_ACTION)[keyof typeof ORDER_ACTION];
 
 /** An order. Engines with fencing reject a token below one already seen. */
@@ -127,7 +124,6 @@
   readonly arguments: Readonly<Record<string, string>>;
 }
 
-/** The outcome of an order. */
 export interface EngineOrderOutcome {
   readonly outcome: 'done' | 'failed' | 'fenced';
   readonly message: string;
@@ -153,8 +149,7 @@
   exportCache(key: CacheKey): Promise<Result<ExportedCache>>;
   importCache(key: CacheKey, cache: ExportedCache): Promise<Result<boolean>>;
   /**
-   * Subscribes to cache events. The subscription survives lost connections and
-   * restarts of the engine.
+   * The subscription survives lost connections and restarts of the engine.
    *
    * @param listener called with each event until the subscription is ended
    * @returns a function that ends the subscription
--- a/packages/lovagepond-backend/src/backend_plain_service.ts
+++ b/packages/lovagepond-backend/src/backend_plain_service.ts
@@ -3,7 +3,6 @@
  */
 import {type Failure} from '@lovagepond/core';
 
-/** One call to a plain service. */
 export interface ServiceRequest {
   readonly requestId: string;
   readonly workspace: string;
@@ -30,7 +29,6 @@
     }
   | {readonly kind: 'failed'; readonly failure: Failure};
 
-/** A plain service. */
 export interface PlainService {
   /**
    * Sends the call once; never retries it.
