--- a/packages/lovagepond-process/src/exit_codes_constants.ts
+++ b/packages/lovagepond-process/src/exit_codes_constants.ts
@@ -27,7 +27,6 @@
   NOT_FOUND: 10,
 } as const;
 
-/** One of the values of {@link EXIT_CODE}. */
 export type ExitCode = (typeof EXIT_CODE)[keyof typeof EXIT_CODE];
 
 /** Meanings of the exit codes, for help texts. */
--- a/packages/lovagepond-process/src/log_limiter.ts
+++ b/packages/lovagepond-process/src/log_limiter.ts
@@ -19,7 +19,6 @@
   error: 1024 * 1024,
 };
 
-/** Number of dropped lines by level. */
 export type DroppedLines = Readonly<Record<LogLevel, number>>;
 
 const NO_DROPPED_LINES: DroppedLines = Object.freeze({
--- a/packages/lovagepond-process/src/process_lifecycle.ts
+++ b/packages/lovagepond-process/src/process_lifecycle.ts
@@ -16,7 +16,6 @@
   DRAINED: 'drained',
 } as const;
 
-/** One of the values of {@link LIFECYCLE_EVENT}. */
 export type LifecycleEvent =
   (typeof LIFECYCLE_EVENT)[keyof typeof LIFECYCLE_EVENT];
 
--- a/packages/lovagepond-process/src/process_logger.ts
+++ b/packages/lovagepond-process/src/process_logger.ts
@@ -17,7 +17,6 @@
   ERROR: 'error',
 } as const;
 
-/** One of the values of {@link LOG_LEVEL}. */
 export type LogLevel = (typeof LOG_LEVEL)[keyof typeof LOG_LEVEL];
 
 const LEVEL_ORDER: Readonly<Record<LogLevel, number>> = {
@@ -43,7 +42,6 @@
   Roarr[level]({...fields}, message);
 };
 
-/** Implements {@link Logger} with roarr. */
 export class RoarrLogger implements Logger {
   readonly #context: LogFields;
   readonly #write: LogWriter;
--- a/packages/lovagepond-process/src/process_runner.ts
+++ b/packages/lovagepond-process/src/process_runner.ts
@@ -24,7 +24,6 @@
 
 const MICROSECONDS_PER_MS = 1_000;
 
-/** Settings of {@link ProcessRunner}. */
 export interface ProcessSettings extends LifecycleSettings {
   /** Listen address for health, readiness, metrics and dump. */
   readonly address: HostPort;
@@ -32,7 +31,6 @@
   readonly dataFolder: string;
 }
 
-/** Dependencies of {@link ProcessRunner}. */
 export interface ProcessDependencies {
   readonly role: Role;
   readonly clock: Clock;
@@ -49,8 +47,7 @@
 };
 
 /**
- * Makes the log fields about the duration of a start. Both times count from the
- * start of the process.
+ * Both times count from the start of the process.
  *
  * @param loadedAt when all code was loaded and the settings were read, ms
  * @param startedAt when the role listened on its addresses, ms
--- a/packages/lovagepond-process/src/settings_file.ts
+++ b/packages/lovagepond-process/src/settings_file.ts
@@ -209,9 +209,8 @@
 }
 
 /**
- * Finds folders that two processes share. Two control members with one folder
- * would write to one log and vote under one identity, and would detect the
- * damaged records only at a restart.
+ * Two control members with one folder would write to one log and vote under one
+ * identity, and would detect the damaged records only at a restart.
  *
  * @param folders folders of all processes on one host
  * @returns a fault for each folder that an earlier entry uses already
--- a/packages/lovagepond-process/src/settings_schema.ts
+++ b/packages/lovagepond-process/src/settings_schema.ts
@@ -27,8 +27,6 @@
 const traitsRegistry = z.registry<KeyTraits>();
 
 /**
- * Attaches traits to a key's schema.
- *
  * @param schema the key's schema, with its default if it has one
  * @param traits the key's traits
  * @returns the same schema
