--- a/packages/lovagepond-consensus/src/consensus_formation.ts
+++ b/packages/lovagepond-consensus/src/consensus_formation.ts
@@ -1,12 +1,11 @@
 /**
  * Forming a group, or joining the existing one.
  *
- * A host that lost its disk must not form a second group beside the one that it
- * belonged to. So only one host may form a group: the seed with the lowest
- * address among those with a disk, and only after all other seeds replied in
- * the same round that they belong to no group. If a seed does not reply, the
- * host waits. If no seed has a disk, the seed with the lowest address appoints
- * one host with a disk, and never another one.
+ * A host that lost its disk must not form a second group beside its former one.
+ * So only one host may form a group: the seed with the lowest address among
+ * those with a disk, once all other seeds replied in the same round that they
+ * belong to no group. If no seed has a disk, the seed with the lowest address
+ * appoints one host with a disk, and never another one.
  */
 import {
   type FormationMessage,
@@ -71,7 +70,7 @@
   readonly #blankPeers = new Map<string, Member>();
   /** Addresses of hosts that reported that they have no disk. */
   readonly #observers = new Set<string>();
-  /** Addresses of members announced while this host belonged to no group. */
+  /** Members that announced themselves while this host had no group. */
   readonly #announced = new Set<string>();
   #actions: FormationAction[] = [];
   #round = 0;
--- a/packages/lovagepond-consensus/src/consensus_frames.ts
+++ b/packages/lovagepond-consensus/src/consensus_frames.ts
@@ -58,11 +58,10 @@
 }
 
 /**
- * Reads frames up to the end of the file or the first broken frame. A crash
- * only tears bytes that were not synced, so a broken frame marks the end of the
- * file. If a later frame records that the broken bytes had been synced,
- * acknowledged data is lost, and truncating the file there would drop it
- * silently.
+ * Reads frames up to the end of the file or the first broken frame: a crash
+ * only tears bytes that were not synced. If a later frame records that the
+ * broken bytes had been synced, acknowledged data is lost, and truncating the
+ * file there would drop it silently.
  *
  * @param file name of the file, for the error
  * @param bytes content of the file
--- a/packages/lovagepond-consensus/src/consensus_member_removal.ts
+++ b/packages/lovagepond-consensus/src/consensus_member_removal.ts
@@ -3,9 +3,8 @@
  *
  * A host that never returns counts towards the quorum until it is removed.
  * After a planned replacement, where the new host joins before the old one
- * stops, a group of three has four voters and one of them is gone. Losing one
- * more disk then leaves two of four voters, which can never elect a leader
- * again.
+ * stops, a group of three has four voters, one of them gone. Losing one more
+ * disk leaves two of four voters, which can never elect a leader again.
  */
 import {type MemberId, type MemberList} from './consensus_types.js';
 
--- a/packages/lovagepond-consensus/src/consensus_types.ts
+++ b/packages/lovagepond-consensus/src/consensus_types.ts
@@ -216,11 +216,10 @@
   readonly openMembership?: boolean;
   /**
    * Number of hosts that may fail at once without the group losing its quorum.
-   * If set, the leader removes unresponsive voters while the remaining voters
-   * still tolerate that many failures: a voter that never returns counts
-   * towards the quorum and so raises the number of acknowledgements needed. If
-   * unset, voters are removed only by an operator or when a joining host
-   * replaces them.
+   * If set, the leader removes unresponsive voters, which raise the number of
+   * acknowledgements needed, while the remaining voters still tolerate that
+   * many failures. If unset, voters are removed only by an operator or when a
+   * joining host replaces them.
    */
   readonly toleratedLosses?: number;
   /**
