--- a/packages/lovagepond-control/src/direct_server_table.ts
+++ b/packages/lovagepond-control/src/direct_server_table.ts
@@ -1,15 +1,14 @@
 /**
  * Replicated table of backend servers without a sidecar.
  *
- * Because the table is replicated, gateways have backend servers right after a
- * restart of all members, before the servers announce themselves again, and the
- * notice that a server is leaving survives the loss of the leader.
+ * As the table is replicated, gateways have servers right after a restart of
+ * all members, before the servers announce themselves again, and the notice
+ * that a server is leaving survives the loss of the leader.
  *
  * The table also assigns places. A place is a stable hash key to which gateways
  * assign prompts, and it passes as a whole from a leaving server to its
- * successor. If prompts were assigned by server name instead, each new server
- * would attract a share of all prompts and process them again, although another
- * server still caches them.
+ * successor. Assigned by server name, a share of all prompts would move to each
+ * new server and be processed again, although another server still caches them.
  */
 import {type BackendServer} from '@lovagepond/core';
 
@@ -53,8 +52,9 @@
 const INITIAL_JOIN_WINDOW_MS = 10_000;
 
 /**
- * A server that joins later is a standby for this time, as the server that it
- * replaces leaves within seconds. Then it gets its own place; milliseconds.
+ * A server that joins later, with no place vacant, is a standby for this time:
+ * the server that it replaces leaves within seconds. Then it gets its own
+ * place; milliseconds.
  */
 const STANDBY_MS = 8_000;
 
