--- a/packages/lovagepond-core/src/core_crash_evidence.ts
+++ b/packages/lovagepond-core/src/core_crash_evidence.ts
@@ -3,10 +3,10 @@
  * requests), and quarantines them.
  *
  * All requests of a server fail when it crashes, but only one of them caused
- * the crash. A request is quarantined after three crashes, unless another
- * request that ran on the same servers was involved in as many. The crashes are
- * then attributed to the quarantined request and no longer count for others.
- * One complete answer from any server clears a request.
+ * the crash. A request is quarantined after three crashes, or after five if
+ * another request that ran on the same servers was involved in as many. The
+ * crashes are then attributed to the quarantined request and no longer count
+ * for others. One complete answer from any server clears a request.
  *
  * Deterministic: the same calls in the same order give the same state.
  */
