--- a/packages/lovagepond-backend/src/backend_http_exchange.ts
+++ b/packages/lovagepond-backend/src/backend_http_exchange.ts
@@ -98,7 +98,10 @@
     this.#fail(LOSS.ABORTED);
   }
 
-  /** Ignores further events; once complete, the connection can be reused. */
+  /**
+   * Drops the rest of the response, so that its connection can be reused. A
+   * rest that exceeds `MAX_KEPT_BYTES` aborts the exchange instead.
+   */
   detach(): void {
     this.#detached = true;
     this.#controller?.resume();
