--- a/packages/lovagepond-consensus/src/consensus_member_removal.ts
+++ b/packages/lovagepond-consensus/src/consensus_member_removal.ts
@@ -3,17 +3,15 @@
  *
  * A host that never returns counts towards the quorum until it is removed.
  * After a planned replacement, where the new host joins before the old one
- * stops, a group of three has four voters and one of them is gone. Losing one
- * more disk then leaves two of four voters, which can never elect a leader
- * again.
+ * stops, a group of three has four voters, one of them gone. Losing one more
+ * disk leaves two of four voters, which can never elect a leader again.
  */
 import {type MemberId, type MemberList} from './consensus_types.js';
 
 /**
- * Time without a reply, in milliseconds, after which a joining host may replace
- * a voter, and after which a learner is removed. It is longer than a restart or
- * a short freeze, because a member that returns later needs another membership
- * change.
+ * Silence, in milliseconds, after which a joining host may replace a voter and
+ * after which a learner is removed. It exceeds a restart or a short freeze, as
+ * a member that returns later needs another membership change.
  */
 export const LOST_AFTER_MS = 4_000;
 
@@ -25,10 +23,7 @@
  */
 const SURPLUS_LOST_AFTER_MS = 1_000;
 
-/**
- * Minimum number of voters that a removal leaves: two voters tolerate no
- * failure.
- */
+/** Minimum of voters after a removal: two voters tolerate no failure. */
 const MIN_VOTERS = 3;
 
 /** Input for choosing a member to remove. */
