--- a/packages/lovagepond-measure/src/__tests__/unit/gateway_simulation.test.ts
+++ b/packages/lovagepond-measure/src/__tests__/unit/gateway_simulation.test.ts
@@ -53,11 +53,11 @@
   expect(result.rereadThousands).toBeGreaterThan(simulate({}).rereadThousands);
 });
 
-// A prompt is one of some hundred documents behind that document's template.
-// Drawn independently, one document id would stand for several prefixes, and
-// gateways, which identify parts by id, would take uncached ones for cached:
-// 3,000 requests read 2.4 million tokens for the first time, though all
-// documents together have 1.1 million.
+// Each prompt consists of one of some hundred documents after the document's
+// template. If template and document were drawn independently, a document would
+// have several prefixes under one id. Gateways identify parts by id and would
+// assume an uncached prefix to be cached: 3,000 requests read 2.4 million
+// tokens for the first time, though all documents together have 1.1 million.
 test('first reads are limited to the documents of the workload', () => {
   const documents = LETTERS.kinds.flatMap(({prompt}) => prompt?.shared ?? []);
   const tokens = documents.reduce(
@@ -70,10 +70,10 @@
   expect(firstThousands).toBeLessThan((1.5 * tokens) / 1_000);
 });
 
-// A rolling replacement empties the caches. Gateways that receive a prompt at
-// the same time have no reports of each other yet and choose different engines
-// unless the prompt has a common home: these simulations read 1,864,000 tokens
-// again without homes, and 1,649,000 with them.
+// A rolling replacement empties the caches. Gateways that receive the same
+// prompt at the same time have no reports from each other yet, and choose
+// different engines unless the prompt has a home engine common to all: these
+// simulations read 1,864,000 tokens again without homes, 1,649,000 with them.
 test('a prompt that no engine caches is read at its home', () => {
   const readAgain = (variant: GatewaySimulationSettings['variant']): number => {
     const disturbances = DISTURBANCE_SCHEDULES['release'] ?? [];
--- a/packages/lovagepond-measure/src/consensus_failover_measure.ts
+++ b/packages/lovagepond-measure/src/consensus_failover_measure.ts
@@ -22,8 +22,9 @@
 const TICK_MS = 25;
 const SETTLE_TIMEOUTS = 6;
 const MAX_WAIT_TIMEOUTS = 60;
-/** Time from a process's start to its member's, and window of the starts. */
+/** Time from the start of a process to the start of its consensus member. */
 const START_MS = 300;
+/** Window within which all processes start after the restart of the group. */
 const START_WINDOW_MS = 200;
 const TIMINGS = DEFAULT_CONSENSUS_TIMINGS;
 const TIMEOUT = TIMINGS.electionTimeoutMs;
@@ -83,8 +84,8 @@
   /**
    * Stops all members and starts them again within a window.
    *
-   * @param fromProcessStart counts silence from the start of the process, not
-   *     from that of the member
+   * @param fromProcessStart each core is given the start of its process, not
+   *     that of its member, as the latest end of its previous run
    */
   restartAll(fromProcessStart: boolean): void {
     const members = this.#peers.map(({member}) => member);
--- a/packages/lovagepond-measure/src/control_propagation_measure.ts
+++ b/packages/lovagepond-measure/src/control_propagation_measure.ts
@@ -18,9 +18,9 @@
 const SERVERS = 640;
 const IDLE_SUBSCRIBERS = 20;
 const IDLE_MS = 8_000;
-/** Control publishes the complete list and loads one lease after the start. */
+/** Server lease; control publishes list and loads one lease after its start. */
 const LEASE_MS = 4_000;
-/** Servers stay listed: expiry is suspended when all lapse at once. */
+/** Exceeds the lease; expiry is suspended when all servers' leases end. */
 const WARM_UP_MS = 5_000;
 const CHANGES_PER_DAY = 1_300;
 const SECONDS_PER_DAY = 86_400;
--- a/packages/lovagepond-measure/src/crash_simulation.ts
+++ b/packages/lovagepond-measure/src/crash_simulation.ts
@@ -20,7 +20,7 @@
 } from '@lovagepond/router/quarantine';
 import {VirtualTime} from './virtual_time.js';
 
-/** Users of a gateway's evidence of crashes: none, itself, or all gateways. */
+/** Gateways that act on a gateway's crash evidence: none, only it, or all. */
 export const EVIDENCE_SCOPE = {
   NONE: 'none',
   GATEWAY: 'gateway',
@@ -35,11 +35,11 @@
 export interface CrashDisturbances {
   /** Mean time between two crashes that no request causes, ms. */
   readonly crashEveryMs?: number;
-  /** Share of answers cut off while the server goes on. */
+  /** Share of answers whose connection breaks although the server is up. */
   readonly lostAnswers?: number;
   /** All servers lose power at this time, ms. */
   readonly powerLossAtMs?: number;
-  /** Time between two planned leaves of a server, ms. */
+  /** Interval at which one server after the other leaves as planned, ms. */
   readonly leaveEveryMs?: number;
 }
 
@@ -55,10 +55,11 @@
 export interface CrashOutcome {
   /** Servers crashed by requests. */
   readonly crashed: number;
+  /** Harmless requests, without their retries. */
   readonly requests: number;
-  /** Harmless requests refused by the quarantine. */
+  /** Harmless requests refused or cancelled by the quarantine. */
   readonly refused: number;
-  /** Harmless requests without an answer. */
+  /** Harmless requests without an answer after all retries. */
   readonly lost: number;
 }
 
@@ -105,10 +106,10 @@
 
 interface Gateway {
   readonly quarantine: RequestQuarantine;
-  readonly watch: GatewayCrashDetector;
+  readonly detector: GatewayCrashDetector;
 }
 
-/** One simulation. */
+/** One run of the simulation. */
 export class CrashSimulation {
   readonly #scenario: CrashScenario;
   readonly #random: Random;
@@ -192,12 +193,12 @@
 
   #makeGateway(): Gateway {
     const quarantine = new RequestQuarantine();
-    const watch = new GatewayCrashDetector((crash, now) => {
+    const detector = new GatewayCrashDetector((crash, now) => {
       if (this.#scenario.evidenceScope === EVIDENCE_SCOPE.NONE) return;
       quarantine.noteCrash(crash, now);
       this.#report(quarantine);
     });
-    return {quarantine, watch};
+    return {quarantine, detector};
   }
 
   #startServer(): void {
@@ -259,7 +260,7 @@
     server.runs.delete(run);
     run.isOver = true;
     if (this.#random.next() < lostAnswers) {
-      this.#break(server, run);
+      this.#breakConnection(server, run);
     } else {
       const {fingerprint} = run.request;
       run.gateway.quarantine.noteAnswered(fingerprint, this.#time.now);
@@ -269,9 +270,9 @@
   #crash(server: Server | undefined): void {
     if (!server?.isUp) return;
     server.isUp = false;
-    this.#breakAll(server);
+    this.#breakConnections(server);
     this.#time.after(RESTART_MS, () => {
-      this.#unlist(server);
+      this.#delist(server);
       this.#startServer();
     });
   }
@@ -283,36 +284,36 @@
     this.#time.after(DRAIN_MS, () => {
       if (!server.isUp) return;
       server.isUp = false;
-      this.#breakAll(server);
-      this.#unlist(server);
+      this.#breakConnections(server);
+      this.#delist(server);
       this.#startServer();
     });
   }
 
-  #unlist(server: Server): void {
+  #delist(server: Server): void {
     this.#servers = this.#servers.filter(one => one !== server);
     const listed = new Set(this.#servers.map(({state}) => state.server.name));
-    for (const {watch} of this.#gateways) {
-      watch.noteListed(listed, this.#time.now);
+    for (const {detector} of this.#gateways) {
+      detector.noteListed(listed, this.#time.now);
     }
   }
 
-  #breakAll(server: Server): void {
+  #breakConnections(server: Server): void {
     const runs = [...server.runs];
     server.runs.clear();
     for (const run of runs) run.isOver = true;
-    for (const run of runs) this.#break(server, run);
+    for (const run of runs) this.#breakConnection(server, run);
   }
 
-  #break({state}: Server, {request, gateway, isSecond}: Run): void {
+  #breakConnection({state}: Server, {request, gateway, isSecond}: Run): void {
     const {now} = this.#time;
     const {fingerprint} = request;
-    gateway.watch.noteConnectionLost(state, fingerprint, now);
-    this.#probe(gateway.watch);
+    gateway.detector.noteConnectionLost(state, fingerprint, now);
+    this.#probe(gateway.detector);
     const crashes = gateway.quarantine.find(fingerprint, now)?.crashes ?? 0;
     const isSuspect =
       this.#scenario.evidenceScope !== EVIDENCE_SCOPE.NONE &&
-      crashes + gateway.watch.undecided(fingerprint) >= SUSPECT_CRASHES;
+      crashes + gateway.detector.undecided(fingerprint) >= SUSPECT_CRASHES;
     const mayTryAgain = !isSecond && this.#random.next() < SECOND_ATTEMPT_SHARE;
     if (mayTryAgain && !isSuspect) this.#offer(request, gateway, true);
     else this.#retry(request);
@@ -330,21 +331,21 @@
   }
 
   #tick(): void {
-    for (const {watch, quarantine} of this.#gateways) {
-      this.#probe(watch);
+    for (const {detector, quarantine} of this.#gateways) {
+      this.#probe(detector);
       this.#report(quarantine);
     }
   }
 
-  #probe(watch: GatewayCrashDetector): void {
+  #probe(detector: GatewayCrashDetector): void {
     const {now} = this.#time;
-    for (const {server} of watch.takeDueProbes(now)) {
+    for (const {server} of detector.takeDueProbes(now)) {
       this.#time.after(PROBE_MS, () => {
         const isUp = this.#servers.some(
           one => one.isUp && one.state.server.name === server.name,
         );
         const reachability = isUp ? REACHABILITY.ACCEPTS : REACHABILITY.REFUSES;
-        watch.noteProbe(server.name, reachability, this.#time.now);
+        detector.noteProbe(server.name, reachability, this.#time.now);
       });
     }
   }
--- a/packages/lovagepond-measure/src/direct_servers.ts
+++ b/packages/lovagepond-measure/src/direct_servers.ts
@@ -41,8 +41,8 @@
   readonly #running = new Set<EngineRequest>();
   #waiting: QueuedRequest[] = [];
   /** Tokens of cached shared parts by prefix, least recently used first. */
-  readonly #held = new Map<string, number>();
-  #heldTokens = 0;
+  readonly #cached = new Map<string, number>();
+  #cachedTokens = 0;
   #runningTokens = 0;
   #readsUntil = 0;
   #isUp = true;
@@ -80,7 +80,7 @@
 
   /** @returns true when the engine caches this prefix */
   holds(prefix: string): boolean {
-    return this.#isUp && this.#held.has(prefix);
+    return this.#isUp && this.#cached.has(prefix);
   }
 
   /** @param run a request that arrives now */
@@ -149,13 +149,13 @@
     let prefix = '';
     let unread = parts.at(-1)?.tokens ?? 0;
     let fetched = 0;
-    let isHeld = true;
+    let isCached = true;
     let isAtSource = source !== undefined;
     for (const {id, tokens} of parts.slice(0, -1)) {
       prefix += `/${id}`;
-      isHeld &&= this.#held.has(prefix);
+      isCached &&= this.#cached.has(prefix);
       isAtSource &&= source?.holds(prefix) ?? false;
-      const how = isHeld ? 'held' : isAtSource ? 'fetched' : 'read';
+      const how = isCached ? 'held' : isAtSource ? 'fetched' : 'read';
       if (how === 'read') unread += tokens;
       if (how === 'fetched') fetched += tokens;
       this.#statistics.recordSharedPart(prefix, tokens, how, now);
@@ -168,14 +168,14 @@
     let prefix = '';
     for (const {id, tokens} of parts.slice(0, -1)) {
       prefix += `/${id}`;
-      if (!this.#held.delete(prefix)) this.#heldTokens += tokens;
-      this.#held.set(prefix, tokens);
+      if (!this.#cached.delete(prefix)) this.#cachedTokens += tokens;
+      this.#cached.set(prefix, tokens);
     }
     const {memoryTokens} = this.#profile;
-    for (const [oldest, tokens] of this.#held) {
-      if (this.#heldTokens + this.#runningTokens <= memoryTokens) return;
-      this.#held.delete(oldest);
-      this.#heldTokens -= tokens;
+    for (const [oldest, tokens] of this.#cached) {
+      if (this.#cachedTokens + this.#runningTokens <= memoryTokens) return;
+      this.#cached.delete(oldest);
+      this.#cachedTokens -= tokens;
     }
   }
 
@@ -200,6 +200,7 @@
   readonly #waiting: (() => void)[] = [];
   readonly #draw: () => number;
   #running = 0;
+  /** Injected share of failing calls; applies if above the usual share. */
   failureShare = 0;
   /** Multiple of the usual processing time. */
   slowness = 1;
@@ -227,14 +228,14 @@
     return {running: this.#running, waiting: this.#waiting.length};
   }
 
-  /** Crashes: calls break from now on. */
+  /** Crashes: running, queued and new calls end as broken. */
   crash(): void {
     this.#isUp = false;
   }
 
   /**
    * @param workMs usual processing time, milliseconds
-   * @param usualFailures share of such calls that a healthy service fails
+   * @param usualFailures share of calls that a healthy service fails
    * @param onEnd called with the outcome
    */
   start(
--- a/packages/lovagepond-measure/src/gateway_simulation.ts
+++ b/packages/lovagepond-measure/src/gateway_simulation.ts
@@ -39,7 +39,7 @@
 
 /** Delay of a list change on its way to the gateways, milliseconds. */
 const LIST_LAG_MS = 50;
-/** Delay of a report until control relays it, milliseconds. */
+/** Delay between sending a report and its relay by control, milliseconds. */
 const REPORT_LAG_MS = 25;
 const REPORT_INTERVAL_MS = 20;
 
@@ -49,7 +49,7 @@
 
 /** Time between a server's leave and its stop, milliseconds. */
 const DRAIN_MS = 3_000;
-/** Time between a replacement's start and the old server's leave. */
+/** Time between a replacement's start and the old server's leave, ms. */
 const OVERLAP_MS = 500;
 /** Time for which a crashed server stays listed, milliseconds. */
 const LEASE_MS = 6_000;
@@ -65,7 +65,7 @@
   readonly [Kind in Disturbance['kind']]: (event: DisturbanceOf<Kind>) => void;
 };
 
-/** One simulation. */
+/** One run of the simulation. */
 export class GatewaySimulation {
   readonly #settings: GatewaySimulationSettings;
   readonly #time = new VirtualTime();
@@ -377,7 +377,8 @@
     {shared, own}: NonNullable<SimulatedRequestKind['prompt']>,
   ): readonly PromptPart[] {
     const isHot = this.#random.next() < this.#hotShare;
-    // A part has the same prefix in all prompts: engines cache it by its id.
+    // A part follows the same parts in all prompts, as gateways identify it by
+    // its id and engines cache it by its prefix.
     const last = isHot ? 0 : this.#random.below(shared.at(-1)?.count ?? 1);
     const parts = shared.map(({tokens, count}, level) => {
       const number = last % count;
@@ -391,7 +392,7 @@
     return [...parts, ownPart];
   }
 
-  /** Log-normal; a sum of twelve uniform draws approximates the normal. */
+  /** Log-normal; the sum of twelve uniform draws is approximately normal. */
   #drawLength({mean, spread, max}: LengthDistribution): number {
     let normal = -6;
     for (let draw = 0; draw < 12; draw += 1) normal += this.#random.next();
--- a/packages/lovagepond-measure/src/gateway_simulation_types.ts
+++ b/packages/lovagepond-measure/src/gateway_simulation_types.ts
@@ -25,7 +25,9 @@
   readonly perSecond: number;
   readonly targetLatencyMs: number;
   readonly deadlineMs: number;
+  /** Value of an answer within the target latency, for weighted results. */
   readonly worth: number;
+  /** Value of a later answer. */
   readonly lateWorth: number;
   /** 0 (lowest) to 9. */
   readonly priority: number;
@@ -49,7 +51,9 @@
   readonly count: number;
   readonly slots: number;
   readonly queue: number;
+  /** Prefill rate. */
   readonly readTokensPerMs: number;
+  /** Limit of running and cached tokens; cached parts beyond are evicted. */
   readonly memoryTokens: number;
   /** Tokens per stream event. */
   readonly tokensPerEvent: number;
--- a/packages/lovagepond-measure/src/measure_main.ts
+++ b/packages/lovagepond-measure/src/measure_main.ts
@@ -13,8 +13,8 @@
     );
     return 2;
   }
-  const wanted = names.length > 0 ? names : Object.keys(MEASUREMENTS);
-  for (const name of wanted) {
+  const selected = names.length > 0 ? names : Object.keys(MEASUREMENTS);
+  for (const name of selected) {
     const started = performance.now();
     const sections = (await MEASUREMENTS[name]?.()) ?? [];
     for (const section of sections) console.log(formatSection(section));
--- a/packages/lovagepond-measure/src/placement_churn.ts
+++ b/packages/lovagepond-measure/src/placement_churn.ts
@@ -1,6 +1,6 @@
 /**
  * Membership churn: planned leaves and crashes in turn, and servers that are
- * delisted for seconds while they go on serving.
+ * delisted for seconds while they continue to serve.
  */
 import {type Random} from '@lovagepond/core';
 import {type PlacementSimulation} from './placement_simulation.js';
@@ -11,7 +11,7 @@
 /**
  * Schedules the churn of a whole simulation.
  *
- * @param fleet the simulation
+ * @param fleet the simulation whose servers leave, crash and flap
  * @param random draws the servers
  */
 export function scheduleChurn(
--- a/packages/lovagepond-measure/src/placement_measure.ts
+++ b/packages/lovagepond-measure/src/placement_measure.ts
@@ -193,13 +193,16 @@
   };
 }
 
-/** Each user's bound and weight; the floor stays that of the deployment. */
+/** Load bound and reuse weight of each user; the floor is the deployment's. */
 const WEIGHTS = [
   {name: 'skew first (Gutscheinwerk)', loadBound: 1.5, reuseWeight: 0.3},
   {name: 'reuse first (Sigurðsson & Synir)', loadBound: 2, reuseWeight: 0.9},
 ] as const;
 
-/** Shows that each user's settings do best on that user's priority. */
+/**
+ * Runs each deployment with each user's bound and weight, to show that a user's
+ * settings do best on that user's priority.
+ */
 function measureWeights(
   deployments: readonly Deployment[],
   hasher: KeyHasher,
@@ -225,7 +228,7 @@
   };
 }
 
-/** @returns a table for each user, and one that exchanges their weights */
+/** @returns a table per deployment, and one of each user's weights on both */
 export async function measurePlacement(): Promise<MeasureSection[]> {
   const hasher = await loadKeyHasher();
   const deployments = [
--- a/packages/lovagepond-measure/src/placement_oracle.ts
+++ b/packages/lovagepond-measure/src/placement_oracle.ts
@@ -33,7 +33,7 @@
     states.sort((a, b) => b.cached - a.cached || a.load - b.load);
     const candidates = states.slice(0, CANDIDATES).map(({server}) => server);
     const [first] = candidates;
-    if (!first) throw new Error('the oracle was given no server');
+    if (!first) throw new Error('the oracle policy got no servers');
     return {candidates, firstChoice: first};
   }
 }
--- a/packages/lovagepond-measure/src/placement_simulation.ts
+++ b/packages/lovagepond-measure/src/placement_simulation.ts
@@ -36,7 +36,7 @@
 const FRAME_BYTES = 14;
 /** Encoded size of a member's name, labels, address and state. */
 const MEMBER_BYTES = 120;
-/** Separates the seed of churn, so that churn is equal for all variants. */
+/** Offset of the seed of churn, which is the same for all variants. */
 const CHURN_SEED_STEP = 7_919;
 const CACHE_MOVE_TOKENS_PER_SECOND = 40_000;
 
@@ -56,7 +56,7 @@
   readonly events: number;
 }
 
-/** One simulation. */
+/** One run of the simulation. */
 export class PlacementSimulation implements SimulatedServerDependencies {
   readonly time = new VirtualTime();
   readonly settings: PlacementSimulationSettings;
@@ -71,8 +71,9 @@
   readonly #routers: SimulatedRouter[];
   #slots = 0;
   /**
-   * A delisted server keeps its last byte. Cleared, it would look idle to
-   * routers that still list the server and attract all of their requests.
+   * One byte of load per slot. A delisted server keeps its byte: if cleared, it
+   * would mean an idle server to routers that still list the server, and they
+   * would send it all of their requests.
    */
   #digest = new Uint8Array(0);
   #controlBytes = 0;
--- a/packages/lovagepond-measure/src/router_cost_measure.ts
+++ b/packages/lovagepond-measure/src/router_cost_measure.ts
@@ -32,7 +32,7 @@
     body: '{"messages":[{"role":"user","content":"Hi"}],"stream":true}',
   });
   await answer.body.dump();
-  if (answer.statusCode !== 200) throw new Error(`${answer.statusCode}`);
+  if (answer.statusCode !== 200) throw new Error(`status ${answer.statusCode}`);
 }
 
 function cpuMicros(since?: NodeJS.CpuUsage): number {
--- a/packages/lovagepond-measure/src/sidecar_memory_measure.ts
+++ b/packages/lovagepond-measure/src/sidecar_memory_measure.ts
@@ -94,7 +94,7 @@
   return above / below;
 }
 
-/** @returns bytes per entry of what grows with chats and requests */
+/** @returns bytes per entry of the state that grows with chats and requests */
 export function measureSidecarMemory(): MeasureSection {
   const collect = makeCollector();
   const perSidecar = CHATS / SIDECARS;
--- a/packages/lovagepond-measure/src/simulated_engine.ts
+++ b/packages/lovagepond-measure/src/simulated_engine.ts
@@ -119,7 +119,7 @@
     return evicted;
   }
 
-  /** @param run starts or queues now */
+  /** @param run a request that arrives now; starts or is queued */
   start(run: EngineRun, now: number): void {
     this.#loadTokens += totalTokens(run);
     this.#waiting.push({run, cachedTokens: 0});
--- a/packages/lovagepond-measure/src/simulated_gateway.ts
+++ b/packages/lovagepond-measure/src/simulated_gateway.ts
@@ -199,7 +199,7 @@
     const {time, servers} = this.#deps;
     const {readings, rate} = this.#gateway;
     const {kind, parts, events} = this.#req;
-    const account = new PrefillTracker(
+    const tracker = new PrefillTracker(
       state,
       parts,
       fetch,
@@ -208,7 +208,7 @@
     );
     state.inFlight += 1;
     const close = this.#once(() => {
-      account.close();
+      tracker.close();
       state.inFlight -= 1;
     });
     const engine = servers.engine(state.server.name);
@@ -225,7 +225,7 @@
         source,
         onFirst: () => {
           this.#noteLoad(state, engine);
-          account.noteFirstToken(this.#now);
+          tracker.noteFirstToken(this.#now);
           this.#firstMs ??= this.#now - this.#req.at + HOP_MS;
         },
         onEnd: () => {
@@ -276,7 +276,7 @@
     });
   }
 
-  /** Wraps a callback to run once; false for repeats and stale attempts. */
+  /** Wraps a callback to run once; returns false if repeated or outdated. */
   #once(run: () => void): () => boolean {
     const attempt = this.#attempt;
     let isOpen = true;
--- a/packages/lovagepond-measure/src/simulated_router.ts
+++ b/packages/lovagepond-measure/src/simulated_router.ts
@@ -201,7 +201,8 @@
       attemptId: `${arrival.id}#${pending.attempts}`,
       arrival,
       firstChoice,
-      // Repeated to the first choice, they would create a redirect loop.
+      // A retry doesn't name other warm candidates: the first choice would
+      // redirect it to them again, in a loop.
       warmCandidates: pending.warmCandidates.filter(
         name => pending.attempts === 1 || name === server.name,
       ),
--- a/packages/lovagepond-measure/src/virtual_time.ts
+++ b/packages/lovagepond-measure/src/virtual_time.ts
@@ -88,7 +88,7 @@
   }
 
   /**
-   * @param time virtual time of the event; a past time counts as now
+   * @param time virtual time of the event, ms; a past time counts as now
    * @param run callback of the event
    */
   at(time: number, run: () => void): void {
@@ -105,7 +105,7 @@
 
   /**
    * @param intervalMs virtual milliseconds between two calls
-   * @param startAt virtual time of the first call
+   * @param startAt virtual time of the first call, milliseconds
    * @param run callback
    */
   every(intervalMs: number, startAt: number, run: () => void): void {
@@ -115,7 +115,7 @@
     });
   }
 
-  /** @param end virtual time up to which events are run */
+  /** @param end virtual time up to which events are run, milliseconds */
   runUntil(end: number): void {
     while (this.#events.leastKey <= end) {
       this.#now = this.#events.leastKey;
--- a/packages/lovagepond-scenarios/features/leaving.feature
+++ b/packages/lovagepond-scenarios/features/leaving.feature
@@ -1,10 +1,10 @@
 Feature: A draining server gets no new work, and a planned stop cuts off no answer
   An operator drains a backend server, or its process receives a signal to stop.
-  Routers learn of it up to a second later and still send requests, while others
-  are queued or running. New requests are refused as not run, so that routers
-  place them elsewhere. Queued requests that can start before the limit are
-  served, the others are refused. Running requests are not cancelled, as a
-  shopper would see an answer cut off.
+  Routers receive the new list up to a second later and still send requests,
+  while others are queued or running. New requests are refused as not run, so
+  that routers place them elsewhere. Queued requests that can start before the
+  limit are served, the others are refused. Running requests are not cancelled,
+  as a shopper would see an answer cut off.
 
   Scenario: A router with a stale list sends work to a draining server
     Given engine-1 runs request "a" and holds request "b"
--- a/packages/lovagepond-scenarios/features/not_run.feature
+++ b/packages/lovagepond-scenarios/features/not_run.feature
@@ -2,8 +2,8 @@
   A router revokes a request, or a sidecar refuses it; the caller receives "not
   run" and sends the request elsewhere. If the first copy ran after all, through
   a dispatch at the same moment, a late copy or a lost answer, the work and its
-  effects would be done twice. So one place decides between revoke and dispatch,
-  and silence never counts as "not run".
+  effects would be done twice. So only the sidecar's gate decides between revoke
+  and dispatch, and silence never counts as "not run".
 
   Scenario: A request is revoked at the moment in which it could start
     Given engine-1 runs request "a" and holds request "b"
--- a/packages/lovagepond-scenarios/features/partition.feature
+++ b/packages/lovagepond-scenarios/features/partition.feature
@@ -2,8 +2,8 @@
   The leader is cut off without an error: its connections stay open. It accepts
   proposals that can't reach a majority, and could answer reads from a state
   that is hours old. The other hosts elect a new leader. When its lease expires,
-  the old leader stops confirming changes and reads, and it takes over the
-  group's log after the partition heals. An accepted change never reverts.
+  the old leader stops confirming changes and reads, and after the partition
+  heals it replaces its log by the group's. An accepted change never reverts.
 
   Background:
     Given the control hosts "control-1, control-2, control-3" form a consensus group
--- a/packages/lovagepond-scenarios/src/steps/gate_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/gate_steps.ts
@@ -116,9 +116,15 @@
   '{string} was reported as not run within {int} seconds',
   function (attemptId, seconds) {
     const [refusal] = findRefusals(this.server(SERVER), attemptId);
-    assert.ok(refusal, 'it was not refused');
-    assert.ok(refusal.at <= seconds * MS_PER_SECOND, `after ${refusal.at} ms`);
-    assert.ok(refusal.failure.retryAfterMs > 0, 'it has no retry time');
+    assert.ok(refusal, 'the attempt was not refused');
+    assert.ok(
+      refusal.at <= seconds * MS_PER_SECOND,
+      `refused after ${refusal.at} ms`,
+    );
+    assert.ok(
+      refusal.failure.retryAfterMs > 0,
+      'the refusal has no retry time',
+    );
   },
 );
 
@@ -154,7 +160,7 @@
     const position = order.findIndex(id => id.startsWith(workspace));
     assert.ok(
       position >= 0 && position < count,
-      `it was request ${position + 1}`,
+      `first served as request ${position + 1}`,
     );
   },
 );
--- a/packages/lovagepond-scenarios/src/steps/list_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/list_steps.ts
@@ -56,16 +56,16 @@
     const hasher = await loadKeyHasher();
     const names = new Set([...left, ...right].map(server => server.name));
     const all = [...names].map((name, slot) => ({name, slot}));
-    const [chooseLeft, chooseRight, chooseAny] = [left, right, all].map(
+    const [chooseLeft, chooseRight, chooseFromAll] = [left, right, all].map(
       servers => chooseFirst(servers, hasher),
     );
-    assert.ok(chooseLeft && chooseRight && chooseAny);
+    assert.ok(chooseLeft && chooseRight && chooseFromAll);
     const results = Array.from({length: count}, (_, index) => {
       const chat = `chat-${index}`;
       return {
         left: chooseLeft(chat),
         right: chooseRight(chat),
-        firstOfAll: chooseAny(chat),
+        firstOfAll: chooseFromAll(chat),
       };
     });
     choices.set(this, results);
--- a/packages/lovagepond-scenarios/src/steps/load_bound_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/load_bound_steps.ts
@@ -14,7 +14,7 @@
   floorTokens: 4_000,
   meanAgeMs: 300,
 };
-/** Share of the requests from which an engine counts as busy. */
+/** An engine counts as busy with at least this share of the requests. */
 const BUSY_SHARE = 0.1;
 const ROUNDING_TOLERANCE = 1e-9;
 
@@ -26,7 +26,7 @@
   function (size, loadBound) {
     options.set(this, {...POOL, size, loadBound});
     this.createPool({...POOL, size, loadBound});
-    this.pool.startWorkStealing();
+    this.pool.startTakingWork();
   },
 );
 
@@ -35,7 +35,7 @@
   function (seconds) {
     const meanAgeMs = seconds * MS_PER_SECOND;
     this.createPool({...POOL, ...options.get(this), meanAgeMs});
-    this.pool.startWorkStealing();
+    this.pool.startTakingWork();
   },
 );
 
--- a/packages/lovagepond-scenarios/src/steps/process_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/process_steps.ts
@@ -20,7 +20,7 @@
 const QUESTION = 'Which voucher fits? ';
 const CONVERGENCE_LIMIT_SECONDS = '20';
 const LONG_ANSWER_TOKENS = 120;
-/** Request whose answer a fake engine sends with `crossAnswers`. */
+/** Id of the request whose answer `crossAnswers` makes fake engines send. */
 const CROSSED_ID = 'another-request';
 const CROSSED_TEXT = fakeAnswerText(CROSSED_ID, 4);
 const STEP_OPTIONS = {timeout: STEP_LIMIT_MS};
--- a/packages/lovagepond-scenarios/src/steps/request_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/request_steps.ts
@@ -10,7 +10,7 @@
 const MS_PER_SECOND = 1_000;
 const PAST_DEADLINE_MS = 31_000;
 const FORMER_ATTEMPT = 'request-1.1';
-/** As long as the answer, so that the offsets of its pieces match. */
+/** Has the length of the first answer, so that their pieces' offsets match. */
 const OTHER_GENERATION = 'One croissant with each coffee until evening';
 
 Given<ScenarioWorld>("a shopper's request is sent to engine-1", function () {
--- a/packages/lovagepond-scenarios/src/world/pool.ts
+++ b/packages/lovagepond-scenarios/src/world/pool.ts
@@ -22,7 +22,7 @@
   readonly meanAgeMs: number;
 }
 
-/** The highest load of any engine relative to its bound. */
+/** The load of an engine that was highest relative to the engine's bound. */
 export interface HighestLoad {
   readonly server: string;
   readonly tokens: number;
@@ -77,9 +77,9 @@
   }
 
   /** Makes servers with room take held requests from other servers. */
-  startWorkStealing(): void {
+  startTakingWork(): void {
     this.#timeline.repeat(STEAL_INTERVAL_MS, () => {
-      for (const thief of this.servers) this.#steal(thief);
+      for (const taker of this.servers) this.#takeWork(taker);
     });
   }
 
@@ -128,8 +128,8 @@
   }
 
   /**
-   * Compares the load with the highest mean that the server may have used: it
-   * has its own current load, and the other loads from announcements.
+   * Compares the load with the bound at the highest mean that the server may
+   * have used: its own load is current, the others may be the announced ones.
    */
   #recordLoad(server: GatedServer): void {
     const {loadBound, floorTokens, size} = this.#options;
@@ -176,19 +176,19 @@
     });
   }
 
-  #steal(thief: GatedServer): void {
+  #takeWork(taker: GatedServer): void {
     const {now} = this.#timeline;
-    const roomTokens = thief.gate.roomForTake(now);
+    const roomTokens = taker.gate.roomForTake(now);
     if (roomTokens === 0) return;
     const victim = this.#random.pick(this.servers);
-    if (victim === thief) return;
-    thief.gate.reserve(victim.name, roomTokens, now + RESERVATION_MS);
+    if (victim === taker) return;
+    taker.gate.reserve(victim.name, roomTokens, now + RESERVATION_MS);
     const {attemptIds, actions} = victim.gate.handOver(
-      thief.name,
+      taker.name,
       roomTokens,
       now,
     );
-    if (attemptIds.length === 0) thief.gate.reserve(victim.name, 0, now);
+    if (attemptIds.length === 0) taker.gate.reserve(victim.name, 0, now);
     victim.perform(actions);
   }
 }
--- a/packages/lovagepond-scenarios/src/world/routed_request.ts
+++ b/packages/lovagepond-scenarios/src/world/routed_request.ts
@@ -173,9 +173,9 @@
     if (outcome) this.receive({kind: 'revoked', attemptId, outcome});
   }
 
-  #place(excluded: ReadonlySet<string>, wanted: string | undefined): void {
+  #place(excluded: ReadonlySet<string>, preferred: string | undefined): void {
     const candidates = SERVERS.filter(name => !excluded.has(name));
-    const backendServer = wanted ?? candidates[0];
+    const backendServer = preferred ?? candidates[0];
     if (backendServer === undefined) {
       const failure = makeFailure('noBackendServer');
       this.receive({kind: 'notPlaced', failure});
--- a/packages/lovagepond-scenarios/src/world/scenario_world.ts
+++ b/packages/lovagepond-scenarios/src/world/scenario_world.ts
@@ -15,7 +15,7 @@
 const FLOOR_TOKENS = 4_000;
 const SEED = 7;
 
-/** Virtual time of one scenario and the test doubles that its steps create. */
+/** Virtual time of one scenario, and the objects that its steps create. */
 export class ScenarioWorld extends World {
   readonly timeline = new Timeline();
   readonly #servers = new Map<string, GatedServer>();
--- a/scripts/fleet_processes.mjs
+++ b/scripts/fleet_processes.mjs
@@ -62,12 +62,13 @@
 
 /**
  * @param {() => Promise<boolean>} condition
- * @param {string} what subject of the error message
- * @param {number} deadline
+ * @param {string} subject what is awaited, for the error message
+ * @param {number} deadline time in milliseconds since the epoch
  */
-async function waitUntil(condition, what, deadline) {
+async function waitUntil(condition, subject, deadline) {
   while (!(await condition())) {
-    if (Date.now() > deadline) throw new Error(`${what} is not ready in time`);
+    if (Date.now() > deadline)
+      throw new Error(`${subject} was not ready in time`);
     await new Promise(resolve => setTimeout(resolve, READY_CHECK_MS));
   }
 }
@@ -133,7 +134,11 @@
   #folder = mkdtempSync(join(tmpdir(), 'lovagepond-fleet-'));
   #processes = new Map();
 
-  /** Copies the set with each of its ports replaced by a free one. */
+  /**
+   * Copies the set with each of its ports replaced by a free one.
+   *
+   * @returns name, file and parsed settings of each process
+   */
   async prepare(set) {
     cpSync(set, this.#folder, {recursive: true});
     const files = readdirSync(this.#folder).filter(name =>
@@ -195,8 +200,8 @@
   }
 
   /**
-   * A router may be ready before it lists every backend server. When another
-   * server joins, chats are placed anew and find their context cold.
+   * A router may be ready before it lists every backend server. The next
+   * turn of a chat could then go to another server, which lacks the context.
    *
    * @returns {Promise<boolean>} whether all sidecars list their peers, and
    *     control and all routers have the same membership version
@@ -240,13 +245,13 @@
   }
 
   async #waitFor(role, deadline) {
-    const waiting = [...this.#processes.values()]
+    const checks = [...this.#processes.values()]
       .filter(({settings}) => settings?.process.role === role)
       .map(({name, settings}) => {
         const url = `http://${settings.platform.address}/readyz`;
         return waitUntil(() => isOk(url), name, deadline);
       });
-    await Promise.all(waiting);
+    await Promise.all(checks);
   }
 
   /** @returns {string[]} names of the processes with a role */
--- a/scripts/main_job.mjs
+++ b/scripts/main_job.mjs
@@ -1,7 +1,7 @@
-// The main job with separate processes: two routers, three sidecars with a fake
-// model engine each, and one control member, each started from its own file in
-// examples/loopback. A chat is streamed through one router, and its next turn
-// through the other.
+// Runs the main job with separate processes, each started from its own file in
+// examples/loopback: two routers, three sidecars with a fake model engine each,
+// and one control member. A chat is streamed through one router, and its next
+// turn through the other.
 import {Fleet, streamChat} from './fleet_processes.mjs';
 
 const FIRST_QUESTION = 'Which voucher fits a garden in spring? '.repeat(20);
--- a/scripts/measure.mjs
+++ b/scripts/measure.mjs
@@ -20,8 +20,9 @@
 }
 
 const names = process.argv.slice(2);
-const ofProduct = names.filter(name => !Object.hasOwn(PLATFORM, name));
-if (names.length === 0 || ofProduct.length > 0) await run(PRODUCT, ofProduct);
+const productNames = names.filter(name => !Object.hasOwn(PLATFORM, name));
+if (names.length === 0 || productNames.length > 0)
+  await run(PRODUCT, productNames);
 for (const [name, entry] of Object.entries(PLATFORM)) {
   if (names.length === 0 || names.includes(name)) await run(entry, []);
 }
--- a/scripts/platform_program.mjs
+++ b/scripts/platform_program.mjs
@@ -2,11 +2,11 @@
 // compiling the program takes a third of its start time.
 //
 // V8 hardly validates a code cache: it compares only the length of the source
-// and no checksum of the code. It would run the cache of another program of the
-// same length. Of 60 cache files with one flipped bit 4 caused a segmentation
-// fault, 9 a trap and 1 a process that never ended. So the name of a cache file
-// holds the digest of its source text, and the file is renamed into place once
-// it is complete and never overwritten.
+// and no checksum of the code, and would run the cache of another program of
+// the same length. Of 60 cache files with one flipped bit, 4 caused a
+// segmentation fault, 9 a trap, and 1 a process that never ended. So the name
+// of a cache file holds the digest of its source text, and the file is renamed
+// into place once it is complete and never overwritten.
 import {execFileSync} from 'node:child_process';
 import {createHash} from 'node:crypto';
 import {existsSync, mkdirSync, renameSync, writeFileSync} from 'node:fs';
@@ -66,7 +66,7 @@
   return WRAPPER.join(text);
 }
 
-/** A process that starts meanwhile reads either the old or the new file. */
+/** Renames a finished file into place: no process reads a part of it. */
 function writeAtomically(path, text) {
   const temporaryPath = `${path}.${process.pid}`;
   writeFileSync(temporaryPath, text);
--- a/scripts/run_tests.mjs
+++ b/scripts/run_tests.mjs
@@ -41,7 +41,7 @@
   );
 }
 
-/** @returns {string[]} the names of tests that may fail */
+/** @returns {string[]} the names of the listed tests; " | " ends a name */
 function readKnownRed() {
   if (!existsSync(KNOWN_RED)) return [];
   const lines = readFileSync(KNOWN_RED, 'utf8').split('\n');
--- a/scripts/test_safeguards.mjs
+++ b/scripts/test_safeguards.mjs
@@ -161,10 +161,10 @@
 
 /** @type {Safeguard[]} */
 const all = LISTS.flatMap(list => JSON.parse(readFileSync(list, 'utf8')));
-const wanted = process.argv.slice(2);
+const filters = process.argv.slice(2);
 const entries = all.filter(entry => {
   const name = entry.scenario ?? entry.test ?? '';
-  return wanted.length === 0 || wanted.some(part => name.includes(part));
+  return filters.length === 0 || filters.some(filter => name.includes(filter));
 });
 const copy = makeCopy();
 let failed = 0;
