--- a/packages/lovagepond-measure/src/placement_outcomes.ts
+++ b/packages/lovagepond-measure/src/placement_outcomes.ts
@@ -115,7 +115,7 @@
 
 /**
  * Load skew, the busiest engine over the mean, weighted by duration. A mean
- * below the floor counts as the floor.
+ * below floorTokens / loadBound counts as this quotient.
  */
 export class SkewSampler {
   readonly ratios = new Distribution(0.001);
--- a/packages/lovagepond-scenarios/src/steps/consensus_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/consensus_steps.ts
@@ -259,10 +259,13 @@
     const host = cutOffOf(this);
     requestRead(this, host);
     this.timeline.advance(SETTLE_MS);
-    assert.ok(!host.answeredReads.has(READ_TOKEN), 'it answered a read');
+    assert.ok(
+      !host.answeredReads.has(READ_TOKEN),
+      'the cut-off host answered a read',
+    );
     const {role} = host.core.status(this.timeline.now);
     assert.notEqual(role, MEMBER_ROLE.LEADER);
-    assert.ok(!host.leads, 'it still has a valid lease');
+    assert.ok(!host.leads, 'the host still has a valid lease');
   },
 );
 
@@ -279,7 +282,7 @@
     const {term} = host.core.status(now);
     assert.ok(
       term <= (stateOf(this).initialTerm ?? 0),
-      `${host.name}: ${term}`,
+      `${host.name} is in term ${term}`,
     );
   }
 });
--- a/packages/lovagepond-scenarios/src/steps/request_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/request_steps.ts
@@ -167,7 +167,7 @@
     const {deliveredText, answer} = this.request;
     assert.ok(
       answer.startsWith(deliveredText),
-      `the shopper has "${deliveredText}"`,
+      `the shopper received "${deliveredText}"`,
     );
   },
 );
--- a/packages/lovagepond-scenarios/src/world/pool.ts
+++ b/packages/lovagepond-scenarios/src/world/pool.ts
@@ -9,7 +9,7 @@
 
 const SEED = 20_261_202;
 const MEAN_INTERVAL_MS = 1_000;
-const STEAL_INTERVAL_MS = 20;
+const TAKE_INTERVAL_MS = 20;
 const RESERVATION_MS = 250;
 const ROUTER_RETRY_MS = 2;
 
@@ -78,7 +78,7 @@
 
   /** Makes servers with room take held requests from other servers. */
   startTakingWork(): void {
-    this.#timeline.repeat(STEAL_INTERVAL_MS, () => {
+    this.#timeline.repeat(TAKE_INTERVAL_MS, () => {
       for (const taker of this.servers) this.#takeWork(taker);
     });
   }
