--- a/packages/lovagepond-measure/src/crash_simulation.ts
+++ b/packages/lovagepond-measure/src/crash_simulation.ts
@@ -109,7 +109,6 @@
   readonly detector: GatewayCrashDetector;
 }
 
-/** One run of the simulation. */
 export class CrashSimulation {
   readonly #scenario: CrashScenario;
   readonly #random: Random;
--- a/packages/lovagepond-measure/src/direct_servers.ts
+++ b/packages/lovagepond-measure/src/direct_servers.ts
@@ -33,7 +33,6 @@
   return run.parts.reduce((sum, {tokens}) => sum + tokens, 0);
 }
 
-/** A simulated engine. */
 export class DirectEngine {
   readonly #profile: EngineProfile;
   readonly #time: VirtualTime;
--- a/packages/lovagepond-measure/src/gateway_simulation.ts
+++ b/packages/lovagepond-measure/src/gateway_simulation.ts
@@ -65,7 +65,6 @@
   readonly [Kind in Disturbance['kind']]: (event: DisturbanceOf<Kind>) => void;
 };
 
-/** One run of the simulation. */
 export class GatewaySimulation {
   readonly #settings: GatewaySimulationSettings;
   readonly #time = new VirtualTime();
--- a/packages/lovagepond-measure/src/gateway_simulation_statistics.ts
+++ b/packages/lovagepond-measure/src/gateway_simulation_statistics.ts
@@ -114,7 +114,6 @@
   }
 }
 
-/** Results of one gateway simulation. */
 export interface GatewaySimulationResult {
   readonly requests: number;
   readonly servedPercent: number;
--- a/packages/lovagepond-measure/src/placement_simulation.ts
+++ b/packages/lovagepond-measure/src/placement_simulation.ts
@@ -47,7 +47,6 @@
   readonly at: number;
 }
 
-/** The results of one simulation. */
 export interface PlacementResult {
   readonly outcomes: PlacementOutcomes;
   readonly skew: SkewSampler;
@@ -56,7 +55,6 @@
   readonly events: number;
 }
 
-/** One run of the simulation. */
 export class PlacementSimulation implements SimulatedServerDependencies {
   readonly time = new VirtualTime();
   readonly settings: PlacementSimulationSettings;
--- a/packages/lovagepond-measure/src/simulated_gateway.ts
+++ b/packages/lovagepond-measure/src/simulated_gateway.ts
@@ -44,7 +44,6 @@
   service(name: string): DirectService | undefined;
 }
 
-/** Dependencies of a gateway. */
 export interface SimulatedGatewayDependencies {
   readonly name: string;
   readonly zone: string;
@@ -73,7 +72,6 @@
 /** Delay of a caller's retry, milliseconds. */
 const CALLER_RETRY_MS = 300;
 
-/** A simulated gateway. */
 export class SimulatedGateway {
   readonly #deps: SimulatedGatewayDependencies;
   fleet = new GatewayFleet();
@@ -85,7 +83,6 @@
   /** Requests are refused before this virtual time. */
   readyAt = 0;
 
-  /** @param deps its dependencies */
   constructor(deps: SimulatedGatewayDependencies) {
     this.#deps = deps;
     this.restart();
--- a/packages/lovagepond-measure/src/simulated_router.ts
+++ b/packages/lovagepond-measure/src/simulated_router.ts
@@ -41,7 +41,6 @@
   handOvers: number;
 }
 
-/** Dependencies of a router. */
 export interface SimulatedRouterDependencies {
   readonly time: VirtualTime;
   readonly settings: PlacementSimulationSettings;
@@ -49,7 +48,6 @@
   readonly outcomes: PlacementOutcomes;
 }
 
-/** A simulated router. */
 export class SimulatedRouter implements AttemptOwner {
   readonly #deps: SimulatedRouterDependencies;
   readonly #policy: PlacementPolicy;
--- a/packages/lovagepond-measure/src/simulated_server.ts
+++ b/packages/lovagepond-measure/src/simulated_server.ts
@@ -28,7 +28,6 @@
 const TAKE_RETRY_MS = 100;
 const REVISION = 1;
 
-/** Dependencies of a server. */
 export interface SimulatedServerDependencies {
   readonly time: VirtualTime;
   readonly settings: PlacementSimulationSettings;
@@ -38,7 +37,6 @@
   changed(server: SimulatedServer): void;
 }
 
-/** A simulated backend server. */
 export class SimulatedServer {
   readonly name: string;
   readonly slot: number;
--- a/scripts/bundle_options.mjs
+++ b/scripts/bundle_options.mjs
@@ -1,6 +1,6 @@
-// Common esbuild options of the bundles that run from the source tree.
+// Common esbuild options of the bundles that run from the source tree, without
+// the entry point and the output file.
 
-/** esbuild options without the entry point and the output file. */
 export const BUNDLE_OPTIONS = Object.freeze({
   bundle: true,
   platform: 'node',
