--- a/packages/lovagepond-measure/src/simulated_gateway.ts
+++ b/packages/lovagepond-measure/src/simulated_gateway.ts
@@ -44,7 +44,6 @@
   service(name: string): DirectService | undefined;
 }
 
-/** Dependencies of a gateway. */
 export interface SimulatedGatewayDependencies {
   readonly name: string;
   readonly zone: string;
@@ -73,7 +72,6 @@
 /** Delay of a caller's retry, milliseconds. */
 const CALLER_RETRY_MS = 300;
 
-/** A simulated gateway. */
 export class SimulatedGateway {
   readonly #deps: SimulatedGatewayDependencies;
   fleet = new GatewayFleet();
@@ -85,7 +83,6 @@
   /** Requests are refused before this virtual time. */
   readyAt = 0;
 
-  /** @param deps its dependencies */
   constructor(deps: SimulatedGatewayDependencies) {
     this.#deps = deps;
     this.restart();
@@ -199,7 +196,7 @@
     const {time, servers} = this.#deps;
     const {readings, rate} = this.#gateway;
     const {kind, parts, events} = this.#req;
-    const account = new PrefillTracker(
+    const tracker = new PrefillTracker(
       state,
       parts,
       fetch,
@@ -208,7 +205,7 @@
     );
     state.inFlight += 1;
     const close = this.#once(() => {
-      account.close();
+      tracker.close();
       state.inFlight -= 1;
     });
     const engine = servers.engine(state.server.name);
@@ -225,7 +222,7 @@
         source,
         onFirst: () => {
           this.#noteLoad(state, engine);
-          account.noteFirstToken(this.#now);
+          tracker.noteFirstToken(this.#now);
           this.#firstMs ??= this.#now - this.#req.at + HOP_MS;
         },
         onEnd: () => {
@@ -276,7 +273,7 @@
     });
   }
 
-  /** Wraps a callback to run once; false for repeats and stale attempts. */
+  /** Wraps a callback to run once; returns false if repeated or outdated. */
   #once(run: () => void): () => boolean {
     const attempt = this.#attempt;
     let isOpen = true;
--- a/packages/lovagepond-measure/src/simulated_router.ts
+++ b/packages/lovagepond-measure/src/simulated_router.ts
@@ -41,7 +41,6 @@
   handOvers: number;
 }
 
-/** Dependencies of a router. */
 export interface SimulatedRouterDependencies {
   readonly time: VirtualTime;
   readonly settings: PlacementSimulationSettings;
@@ -49,7 +48,6 @@
   readonly outcomes: PlacementOutcomes;
 }
 
-/** A simulated router. */
 export class SimulatedRouter implements AttemptOwner {
   readonly #deps: SimulatedRouterDependencies;
   readonly #policy: PlacementPolicy;
@@ -201,7 +199,8 @@
       attemptId: `${arrival.id}#${pending.attempts}`,
       arrival,
       firstChoice,
-      // Repeated to the first choice, they would create a redirect loop.
+      // A retry doesn't name other warm candidates: the first choice would
+      // redirect it to them again, in a loop.
       warmCandidates: pending.warmCandidates.filter(
         name => pending.attempts === 1 || name === server.name,
       ),
