--- a/packages/lovagepond-gateway/src/gateway_server_state.ts
+++ b/packages/lovagepond-gateway/src/gateway_server_state.ts
@@ -28,7 +28,7 @@
 const MAX_WARM_PARTS = 4_096;
 
 /**
- * Lifetime of another gateway's reported request count, milliseconds: nearly
+ * TTL of the request count that another gateway reported, milliseconds: nearly
  * all requests end within it.
  */
 const REMOTE_TTL_MS = 3_000;
