--- a/packages/lovagepond-core/src/__tests__/unit/core_crash_evidence.test.ts
+++ b/packages/lovagepond-core/src/__tests__/unit/core_crash_evidence.test.ts
@@ -5,7 +5,7 @@
 const SECOND_MS = 1_000;
 const HOUR_MS = 3_600 * SECOND_MS;
 
-/** Records the crash of server s1, s2 and so on; crashes are a second apart. */
+/** Records the crash of server `s<number>` at `number` seconds. */
 function crash(
   evidence: CrashEvidence,
   number: number,
@@ -36,7 +36,8 @@
     expect(quarantinedUntil(evidence, 'a', at)).toBeUndefined();
   });
 
-  // Guards against quarantining a request that only ran beside the cause.
+  // Guards against quarantining a request that only ran concurrently with the
+  // one that caused the crashes.
   it('waits while two requests are involved in the same crashes', () => {
     const evidence = new CrashEvidence();
     for (const number of [1, 2, 3]) crash(evidence, number, 'bad', 'beside');
@@ -46,8 +47,8 @@
     expect(quarantinedUntil(evidence, 'beside', 4_000)).toBeUndefined();
   });
 
-  // Guards against quarantining a request that ran beside a different cause at
-  // each of its crashes.
+  // Guards against quarantining a request that ran concurrently with several
+  // poison-pill requests, each of which caused some of the crashes.
   it('attributes the crashes of a quarantined request to no other request', () => {
     const evidence = new CrashEvidence();
     for (const number of [1, 2]) crash(evidence, number, 'bad', 'beside');
@@ -97,7 +98,7 @@
     expect(crash(evidence, 2, 'r')).toEqual(['r']);
   });
 
-  it('ends a quarantine after its time and doubles the next one', () => {
+  it('ends a quarantine at its expiry and doubles the length of the next', () => {
     const evidence = new CrashEvidence();
     for (const number of [1, 2, 3]) crash(evidence, number, 'bad');
     const again = 3 * SECOND_MS + HOUR_MS;
@@ -124,7 +125,8 @@
     expect(listed).toEqual(['twice']);
   });
 
-  // Guards against routers that keep evidence which a member no longer has.
+  // Guards against routers that keep suspects which the restored state of
+  // control no longer contains: they are sent anew only at a new version.
   it('increments the version on restore', () => {
     const evidence = new CrashEvidence();
     crash(evidence, 1, 'x');
--- a/packages/lovagepond-core/src/core_role.ts
+++ b/packages/lovagepond-core/src/core_role.ts
@@ -3,7 +3,10 @@
  * runs it.
  */
 
-/** Reads the current time. Decision code takes the time as an argument. */
+/**
+ * Source of the current time. Code that makes decisions doesn't read a clock: it
+ * takes the time as an argument.
+ */
 export interface Clock {
   /** @returns monotonic milliseconds; only differences are meaningful */
   now(): number;
@@ -31,6 +34,7 @@
   readonly state: Readonly<Record<string, unknown>>;
 }
 
+/** A service that a process runs, such as a router or a member of control. */
 export interface Role {
   /** Binds its addresses and starts; resolves once it accepts connections. */
   start(): Promise<void>;
@@ -43,7 +47,10 @@
    * @param limitMs longest time to wait for those requests, milliseconds
    */
   drain(limitMs: number): Promise<void>;
-  /** Stops at once and aborts requests in flight; call `drain` before. */
+  /**
+   * Stops at once and aborts the requests in flight. A graceful shutdown calls
+   * `drain` first.
+   */
   stop(): Promise<void>;
   /** @returns the role's state, for operators */
   dump(): StateDump;
