--- a/packages/lovagepond-cli/src/__tests__/e2e/open_chat.ts
+++ b/packages/lovagepond-cli/src/__tests__/e2e/open_chat.ts
@@ -1,10 +1,13 @@
-/** Test helpers: open a streamed answer and find the sidecar that serves it. */
+/**
+ * Test helpers: start a streamed chat request and find the sidecar that serves
+ * it.
+ */
 import {setTimeout as wait} from 'node:timers/promises';
 import {type Fleet} from '../../../../../scripts/fleet_processes.mjs';
 
 const POLL_MS = 25;
 
-/** A streamed answer of which the caller has received the first text. */
+/** A streamed response whose first text has arrived. */
 export interface OpenChat {
   readonly status: number;
   /** The whole response body; resolves when the response has ended. */
@@ -43,9 +46,9 @@
 /**
  * @param url base URL of a router
  * @param chat identifier of the chat, in the workspace `demo`
- * @param maxTokens length of the answer
+ * @param maxTokens maximum length of the generated text, in tokens
  * @param options optional parts of the request
- * @returns the answer, once its first text has arrived
+ * @returns the response, once its first text has arrived
  */
 export async function openChat(
   url: string,
@@ -87,17 +90,17 @@
   return {status: res.status, body, isEnded: () => ended};
 }
 
-/** @returns name of the only sidecar that runs an answer */
+/** @returns name of the first running sidecar that is serving a request */
 export async function findServingSidecar(fleet: Fleet): Promise<string> {
   for (const name of fleet.namesOf('sidecar')) {
     if (!fleet.get(name).running) continue;
     const {state} = await fleet.dump(name);
     if ((state['gate'] as {runs: number}).runs > 0) return name;
   }
-  throw new Error('no sidecar runs an answer');
+  throw new Error('no sidecar is serving a request');
 }
 
-/** @returns number of requests that the engine of a sidecar has received */
+/** @returns number of requests that a sidecar's engine has received */
 export async function countRequests(
   fleet: Fleet,
   sidecar: string,
--- a/packages/lovagepond-cli/src/free_ports.ts
+++ b/packages/lovagepond-cli/src/free_ports.ts
@@ -6,8 +6,8 @@
 
 /**
  * The ports lie below the ephemeral range of the operating system. An ephemeral
- * port that was free when checked may be assigned to a connection before the
- * server binds it, which then fails with EADDRINUSE.
+ * port that was free when checked may be assigned to an outgoing connection
+ * before the server binds it. The bind then fails with EADDRINUSE.
  */
 const FIRST_PORT = 20_000;
 const PORT_SPAN = 12_000;
