--- a/packages/lovagepond-sidecar/src/sidecar_configuration.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_configuration.ts
@@ -43,7 +43,7 @@
     return this.#revisions.revision;
   }
 
-  /** @returns true when requests may be accepted under it */
+  /** @returns true when requests may be accepted under this configuration */
   mayServe(): boolean {
     return this.#revisions.mayServe();
   }
@@ -72,7 +72,8 @@
 
   /**
    * @param revision a router's revision
-   * @returns the configuration in force if newer, else no bytes
+   * @returns the encoded configuration in force if it is newer than the
+   *     router's, else an empty array
    */
   newerThan(revision: number): Uint8Array {
     return this.revision > revision ? this.#encoded : NO_BYTES;
--- a/packages/lovagepond-sidecar/src/sidecar_take.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_take.ts
@@ -1,10 +1,10 @@
 /**
  * Work stealing between the sidecars of a pool ("take"): a sidecar with free
- * capacity and an empty queue takes one held request from a longer queue.
+ * capacity and an empty queue takes one held request from another sidecar.
  *
  * The victim removes the request from its queue and redirects the router, which
- * owns the request, to the taker. The taker never receives a copy of the
- * request itself, so a lost answer to Take costs only a reservation.
+ * owns the request, to the taker. The answer to Take carries no copy of
+ * the request, only the tokens to reserve, so a lost answer loses no request.
  */
 import {type Random} from '@lovagepond/core';
 import {type SidecarCacheIndex} from './sidecar_cache_index.js';
@@ -14,16 +14,16 @@
 
 const MS_PER_SECOND = 1_000;
 /** Probability that a context of unknown state is still cached. */
-const UNKNOWN_WARM_SHARE = 0.5;
+const UNKNOWN_WARM_PROBABILITY = 0.5;
 /** Network cost of a hand-over between two sidecars, milliseconds. */
 const HAND_OVER_COST_MS = 5;
 /**
- * Factor by which a rebuild is weighted up or down at the extremes of the reuse
- * weight.
+ * The cost of rebuilding a context is multiplied by this factor at reuse weight
+ * 1, divided by it at 0, and unchanged at 0.5.
  */
-const REBUILD_FACTOR_SPAN = 4;
+const MAX_REBUILD_FACTOR = 4;
 
-/** State of the victim from which a request is chosen. */
+/** The victim's state, by which it chooses a request to hand over. */
 export interface HandOverView {
   readonly queue: SidecarFairQueue;
   readonly cache: SidecarCacheIndex;
@@ -40,25 +40,27 @@
  * @returns expected number of cached tokens
  */
 export function expectedWarmTokens({warmth, tokens}: ChatWarmth): number {
-  return warmth === WARMTH.UNKNOWN ? tokens * UNKNOWN_WARM_SHARE : tokens;
+  return warmth === WARMTH.UNKNOWN ? tokens * UNKNOWN_WARM_PROBABILITY : tokens;
 }
 
 /**
- * Chooses the held request with the least cached context among those whose
- * rebuild costs less than the wait that it saves.
+ * Chooses the held request with the least cached context, at a tie the one with
+ * the longest wait. Its context must take the taker less time to rebuild,
+ * weighted by the reuse weight, than the request would still wait here. A
+ * request is handed over only once.
  *
  * @param view the victim's queue, cache and estimates
  * @param takerRoomTokens free capacity of the taker, tokens
- * @returns a request still in the queue, or undefined
+ * @returns the request, which stays in the queue, or undefined
  */
 export function chooseHandOver(
   view: HandOverView,
   takerRoomTokens: number,
 ): HeldRequest | undefined {
-  const rebuildFactor = REBUILD_FACTOR_SPAN ** (2 * view.reuseWeight - 1);
+  const rebuildFactor = MAX_REBUILD_FACTOR ** (2 * view.reuseWeight - 1);
   let best: HeldRequest | undefined;
-  let leastWarm = Infinity;
-  let longestWait = 0;
+  let leastWarmTokens = Infinity;
+  let longestWaitMs = 0;
   view.queue.forEachWithTokensAhead((held, tokensAhead) => {
     const {workspace, chat, tokens, handOvers} = held.offer;
     if (handOvers > 0 || tokens > takerRoomTokens) return true;
@@ -66,11 +68,11 @@
     const waitMs = view.estimate.waitMs(tokensAhead + tokens - view.roomTokens);
     const rebuildMs = (warm / view.prefillTokensPerSecond) * MS_PER_SECOND;
     if (rebuildFactor * rebuildMs + HAND_OVER_COST_MS >= waitMs) return true;
-    if (warm > leastWarm) return true;
-    if (warm === leastWarm && waitMs <= longestWait) return true;
+    if (warm > leastWarmTokens) return true;
+    if (warm === leastWarmTokens && waitMs <= longestWaitMs) return true;
     best = held;
-    leastWarm = warm;
-    longestWait = waitMs;
+    leastWarmTokens = warm;
+    longestWaitMs = waitMs;
     return true;
   });
   return best;
@@ -87,7 +89,10 @@
 export interface TakerSettings {
   /** Minimum time between two takes, milliseconds. */
   readonly takeIntervalMs: number;
-  /** Maximum interval after takes that brought no request, milliseconds. */
+  /**
+   * Limit of the interval, which doubles after each take that brought no request;
+   * milliseconds.
+   */
   readonly maxTakeIntervalMs: number;
   /** How long capacity is reserved for a request in transit, milliseconds. */
   readonly reservationMs: number;
@@ -170,7 +175,7 @@
     this.#byVictim.set(victim, {tokens, until});
   }
 
-  /** @param victim backend server that handed nothing over */
+  /** @param victim the server whose reservation is released */
   remove(victim: string): void {
     this.#byVictim.delete(victim);
   }
@@ -188,7 +193,12 @@
     return tokens;
   }
 
-  /** @param offer an arriving request; a taken one releases its reservation */
+  /**
+   * Releases one reservation when a request arrives that was taken. Any of them
+   * serves, as the request does not name its victim.
+   *
+   * @param offer an arriving request
+   */
   use(offer: Offer): void {
     if (offer.handOvers === 0) return;
     const [victim] = this.#byVictim.keys();
--- a/packages/lovagepond-sidecar/src/sidecar_types.ts
+++ b/packages/lovagepond-sidecar/src/sidecar_types.ts
@@ -30,12 +30,12 @@
   readonly firstChoice: string;
   /**
    * Servers that may hold the chat's context. The router names them when the
-   * first choice joined after the chat may have begun. A cold first choice
-   * redirects the request to them; a named server where the chat is cold
-   * redirects it back.
+   * chat may be older than its first choice. A cold first choice redirects the
+   * request to the first of them; a cold candidate redirects it to the first
+   * choice.
    */
   readonly warmCandidates?: readonly string[];
-  /** How many times a take has handed this request over. */
+  /** How often work stealing ("take") has moved this request to another server. */
   readonly handOvers: number;
   /** The router's estimate of the pool's mean load, tokens; 0 without one. */
   readonly poolMeanTokens: number;
@@ -74,7 +74,7 @@
   readonly pointer: string;
 }
 
-/** A duplicate of a known attempt arrived; only the first may have run. */
+/** A duplicate of a known attempt arrived. The original may have run. */
 export interface RejectDuplicateAction {
   readonly kind: 'rejectDuplicate';
   readonly attemptId: string;
@@ -144,11 +144,11 @@
   readonly actions: readonly GateAction[];
 }
 
-/** Result of one request to hand over work. */
+/** Result of a Take call at the sidecar that is asked to hand over work. */
 export interface HandOver {
-  /** At most one attempt. */
+  /** The attempt handed over; empty for none, never more than one. */
   readonly attemptIds: readonly string[];
-  /** Tokens of that attempt. */
+  /** Tokens of that attempt; 0 without one. */
   readonly tokens: number;
   readonly actions: readonly GateAction[];
 }
@@ -165,16 +165,17 @@
   readonly weight: number;
   /** 0 to 9; 5 is neutral. */
   readonly priority: number;
-  /** Limit of its outstanding tokens here; 0 means none. */
+  /** Limit of its queued and running tokens at this sidecar; 0 for no limit. */
   readonly maxQueuedTokens: number;
 }
 
 /** Settings of the gate that come from the operators' configuration. */
 export interface GatePolicy {
-  /** Multiple of the pool's mean load that may run here. */
+  /** Running tokens allowed here, as a multiple of the pool's mean load. */
   readonly loadBound: number;
   /** 0 considers only load skew, 1 only cache reuse; 0.5 when unset. */
   readonly reuseWeight?: number;
+  /** Limit of a request's time in the queue, milliseconds. */
   readonly maxHoldMs: number;
   /** Prompt tokens per second at which the server rebuilds a cold context. */
   readonly prefillTokensPerSecond: number;
@@ -189,7 +190,7 @@
   readonly incarnation: string;
   /** Tokens that may always run here, however low the pool's mean is. */
   readonly floorTokens: number;
-  /** Tokens that the backend server can hold on its own. */
+  /** Upper limit of running tokens; the engine may report a lower capacity. */
   readonly capacityTokens: number;
   /** Pool means up to this age count in full, milliseconds. */
   readonly meanFreshMs: number;
