--- a/packages/lovagepond-operator/src/__tests__/unit/operator_server.test.ts
+++ b/packages/lovagepond-operator/src/__tests__/unit/operator_server.test.ts
@@ -53,8 +53,8 @@
     return {'operation-id': id, 'if-match': `"${base}"`};
   }
 
-  // A member that lost its disk has an empty configuration. A read from this
-  // member would show every object as deleted.
+  // A control member that lost its disk has an empty configuration. A read from
+  // it would show every object as deleted.
   it('refuses reads that no majority confirms', async () => {
     administration.isNewest = false;
     for (const path of ['/v1/configuration', '/v1/configuration/pools/chat']) {
@@ -70,9 +70,9 @@
     expect(body['revision']).toBe(0);
   });
 
-  // The connection breaks after a change was accepted and before its answer
-  // arrives. A retry with the same operation id must return the first answer
-  // without a second revision.
+  // The connection breaks after a change was accepted and before the response
+  // arrives. A retry with the same operation id must get the first response and
+  // must not create a second revision.
   it('answers a retried change with the first answer', async () => {
     const content = {pools: [{name: 'chat', kind: 'engine'}]};
     const send = (): Promise<Answer> =>
@@ -85,28 +85,29 @@
 
   // Two operators change different pools, both based on revision 0. One change
   // is accepted. The other is refused with a conflict that shows the accepted
-  // change, and no part of the refused one may be in force.
+  // change. No part of the refused change may be applied.
   it('accepts one of two concurrent changes and reports a conflict', async () => {
     const put = (name: string): Promise<Answer> => {
       const path = `/v1/configuration/pools/${name}`;
       return call('PUT', path, {kind: 'engine'}, change(name, 0));
     };
     const answers = await Promise.all([put('left'), put('right')]);
-    const won = answers.filter(({status}) => status === 200);
-    const lost = answers.filter(({status}) => status === 409);
-    expect([won.length, lost.length]).toEqual([1, 1]);
-    const winner = administration.revisions.at(-1)!.content.pools[0]!.name;
-    expect(lost[0]!.body.error).toMatchObject({
+    const accepted = answers.filter(({status}) => status === 200);
+    const refused = answers.filter(({status}) => status === 409);
+    expect([accepted.length, refused.length]).toEqual([1, 1]);
+    const acceptedPool =
+      administration.revisions.at(-1)!.content.pools[0]!.name;
+    expect(refused[0]!.body.error).toMatchObject({
       kind: 'conflict',
       disposition: 'notRun',
       currentRevision: 1,
-      differences: [{place: `pools/${winner}`}],
+      differences: [{place: `pools/${acceptedPool}`}],
     });
     expect(administration.revisions.at(-1)!.content.pools).toHaveLength(1);
   });
 
-  // A configuration has three faults in three places. The answer must report
-  // all three, and none of the valid parts may be in force.
+  // A configuration has three faults in three places. The response must report
+  // all three, and none of the valid parts may be applied.
   it('refuses an invalid configuration and reports every fault', async () => {
     const content = {
       pools: [
@@ -133,8 +134,8 @@
     expect(administration.revisions).toHaveLength(1);
   });
 
-  // Every kind of change, sent without the operators' token or with a wrong
-  // one, must be refused as unauthorized. Reads over loopback need no token.
+  // A change of any kind must be refused as unauthorized when it is sent without
+  // the operators' token or with a wrong one. Reads over loopback need no token.
   it('refuses changes without the token', async () => {
     const attempts = [
       call('PUT', '/v1/configuration', {}, {authorization: 'Bearer wrong'}),
--- a/packages/lovagepond-operator/src/ctl_change_utils.ts
+++ b/packages/lovagepond-operator/src/ctl_change_utils.ts
@@ -17,16 +17,18 @@
   ['--operation-id <id>', 'retry an earlier call whose answer was lost'],
 ] as const;
 
-/** Options of every command that makes another change. */
+/**
+ * Options of commands that change wanted states, orders or quarantine. These
+ * have no base revision and no dry run.
+ */
 export const OPERATION_OPTIONS = [
   ['--operation-id <id>', 'retry an earlier call whose answer was lost'],
 ] as const;
 
 /**
  * Reads the configuration that a change is based on: the revision of `--base`,
- * or the one in force. A retry must send the identical change, so it needs the
- * base revision of the first try: control refuses a different change with the
- * same operation id.
+ * or the current one. Control refuses a different change with the same operation
+ * id, so a retry must name the base revision of the first attempt.
  *
  * @param call the run of the command
  * @returns the configuration of the base revision
@@ -44,7 +46,7 @@
  * Sends a change of the configuration.
  *
  * @param call the run of the command
- * @param change method, path and body
+ * @param change method, path and body of the HTTP request
  * @param baseRevision the revision that the change is based on
  * @returns the output of the command
  */
--- a/packages/lovagepond-operator/src/ctl_io.ts
+++ b/packages/lovagepond-operator/src/ctl_io.ts
@@ -1,5 +1,6 @@
 /**
- * Input, output and time of the process for `ctl`.
+ * Connects the `ctl` commands to the standard streams, files and clock of this
+ * process.
  */
 import {randomUUID} from 'node:crypto';
 import {readFile} from 'node:fs/promises';
@@ -9,7 +10,7 @@
 
 const STANDARD_INPUT = '-';
 
-/** @returns input, output and time of this process for the `ctl` commands */
+/** @returns an implementation that uses the streams, files and clock */
 export function createCtlIo(): CtlIo {
   return {
     now: () => performance.now(),
