--- a/packages/lovagepond-process/src/__tests__/unit/settings_file.test.ts
+++ b/packages/lovagepond-process/src/__tests__/unit/settings_file.test.ts
@@ -90,7 +90,7 @@
     ]);
     const one = checkSettings(parseSettings('a.ini', GOOD), SCHEMA);
     const other = checkSettings(parseSettings('b.ini', GOOD), SCHEMA);
-    if (!one.ok || !other.ok) throw new Error('both files are right');
+    if (!one.ok || !other.ok) throw new Error('both files must be valid');
     const faults = findOverlaps([...one.listens, ...other.listens]);
     expect(faults.map(({file, key}) => `${file} ${key}`)).toEqual([
       'b.ini listen',
@@ -102,7 +102,7 @@
     const text = GOOD.replace('250ms', '1s').replace('muc-riem', 'muc-ost');
     const before = checkSettings(parseSettings('r.ini', GOOD), SCHEMA);
     const after = checkSettings(parseSettings('r.ini', text), SCHEMA);
-    if (!before.ok || !after.ok) throw new Error('both files are right');
+    if (!before.ok || !after.ok) throw new Error('both files must be valid');
     expect(compareSettings(SCHEMA, before.values, after.values)).toEqual([
       {section: 'process', key: 'zone', reloadable: false},
       {section: 'net', key: 'limit', reloadable: true},
--- a/packages/lovagepond-process/src/exit_codes_constants.ts
+++ b/packages/lovagepond-process/src/exit_codes_constants.ts
@@ -21,7 +21,10 @@
   UNREACHABLE: 7,
   /** `ctl`: control rejected the request. */
   REFUSED: 8,
-  /** `ctl convergence --wait`: not applied everywhere within the limit. */
+  /**
+   * `ctl convergence --wait`: some routers or sidecars had not applied the
+   * revision within the limit.
+   */
   NOT_CONVERGED: 9,
   /** `explain`: no log line mentions the request. */
   NOT_FOUND: 10,
--- a/packages/lovagepond-process/src/process_lifecycle.ts
+++ b/packages/lovagepond-process/src/process_lifecycle.ts
@@ -19,7 +19,7 @@
 export type LifecycleEvent =
   (typeof LIFECYCLE_EVENT)[keyof typeof LIFECYCLE_EVENT];
 
-/** An action that the process must perform. */
+/** An action for the process runner to perform. */
 export type LifecycleAction =
   | {readonly kind: 'withdrawReadiness'; readonly delayMs: number}
   | {readonly kind: 'drain'; readonly limitMs: number}
@@ -35,6 +35,7 @@
   readonly drainLimitMs: number;
 }
 
+/** `announcing`: readiness is withdrawn, and draining starts after the delay. */
 type Phase = 'running' | 'announcing' | 'draining' | 'ended';
 type Handler = (now: number) => LifecycleAction[];
 
@@ -92,8 +93,9 @@
   #onDrained(now: number): LifecycleAction[] {
     if (this.#phase !== 'draining') return [];
     const took = now - this.#drainStartedAt;
-    const late = took >= this.#settings.drainLimitMs;
-    return this.#end(late ? EXIT_CODE.DRAIN_LIMIT : EXIT_CODE.OK);
+    // A drain that takes the whole limit counts as ended by it.
+    const limitExpired = took >= this.#settings.drainLimitMs;
+    return this.#end(limitExpired ? EXIT_CODE.DRAIN_LIMIT : EXIT_CODE.OK);
   }
 
   #end(exitCode: ExitCode): LifecycleAction[] {
