--- a/packages/lovagepond-protocol/src/protocol_membership.ts
+++ b/packages/lovagepond-protocol/src/protocol_membership.ts
@@ -27,7 +27,7 @@
 
 const STATES: ReadonlySet<string> = new Set(Object.values(SERVER_STATE));
 
-/** Unsupported states map to `joining`, in which a server gets no requests. */
+/** Unknown states map to `joining`, in which a server gets no requests. */
 function readState(text: string | null | undefined): ServerState {
   const known = STATES.has(text ?? '');
   return known ? (text as ServerState) : SERVER_STATE.JOINING;
@@ -54,7 +54,7 @@
 
 /**
  * @param member a decoded member
- * @returns the backend server
+ * @returns the backend server; `directSlots` and `place` only without a sidecar
  */
 export function readMember(member: WireMember): BackendServer {
   const directSlots = member.directSlots ?? 0;
--- a/packages/lovagepond-protocol/src/protocol_services.ts
+++ b/packages/lovagepond-protocol/src/protocol_services.ts
@@ -1,5 +1,5 @@
 /**
- * The gRPC services between lovagepond's own processes.
+ * The gRPC services that lovagepond's own processes offer each other.
  *
  * Each method has a path and the generated codecs of its request and response.
  * The paths are part of the protocol, and their meaning never changes.
@@ -13,7 +13,7 @@
 /** The generated message classes. */
 export {lovagepond} from './generated/lovagepond.js';
 
-/** A generated message class. */
+/** The codec of a message: its generated class. */
 interface Codec<Message> {
   encode(message: Message): {finish(): Uint8Array};
   decode(bytes: Uint8Array): Message;
