--- a/packages/lovagepond-backend/src/__tests__/unit/backend_http_service.test.ts
+++ b/packages/lovagepond-backend/src/__tests__/unit/backend_http_service.test.ts
@@ -12,8 +12,8 @@
 
 afterEach(cleanUp);
 
-/** Kind and disposition of a failed call. */
-function verdictOf(outcome: ServiceOutcome): string {
+/** Kind and disposition of a failed call, or status of an answered one. */
+function describeOutcome(outcome: ServiceOutcome): string {
   if (outcome.kind === 'answered') return `answered ${outcome.status}`;
   const {kind} = outcome.failure;
   return `${kind} ${answerFor(kind).disposition}`;
@@ -24,7 +24,7 @@
   const service = connectService(server.address);
   const call = serviceCall('r1', {idempotencyKey: 'k1'});
   const outcome = await service.call(call, clock.now());
-  if (outcome.kind !== 'answered') throw new Error(verdictOf(outcome));
+  if (outcome.kind !== 'answered') throw new Error(describeOutcome(outcome));
   expect(JSON.parse(Buffer.from(outcome.body).toString())).toEqual({
     requestId: 'r1',
     path: '/services/redeem',
@@ -46,26 +46,26 @@
     truncate: ['backendFailed mayHaveRun', 1],
     cross: ['backendFailed mayHaveRun', 1],
   } as const;
-  for (const [mode, [verdict, runs]] of Object.entries(modes)) {
+  for (const [mode, [expected, runs]] of Object.entries(modes)) {
     server.setFaults({mode: mode as keyof typeof modes});
     for (const nonRepeatable of [true, false]) {
       const id = `${mode}-${nonRepeatable}`;
       const call = serviceCall(id, {nonRepeatable});
       const outcome = await service.call(call, clock.now());
-      expect([id, verdictOf(outcome)]).toEqual([id, verdict]);
+      expect([id, describeOutcome(outcome)]).toEqual([id, expected]);
       expect([id, server.runs.get(id) ?? 0]).toEqual([id, runs]);
     }
   }
   await server.stop();
   const gone = await service.call(serviceCall('gone'), clock.now());
-  expect(verdictOf(gone)).toBe('unreachable notRun');
+  expect(describeOutcome(gone)).toBe('unreachable notRun');
   expect(await service.probe()).toBe(false);
 });
 
 test('a call aborted before its first byte is never sent', async () => {
-  // The attempt is revoked while its connection is being established. It is
-  // reported as not run at once, so it must not be sent when the connection is
-  // open a moment later.
+  // The attempt is revoked while its connection is being established, and is
+  // immediately reported as not run. It must not be sent once the connection is
+  // open.
   const server = await startService();
   const service = connectService(server.address);
   const controller = new AbortController();
@@ -75,7 +75,7 @@
     controller.signal,
   );
   controller.abort();
-  expect(verdictOf(await pending)).toBe('revoked notRun');
+  expect(describeOutcome(await pending)).toBe('revoked notRun');
   await service.call(serviceCall('r2'), clock.now());
   await service.call(serviceCall('r3'), clock.now());
   expect([...server.runs.keys()]).toEqual(['r2', 'r3']);
@@ -87,22 +87,23 @@
   const service = connectService(server.address, {silenceMs: 10_000});
   const soon = serviceCall('r1', {deadline: clock.now() + 50});
   const late = await service.call(soon, clock.now());
-  expect(verdictOf(late)).toBe('deadlineExceeded mayHaveRun');
+  expect(describeOutcome(late)).toBe('deadlineExceeded mayHaveRun');
   const past = serviceCall('r2', {deadline: clock.now() - 1});
   const refused = await service.call(past, clock.now());
-  expect(verdictOf(refused)).toBe('deadlineUnreachable notRun');
+  expect(describeOutcome(refused)).toBe('deadlineUnreachable notRun');
 });
 
 test('a non-repeatable call is not sent on a silent pooled connection', async () => {
-  // The pooled connection has become silent forever. A non-repeatable call sent
-  // on it could neither be answered nor retried; it uses a new connection.
+  // The server no longer responds on its pooled connection. A non-repeatable
+  // call sent there could neither be answered nor retried, so it must use a new
+  // connection.
   const server = await startService();
   const service = connectService(server.address, {maxConnections: 1});
   const first = serviceCall('r1', {nonRepeatable: false});
   await service.call(first, clock.now());
   server.silence();
   const outcome = await service.call(serviceCall('r2'), clock.now());
-  expect(verdictOf(outcome)).toBe('answered 200');
+  expect(describeOutcome(outcome)).toBe('answered 200');
 });
 
 test('an answer without a length is not accepted as complete', async () => {
@@ -111,7 +112,7 @@
   const address = await startRawServer('HTTP/1.1 200 OK\r\n\r\n{"half":');
   const service = connectService(address);
   const outcome = await service.call(serviceCall('r1'), clock.now());
-  expect(verdictOf(outcome)).toBe('answerTruncated mayHaveRun');
+  expect(describeOutcome(outcome)).toBe('answerTruncated mayHaveRun');
 });
 
 test('an answer is aborted at the size limit', async () => {
--- a/packages/lovagepond-backend/src/backend_cache_subscription.ts
+++ b/packages/lovagepond-backend/src/backend_cache_subscription.ts
@@ -12,7 +12,7 @@
 
 const MAX_EVENT_BYTES = 16 * 1024;
 const FIRST_RETRY_MS = 250;
-const LAST_RETRY_MS = 4_000;
+const MAX_RETRY_MS = 4_000;
 const HTTP_OK = 200;
 
 export class CacheSubscription {
@@ -20,6 +20,7 @@
   readonly #random: Random;
   readonly #listener: (event: CacheEvent) => void;
   readonly #sequence = new CacheSequence();
+  /** Mean delay before the next reconnect. */
   #retryMs = FIRST_RETRY_MS;
   #timer: NodeJS.Timeout | undefined;
   #exchange: HttpExchange | undefined;
@@ -50,7 +51,7 @@
     };
   }
 
-  /** @param incarnation the engine's incarnation, from another response */
+  /** @param incarnation the engine's incarnation, as any response states it */
   updateIncarnation(incarnation: string): void {
     this.#notify(this.#sequence.updateIncarnation(incarnation));
   }
@@ -81,6 +82,7 @@
       if (event.kind !== 'chunk' || !accepted || this.#ended) continue;
       this.#retryMs = FIRST_RETRY_MS;
       const events = parser.push(event.bytes);
+      // The event exceeds the limit: leaving the loop aborts the exchange.
       if (!events) return;
       for (const item of events) this.#handleEvent(item);
     }
@@ -100,7 +102,7 @@
   #scheduleReconnect(): void {
     if (this.#ended) return;
     const delay = this.#retryMs * (0.5 + this.#random.next());
-    this.#retryMs = Math.min(LAST_RETRY_MS, 2 * this.#retryMs);
+    this.#retryMs = Math.min(MAX_RETRY_MS, 2 * this.#retryMs);
     this.#timer = setTimeout(() => void this.#connect(), delay);
   }
 }
--- a/packages/lovagepond-backend/src/backend_http_exchange.ts
+++ b/packages/lovagepond-backend/src/backend_http_exchange.ts
@@ -60,6 +60,7 @@
   readonly #events: ExchangeEvent[] = [];
   #controller: Dispatcher.DispatchController | undefined;
   #notifyReader: (() => void) | undefined;
+  /** Response bytes that no reader has taken, also those dropped on detach. */
   #keptBytes = 0;
   #dispatched = false;
   #ended = false;
@@ -90,7 +91,7 @@
     return this.#dispatched;
   }
 
-  /** Aborts the exchange; if not yet dispatched, it is never sent. */
+  /** Aborts the exchange. A request not yet dispatched is never sent. */
   abort(): void {
     if (this.#ended) return;
     this.#aborted = true;
@@ -107,7 +108,10 @@
     this.#controller?.resume();
   }
 
-  /** @returns the events; ending the iteration early aborts the exchange */
+  /**
+   * @returns the events; ending the iteration early aborts the exchange, unless
+   *     it is detached
+   */
   async *events(): AsyncGenerator<ExchangeEvent, void> {
     try {
       for (;;) {
