--- a/packages/lovagepond-explain/src/explain_histogram.ts
+++ b/packages/lovagepond-explain/src/explain_histogram.ts
@@ -2,7 +2,10 @@
  * Histogram of request durations with bounded memory.
  */
 
-/** Ratio of neighbouring bucket bounds: quantiles are exact to 10%. */
+/**
+ * Ratio of neighbouring bucket bounds. Quantiles above 1 ms are at most 10% too
+ * high, before rounding.
+ */
 const BUCKET_RATIO = 1.1;
 
 /** Counts durations in exponentially growing buckets. */
@@ -19,8 +22,10 @@
   }
 
   /**
-   * @param fraction share of the durations that are shorter, 0 to 1
-   * @returns the duration, milliseconds; 0 when there are no durations
+   * @param fraction share of the durations that are at or below the quantile, 0
+   *     to 1
+   * @returns upper bound of the quantile's bucket, rounded to whole
+   *     milliseconds; 0 when there are no durations
    */
   quantile(fraction: number): number {
     const buckets = [...this.#buckets].sort(([a], [b]) => a - b);
--- a/packages/lovagepond-explain/src/explain_line.ts
+++ b/packages/lovagepond-explain/src/explain_line.ts
@@ -6,7 +6,7 @@
 export interface LogLine {
   /** Wall clock of the process that wrote the line, milliseconds. */
   readonly timeMs: number;
-  /** `name/role`: several processes of a host may share the name. */
+  /** `name/role`, as processes with different roles may share a name. */
   readonly process: string;
   readonly message: string;
   readonly fields: Readonly<Record<string, unknown>>;
--- a/packages/lovagepond-explain/src/explain_process_state.ts
+++ b/packages/lovagepond-explain/src/explain_process_state.ts
@@ -5,24 +5,29 @@
 
 /**
  * State of one process, as its log shows it. Each `...At` and `...Since` field
- * is the time of the log line.
+ * is the time of the log line that set this part of the state, in milliseconds.
  */
 export interface ProcessState {
   readonly process: string;
   readonly startedAt?: number;
+  /** Revision of the installed configuration. */
   readonly revision?: string;
-  /** Version number that the operators gave the configuration. */
+  /** Version number that the operators gave this configuration. */
   readonly documentVersion?: string;
   readonly revisionAt?: number;
+  /** Number of backend servers. */
   readonly servers?: string;
   readonly serversAt?: number;
-  /** Consensus term in which the process leads control. */
+  /**
+   * Consensus term in which the process last became leader of the control
+   * group. Stays set when it loses the leadership.
+   */
   readonly term?: string;
   readonly leadsSince?: number;
-  /** State of the control subscription: the member, or why it was lost. */
+  /** Address of the subscribed control member, or why it was lost. */
   readonly control?: string;
   readonly controlAt?: number;
-  /** Control members only: consensus state, members and log indexes. */
+  /** Consensus state, members and log indexes; set for control members only. */
   readonly group?: string;
   readonly groupAt?: number;
   readonly drainingSince?: number;
