--- a/packages/lovagepond-measure/src/gateway_simulation.ts
+++ b/packages/lovagepond-measure/src/gateway_simulation.ts
@@ -1,6 +1,6 @@
 /**
- * Discrete-event simulation of a fleet of gateways: the workload, reports
- * between gateways, changes of membership, and disturbances.
+ * Discrete-event simulation of a fleet of gateways: the workload, the reports
+ * that control relays between gateways, membership changes, and disturbances.
  */
 import {
   type BackendServer,
@@ -37,19 +37,19 @@
 const ENGINES = 'engines';
 const SERVICES = 'services';
 
-/** Delay of a list change on its way to the gateways, milliseconds. */
-const LIST_LAG_MS = 50;
-/** Delay between sending a report and its relay by control, milliseconds. */
-const REPORT_LAG_MS = 25;
+/** Delay until gateways receive a membership change, milliseconds. */
+const MEMBERSHIP_DELAY_MS = 50;
+/** Delay until control relays a report that a gateway sent, milliseconds. */
+const REPORT_DELAY_MS = 25;
 const REPORT_INTERVAL_MS = 20;
 
 /** Interval at which control publishes changed totals, milliseconds. */
 const TOTALS_INTERVAL_MS = 20;
 const TICK_MS = 100;
 
-/** Time between a server's leave and its stop, milliseconds. */
+/** Time from when a server is marked as leaving until it stops, ms. */
 const DRAIN_MS = 3_000;
-/** Time between a replacement's start and the old server's leave, ms. */
+/** Time from a replacement's start until the old server is leaving, ms. */
 const OVERLAP_MS = 500;
 /** Time for which a crashed server stays listed, milliseconds. */
 const LEASE_MS = 6_000;
@@ -84,7 +84,7 @@
 
   /**
    * @param settings the load, the variant, the disturbances and the seed
-   * @param hasher hashes prompts to their home servers
+   * @param hasher hash function that assigns prompts to places
    */
   constructor(settings: GatewaySimulationSettings, hasher: KeyHasher) {
     this.#settings = settings;
@@ -131,7 +131,7 @@
     for (const disturbance of disturbances) this.#schedule(disturbance);
     for (const kind of load.kinds) this.#scheduleArrival(kind);
     const longest = Math.max(...load.kinds.map(kind => kind.deadlineMs));
-    this.#time.runUntil(LIST_LAG_MS + endMs + longest);
+    this.#time.runUntil(MEMBERSHIP_DELAY_MS + endMs + longest);
     return this.#statistics.result();
   }
 
@@ -204,7 +204,7 @@
     });
   }
 
-  /** @returns random engines that are up and not leaving */
+  /** @returns names of random engines that are up and not leaving */
   #drawEngines(share: number): readonly string[] {
     const staying = this.#table
       .list()
@@ -291,7 +291,7 @@
         return [server.name, listed] as const;
       }),
     );
-    this.#time.after(LIST_LAG_MS, () => {
+    this.#time.after(MEMBERSHIP_DELAY_MS, () => {
       for (const {fleet} of this.#gateways) {
         fleet.useMembership({version, servers});
       }
@@ -318,13 +318,13 @@
         ...(variant.noReadingReports && {readings: []}),
         ...(variant.noRunningReports && {running: []}),
       });
-      this.#time.after(REPORT_LAG_MS, () => {
+      this.#time.after(REPORT_DELAY_MS, () => {
         this.#relayReport(sentReport);
       });
     }
   }
 
-  /** Relays a report as a member of control does. */
+  /** Adds a report to the totals and relays it, as a control member does. */
   #relayReport(sentReport: ReadingReport): void {
     const {now} = this.#time;
     const {variant} = this.#settings;
@@ -376,12 +376,12 @@
     {shared, own}: NonNullable<SimulatedRequestKind['prompt']>,
   ): readonly PromptPart[] {
     const isHot = this.#random.next() < this.#hotShare;
-    // A part follows the same parts in all prompts, as gateways identify it by
-    // its id and engines cache it by its prefix.
-    const last = isHot ? 0 : this.#random.below(shared.at(-1)?.count ?? 1);
+    // Each part is preceded by the same parts in all prompts: gateways identify
+    // a part by its id alone, whereas engines cache it with the parts before it.
+    const leafIndex = isHot ? 0 : this.#random.below(shared.at(-1)?.count ?? 1);
     const parts = shared.map(({tokens, count}, level) => {
-      const number = last % count;
-      const id = `${name}.${level}.${number}`;
+      const index = leafIndex % count;
+      const id = `${name}.${level}.${index}`;
       const length = this.#partLengths.get(id) ?? this.#drawLength(tokens);
       this.#partLengths.set(id, length);
       return {id, tokens: length};
--- a/packages/lovagepond-measure/src/placement_simulation_types.ts
+++ b/packages/lovagepond-measure/src/placement_simulation_types.ts
@@ -14,13 +14,13 @@
   readonly policy: string;
   /** Sidecars enforce the load bound and queue excess requests. */
   readonly gated: boolean;
-  /** A chat served elsewhere leaves a pointer at its first choice. */
+  /** The first choice of a chat keeps a pointer to the server that served it. */
   readonly pointers: boolean;
   /** Sidecars with free capacity take queued requests from others. */
   readonly take: boolean;
   /** A draining server's most recent KV caches are moved. */
   readonly moveCache: boolean;
-  /** Lists, loads and caches are known exactly and without delay. */
+  /** Membership, loads and caches are known exactly and without delay. */
   readonly exact: boolean;
 }
 
@@ -33,14 +33,14 @@
   readonly servers: number;
   readonly routers: number;
   readonly engine: SimulatedEngineSettings;
-  /** Load of an engine below which skew doesn't matter, tokens. */
+  /** Tokens that an engine may always run, however low the mean load is. */
   readonly floorTokens: number;
   readonly pool: PlacementSettings;
   /** Time between two replacements of a server; 0 means none. */
   readonly replaceEveryMs: number;
   /** Time between two temporary delistings of a server; 0 means none. */
   readonly flapEveryMs: number;
-  /** Longest delay of a list change on its way to a router. */
+  /** Maximum delay until a router receives a membership change. */
   readonly maxListLagMs: number;
 }
 
@@ -63,13 +63,13 @@
   done(attempt: Attempt): void;
   /** The server crashed during the attempt. */
   lost(attempt: Attempt): void;
-  /** A frame stated the server's load. */
+  /** A frame from the server reported its load. */
   observed(backendServer: string, tokens: number): void;
 }
 
 /**
  * @param arrival a request
- * @returns prompt and answer tokens, the unit of load
+ * @returns its load: the sum of its prompt and answer tokens
  */
 export function workOfArrival(arrival: Arrival): number {
   return arrival.promptTokens + arrival.answerTokens;
--- a/packages/lovagepond-measure/src/sidecar_control_measure.ts
+++ b/packages/lovagepond-measure/src/sidecar_control_measure.ts
@@ -1,5 +1,5 @@
 /**
- * Control traffic of a sidecar, by the size of its pool.
+ * Control traffic of one sidecar in bytes per second, by the size of its pool.
  */
 import {lovagepond} from '@lovagepond/protocol';
 import {roundTo} from './measure_statistics.js';
@@ -12,11 +12,12 @@
 const GRPC_PREFIX_BYTES = 5;
 /** Servers of a pool that are replaced or restarted in a day. */
 const REPLACED_A_DAY = 130;
+/** Configuration changes in a day. */
 const CHANGES_A_DAY = 1_300;
 const CONFIGURATION_BYTES = 64 * 1_024;
 const SECONDS_A_DAY = 86_400;
 
-/** Fields that an announcement and a member of the list share. */
+/** Fields that an announcement and an entry of the membership list share. */
 const SERVER = {
   backendServer: 'engine-muc-freimann-12',
   incarnation: 'lq2x1ab4-1x9k2f3',
@@ -38,7 +39,7 @@
   return codec.encode(message).finish().length + GRPC_PREFIX_BYTES;
 }
 
-function announceBytes(): number {
+function announcementBytes(): number {
   const request = sizeOf(
     v1.AnnounceRequest,
     new v1.AnnounceRequest({
@@ -50,7 +51,7 @@
       fencingFloor: 2 ** 30,
     }),
   );
-  const answer = sizeOf(
+  const response = sizeOf(
     v1.AnnounceResponse,
     new v1.AnnounceResponse({
       accepted: true,
@@ -65,7 +66,7 @@
       fencingFloorKnown: true,
     }),
   );
-  return request + answer;
+  return request + response;
 }
 
 function memberBytes(): number {
@@ -86,10 +87,11 @@
       load: new v1.LoadDigest({membershipVersion: 1_000, loads, ageMs: 500}),
     }),
   );
-  // A replaced server is announced as joining, as ready and as gone.
+  // A replacement changes the list three times: a server joins, becomes ready,
+  // and the former one is removed.
   const churnADay = Math.min(REPLACED_A_DAY, size) * 3 * memberBytes();
   const changesADay = CHANGES_A_DAY * CONFIGURATION_BYTES;
-  const announcement = announceBytes();
+  const announcement = announcementBytes();
   const churn = churnADay / SECONDS_A_DAY;
   const changes = changesADay / SECONDS_A_DAY;
   return [
@@ -102,7 +104,7 @@
   ];
 }
 
-/** @returns bytes a second between a sidecar and control */
+/** @returns a table of the bytes per second between a sidecar and control */
 export function measureSidecarControl(): MeasureSection {
   return {
     title: 'Sidecar: control traffic, bytes a second',
