--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_drain_admission.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_drain_admission.test.ts
@@ -98,7 +98,7 @@
         resolve(true);
       });
     });
-    // The listener's idle timeout is twice as long.
+    // Half the listener's idle timeout, which also closes connections.
     const kept = pause(8_000).then(() => false);
     end();
     expect((await answered).body).toContain('data: b');
@@ -123,9 +123,9 @@
     expect(harness.arrivals).toEqual([]);
   });
 
-  // Shortly before the process exits a stream arrives that takes longer. If it
-  // were admitted, it would be cut off. It is rejected as not run, while a
-  // short request is still served.
+  // A stream arrives that takes longer than the time until the process exits.
+  // If it were admitted, it would be cut off. It must be rejected as not run,
+  // while a short request is still served.
   it('rejects a request that would be cut off as not run', async () => {
     const good: Script = (req, res) => {
       answer(req, res, 200, 'yes');
--- a/packages/lovagepond-gateway/src/gateway_routes.ts
+++ b/packages/lovagepond-gateway/src/gateway_routes.ts
@@ -19,6 +19,7 @@
 export interface ForwardingRule {
   readonly name: string;
   readonly pathPrefix: string;
+  /** Requests need no API key. */
   readonly isPublic: boolean;
   /** A request of this kind must not run twice. */
   readonly nonRepeatable: boolean;
@@ -29,14 +30,13 @@
 /** The rules of one host, by path prefix. */
 interface HostRules {
   readonly byPrefix: Map<string, ForwardingRule>;
-  /** Length of the longest prefix, characters. */
-  longest: number;
+  longestPrefixLength: number;
 }
 
 /** The forwarding rules and API keys of one configuration. Immutable. */
 export class ForwardingRules {
   readonly #byHost = new Map<string, HostRules>();
-  readonly #byKey = new Map<string, Workspace>();
+  readonly #workspaceByApiKey = new Map<string, Workspace>();
   readonly pools: ReadonlyMap<string, Pool>;
   /** False when no workspace has an API key; requests then need none. */
   readonly needsKeys: boolean;
@@ -48,7 +48,7 @@
     const kinds = new Map(content.requestKinds.map(kind => [kind.name, kind]));
     for (const workspace of content.workspaces) {
       for (const key of workspace.apiKeys ?? []) {
-        this.#byKey.set(key, workspace);
+        this.#workspaceByApiKey.set(key, workspace);
       }
     }
     for (const selector of content.selectors) {
@@ -74,15 +74,15 @@
   find(host: string, path: string): ForwardingRule | undefined {
     const rules = this.#byHost.get(normalizeHost(host));
     if (!rules) return undefined;
-    const query = path.indexOf('?');
-    const plain = query < 0 ? path : path.slice(0, query);
-    // Prefixes end with a slash, so one lookup for each slash is enough. With
-    // 1,900 rules, a linear search of a sorted list for each request is slower.
-    let end = plain.lastIndexOf('/', rules.longest - 1);
+    const queryStart = path.indexOf('?');
+    const pathname = queryStart < 0 ? path : path.slice(0, queryStart);
+    // Prefixes end with a slash, so one lookup for each slash of the path is
+    // enough. With 1,900 rules, a linear search of a sorted list is slower.
+    let end = pathname.lastIndexOf('/', rules.longestPrefixLength - 1);
     while (end >= 0) {
-      const rule = rules.byPrefix.get(plain.slice(0, end + 1));
+      const rule = rules.byPrefix.get(pathname.slice(0, end + 1));
       if (rule) return rule;
-      end = end === 0 ? -1 : plain.lastIndexOf('/', end - 1);
+      end = end === 0 ? -1 : pathname.lastIndexOf('/', end - 1);
     }
     return undefined;
   }
@@ -92,14 +92,20 @@
    * @returns the workspace that it belongs to
    */
   workspaceOf(key: string): Workspace | undefined {
-    return this.#byKey.get(key);
+    return this.#workspaceByApiKey.get(key);
   }
 
   #add(host: string, rule: ForwardingRule): void {
     const name = normalizeHost(host);
-    const rules = this.#byHost.get(name) ?? {byPrefix: new Map(), longest: 0};
+    const rules = this.#byHost.get(name) ?? {
+      byPrefix: new Map(),
+      longestPrefixLength: 0,
+    };
     rules.byPrefix.set(rule.pathPrefix, rule);
-    rules.longest = Math.max(rules.longest, rule.pathPrefix.length);
+    rules.longestPrefixLength = Math.max(
+      rules.longestPrefixLength,
+      rule.pathPrefix.length,
+    );
     this.#byHost.set(name, rules);
   }
 
@@ -121,7 +127,7 @@
 
 /**
  * @param pools pools with their weights
- * @param random draws the pool
+ * @param random source of the random number
  * @returns a random pool, in proportion to the weights
  */
 export function drawPool(
--- a/packages/lovagepond-gateway/src/gateway_startup_queue.ts
+++ b/packages/lovagepond-gateway/src/gateway_startup_queue.ts
@@ -3,7 +3,8 @@
  *
  * After a restart both arrive within some hundred milliseconds, and the caller
  * of a rejected request would retry only later than that. A request therefore
- * waits for a small fraction of its time before it is rejected.
+ * waits for a small fraction of the time until its deadline before it is
+ * rejected.
  */
 
 /**
@@ -12,7 +13,7 @@
  */
 const MAX_WAIT_MS = 600;
 
-/** Fraction of a request's time that it may wait in the queue. */
+/** Longest wait as a fraction of the time until the request's deadline. */
 const MAX_WAIT_FRACTION = 0.2;
 
 /** Queue limit; further requests are rejected. */
@@ -24,13 +25,13 @@
   readonly refuse: () => void;
 }
 
-/** Holds requests until they can be decided on, or for a limited time. */
+/** Holds requests until they can be admitted, or for a limited time. */
 export class StartupQueue {
   readonly #queued = new Set<QueuedRequest>();
 
   /**
    * @param timeLeftMs time until the request's deadline, milliseconds
-   * @param retry decides on the request
+   * @param retry attempts the admission of the request
    * @param refuse rejects the request when its wait is over
    */
   add(timeLeftMs: number, retry: () => void, refuse: () => void): void {
@@ -47,7 +48,7 @@
     this.#queued.add(queued);
   }
 
-  /** Decides on all queued requests, in the order of their arrival. */
+  /** Attempts the admission of all queued requests, in order of arrival. */
   retryAll(): void {
     for (const {retry} of this.#takeAll()) retry();
   }
