--- a/packages/lovagepond-router/src/__tests__/unit/router_control_link.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_control_link.test.ts
@@ -44,13 +44,13 @@
   readonly goOn?: boolean;
 }
 
-/** Starts a member whose update lists the given members. */
+/** Starts a control member whose first update lists the given members. */
 async function startMember(
-  named: readonly string[] = [],
+  memberAddresses: readonly string[] = [],
   {endsStream = false, goOn = false}: MemberBehavior = {},
 ): Promise<string> {
   const server = new Server();
-  const addresses = [...named];
+  const addresses = [...memberAddresses];
   server.addService(CONTROL_SERVICE, {
     subscribe: (call: Stream) => {
       call.write(new v1.ControlUpdate({controlMembers: {addresses, goOn}}));
@@ -95,9 +95,9 @@
   });
 }
 
-// All hosts lost power and restart one by one. Nothing refuses a connection to
-// a host that is still down, and the system retries only after a second. The
-// router must switch to another member before that, although it waits much
+// All hosts lost power and restart one by one. A host that is still down does
+// not refuse connections, and the kernel repeats the SYN only after a second.
+// The router must switch to another member before that, although it waits much
 // longer for a connected but silent member.
 test('switches from a member that it cannot connect to', async () => {
   const addresses = [await startUnresponsiveServer(), await startMember()];
@@ -113,9 +113,9 @@
   await untilUpdateFrom([seed], successor);
 });
 
-// All addresses in the settings belong to hosts without a log, which know the
-// leader but can't serve subscriptions yet. They redirect the router, which
-// must not wait for them.
+// All addresses in the settings belong to control members that have no
+// consensus log yet. These know the leader but can't serve subscriptions, so
+// they redirect the router, which must not wait for them.
 test('switches when the member redirects it', async () => {
   const leader = await startMember();
   const seed = await startMember([leader], {goOn: true});
--- a/packages/lovagepond-router/src/__tests__/unit/router_request.test.ts
+++ b/packages/lovagepond-router/src/__tests__/unit/router_request.test.ts
@@ -6,15 +6,19 @@
 
 const SEED = 20261202;
 
-/** Checks that one correct answer is final; returns its failure or `whole`. */
+/**
+ * Checks that the request ended once and correctly.
+ *
+ * @returns the error kind, or `whole` after a complete answer
+ */
 function checkFinalAnswer(world: RequestWorld, nonRepeatable: boolean): string {
   expect(world.finals).toHaveLength(1);
   const final = world.finals[0]!;
   const texts = Array.from({length: world.dispatches}, (_, index) =>
     textOf(index + 1),
   );
-  const begun = texts.filter(text => text.startsWith(world.text));
-  if (world.text !== '') expect(begun).not.toHaveLength(0);
+  const matchingTexts = texts.filter(text => text.startsWith(world.text));
+  if (world.text !== '') expect(matchingTexts).not.toHaveLength(0);
   if (nonRepeatable) expect(world.dispatches).toBeLessThanOrEqual(1);
   if (final.kind !== 'fail') {
     expect(texts).toContain(world.text);
@@ -30,8 +34,8 @@
 // request while a sidecar still has it, a non-repeatable call is dispatched
 // twice, an answer is truncated, or an answer is joined from two. Connections
 // break or go silent at any time. Refusals, acceptances and revocations are
-// lost, cross or race with dispatches, and sidecars restart. At the end, all
-// messages in transit still arrive.
+// lost or cross with dispatches, and sidecars restart. At the end, all messages
+// in transit still arrive.
 test('an answer is final, complete and truthful despite any lost messages', () => {
   const step = fc.tuple(fc.nat(31), fc.nat(11));
   const steps = fc.array(step, {maxLength: 120, size: 'max'});
@@ -54,7 +58,7 @@
 });
 
 // Two attempts of one request generate different texts. If the second attempt
-// continued at the offset where the first one broke off, the caller would read
+// continued at the offset where the first one ended, the caller would read
 // a sentence that no engine generated.
 test('the bytes of two attempts are never joined', () => {
   const answer = new AnswerAssembler();
--- a/packages/lovagepond-router/src/router_frame_check.ts
+++ b/packages/lovagepond-router/src/router_frame_check.ts
@@ -13,7 +13,7 @@
 export type FrameVerdict =
   | {readonly kind: 'accept'}
   | {readonly kind: 'drop'; readonly reason: DropReason}
-  /** The sidecar refuses an attempt meant for its previous incarnation. */
+  /** The sidecar refuses an attempt sent to its previous incarnation. */
   | {readonly kind: 'restarted'};
 
 const ACCEPT: FrameVerdict = Object.freeze({kind: 'accept'});
@@ -23,10 +23,11 @@
 }
 
 /**
- * A refusal that crosses with the dispatch concerns only the queued request;
- * accepted, it would make the router or the caller repeat a running one. After
- * `Started` only `unreachable` is valid (the backend server never received the
- * request), and only until bytes of the answer have arrived.
+ * A refusal can cross with the dispatch and then concerns the queued request
+ * only. If it were accepted, the router or the caller would repeat a request
+ * that is running. After `Started` only the refusal `unreachable` is valid (the
+ * backend server never received the request), and only until bytes of the
+ * answer have arrived.
  */
 function contradictsStart(body: FrameBody, state: RequestState): boolean {
   if (body.kind !== 'refused') return false;
