--- a/packages/lovagepond-caller/src/caller_body.ts
+++ b/packages/lovagepond-caller/src/caller_body.ts
@@ -13,7 +13,7 @@
 export interface BodyLimits {
   readonly maxBytes: number;
   readonly timeoutMs: number;
-  /** Accounts for the bytes in the budget shared by all requests. */
+  /** Reserves the bytes in the budget shared by all requests. */
   readonly lease: BodyLease;
   /** @returns the failure to report when the shared budget is exhausted */
   readonly overload: () => Failure;
@@ -24,16 +24,16 @@
  * response must be sent with `connection: close`.
  *
  * @param req the request
- * @param limits limits of the body
+ * @param limits size limit, time limit and shared budget
  * @returns the body or the failure; never rejects
  */
 export function readBody(
   req: IncomingMessage,
   limits: BodyLimits,
 ): Promise<Result<Uint8Array>> {
-  const declared = Number(req.headers['content-length'] ?? 0);
+  const declaredLength = Number(req.headers['content-length'] ?? 0);
   // Rejecting an oversized body by its declared length costs no memory.
-  if (declared > limits.maxBytes) return Promise.resolve(TOO_LARGE);
+  if (declaredLength > limits.maxBytes) return Promise.resolve(TOO_LARGE);
   return new Promise(resolve => {
     const chunks: Buffer[] = [];
     let length = 0;
@@ -60,8 +60,8 @@
       finish({ok: false, failure: makeFailure('callerGone')});
     };
     // A sender that trickles its body would occupy the connection and memory
-    // indefinitely. One time limit covers the whole body, so that single bytes
-    // do not extend it.
+    // indefinitely. One time limit covers the whole body; a further chunk does
+    // not restart it.
     const timer = setTimeout(() => {
       finish({ok: false, failure: makeFailure('senderTooSlow')});
     }, limits.timeoutMs);
--- a/packages/lovagepond-caller/src/caller_exchange.ts
+++ b/packages/lovagepond-caller/src/caller_exchange.ts
@@ -35,12 +35,12 @@
   readonly keys: KeysInFlight;
   readonly bodies: BodyBudget;
   readonly refusals: CallerRefusals;
-  /** Draws the jitter of retry times. */
+  /** Source of the jitter of retry delays. */
   readonly random: Random;
   readonly nextRequestId: () => string;
 }
 
-const CALLER_ID = /^[\x21-\x7e]{1,128}$/;
+const CALLER_REQUEST_ID_PATTERN = /^[\x21-\x7e]{1,128}$/;
 const MAX_PATH_LENGTH = 2048;
 const OVERLOAD_RETRY_MS = 2_000;
 // Dot segments could escape the path prefix of a service.
@@ -51,16 +51,21 @@
   res: ServerResponse,
   requestId: string,
 ): void {
-  const named = req.headers[CALLER_HEADER.CALLER_REQUEST_ID];
-  const echo = typeof named === 'string' && CALLER_ID.test(named);
-  res.setHeader(CALLER_HEADER.CALLER_REQUEST_ID, echo ? named : requestId);
+  const callerRequestId = req.headers[CALLER_HEADER.CALLER_REQUEST_ID];
+  const isValid =
+    typeof callerRequestId === 'string' &&
+    CALLER_REQUEST_ID_PATTERN.test(callerRequestId);
+  res.setHeader(
+    CALLER_HEADER.CALLER_REQUEST_ID,
+    isValid ? callerRequestId : requestId,
+  );
   res.setHeader(CALLER_HEADER.REQUEST_ID, requestId);
 }
 
 function checkPath(path: string): Result<string> {
-  const end = path.indexOf('?');
-  const bare = end < 0 ? path : path.slice(0, end);
-  if (path.length <= MAX_PATH_LENGTH && !DOT_SEGMENT.test(bare)) {
+  const queryStart = path.indexOf('?');
+  const pathname = queryStart < 0 ? path : path.slice(0, queryStart);
+  if (path.length <= MAX_PATH_LENGTH && !DOT_SEGMENT.test(pathname)) {
     return {ok: true, value: path};
   }
   const message = 'The path is too long or has dot segments.';
@@ -84,7 +89,8 @@
   const {settings, clock} = context;
   const safePath = checkPath(path);
   if (!safePath.ok) return safePath;
-  // The deadline counts from the head's arrival, so a slow body uses it up.
+  // The deadline is relative to the arrival of the headers, so the time that a
+  // slow body takes is part of it.
   const head = readCallerHead(req.headers, endpoint, settings, clock.now());
   if (!head.ok) return head;
   const body = await readBody(req, {
