--- a/packages/lovagepond-gateway/src/__tests__/unit/gateway_drain_admission.test.ts
+++ b/packages/lovagepond-gateway/src/__tests__/unit/gateway_drain_admission.test.ts
@@ -98,7 +98,7 @@
         resolve(true);
       });
     });
-    // Shorter than the listener's idle timeout, which also closes connections.
+    // Half the listener's idle timeout, which also closes connections.
     const kept = pause(8_000).then(() => false);
     end();
     expect((await answered).body).toContain('data: b');
