--- a/packages/lovagepond-control/src/__tests__/unit/direct_server_table.test.ts
+++ b/packages/lovagepond-control/src/__tests__/unit/direct_server_table.test.ts
@@ -32,10 +32,10 @@
   return table;
 }
 
-// Guards against needless moves of prompts in a release, which starts a new
-// server before the old one leaves. The new server must take over exactly the
-// old one's prompts. If prompts were assigned by server name, a third of all
-// others would move to it as well and be processed again.
+// Guards against needless moves of prompts in a rolling update, which starts a
+// new server before the old one leaves. The new server must take over exactly the
+// old one's prompts. If prompts were assigned by server name, a third of the other
+// servers' prompts would move to it as well and be processed again.
 test('a new server takes the place of the server that leaves', () => {
   const table = makeSettledTable();
   table.join(server('c'), 60_000);
@@ -73,8 +73,8 @@
   expect(Object.keys(placesOf(table))).toEqual(['b', 'c']);
 });
 
-// Guards against a restart of all members after which a leaving server gets new
-// work, or an ended one joins again.
+// Guards against a restart of all members of the control group after which a
+// leaving server gets new work, or an ended one joins again.
 test('leaving and ended servers survive a snapshot', () => {
   const table = makeSettledTable();
   table.leave('a', 1_000);
@@ -133,8 +133,8 @@
     expect(namesOf(table)).toEqual(['a@2000']);
   });
 
-  // An announcement without a start can't come from this server, which always
-  // reports one.
+  // The server reports its start time in every announcement, so one without it
+  // can't come from the server.
   test('is not replaced by an announcement without a start', () => {
     const table = new DirectServerTable();
     table.join(instance(1_000), 0);
@@ -142,6 +142,8 @@
     expect(namesOf(table)).toEqual(['a@1000']);
   });
 
+  // The start of the latest instance is part of the snapshot. Otherwise a delayed
+  // announcement could restore a previous instance after control restarts.
   test('is not replaced by a previous instance after a restart', () => {
     const table = new DirectServerTable();
     table.join(instance(1_000), 0);
--- a/packages/lovagepond-control/src/ledger_incarnations.ts
+++ b/packages/lovagepond-control/src/ledger_incarnations.ts
@@ -8,9 +8,10 @@
 const MAX_FORMER_INCARNATIONS = 8;
 
 /**
- * A sidecar without a new registration for this long is removed with its
- * superseded incarnations, as the names of replaced hosts would otherwise
- * accumulate. One that still runs registers again with its next announcement.
+ * A sidecar whose current incarnation registered this long ago is removed with
+ * its superseded incarnations, as the names of replaced hosts would otherwise
+ * accumulate. A sidecar that still runs is registered again by its next
+ * announcement.
  */
 const REGISTRATION_RETENTION_MS = 7 * 24 * 3_600_000;
 
@@ -18,6 +19,7 @@
   readonly owner: ClaimOwner;
   /** Superseded incarnations, which can't register again. */
   readonly former: readonly string[];
+  /** Replicated time at which the current incarnation registered. */
   readonly sinceMs: number;
 }
 
@@ -37,14 +39,15 @@
   }
 
   /**
-   * Makes an incarnation the current one, unless it was superseded: its late
-   * announcement would make the open claims of the running one unknown, and the
-   * two would supersede each other forever.
+   * Makes an incarnation the current one, unless it was superseded before. If a
+   * late announcement of a superseded incarnation were accepted, the open claims
+   * of the running one would become unknown, and the two would supersede each
+   * other forever.
    *
    * @param server the sidecar's backend server
    * @param incarnation the incarnation
    * @param timeMs replicated time
-   * @returns false when the incarnation had been superseded
+   * @returns false when the incarnation was superseded before
    */
   register(server: string, incarnation: string, timeMs: number): boolean {
     const known = this.#registered.get(server);
--- a/packages/lovagepond-control/src/membership_registry.ts
+++ b/packages/lovagepond-control/src/membership_registry.ts
@@ -1,6 +1,6 @@
 /**
- * The registry of backend servers, built from their announcements. Soft state
- * of the control leader, which is never written to disk.
+ * The registry of backend servers, built from their announcements. It is soft
+ * state of the control leader and is never written to disk.
  */
 import {
   type BackendServer,
@@ -32,7 +32,9 @@
   readonly announcedState: ServerState;
   readonly runningTokens: number;
   readonly queuedTokens: number;
+  /** Last renewal of the lease, monotonic milliseconds. */
   readonly renewedAt: number;
+  /** True while flap damping holds the server in `joining`. */
   readonly held: boolean;
 }
 
@@ -54,23 +56,32 @@
   held: boolean;
   /** False until the server has announced itself to this leader. */
   hasAnnounced: boolean;
-  /** The server's share in its pool's mean; undefined unless it is ready. */
+  /** The server's contribution to its pool's mean; undefined unless ready. */
   share: PoolShare | undefined;
 }
 
-/** Versions of one term; a safe integer can hold 2^21 such terms. */
+/** Versions reserved for each term. Safe integers leave room for 2^21 terms. */
 const VERSIONS_PER_TERM = 2 ** 32;
 
-/** Number of leases before a released slot is reused. */
+/** Time before a released slot is reused, as a number of lease durations. */
 const SLOT_REUSE_DELAY_LEASES = 4;
 
-/** A lapse of more than this fraction of all servers is a mass lapse. */
+/**
+ * When the expired leases belong to more than this fraction of all servers, this
+ * is a mass lapse. Draining servers count only towards the total.
+ */
 const MASS_LAPSE_FRACTION = 0.5;
 
-/** With fewer servers, more than half of them may well fail at once. */
+/**
+ * Minimum number of servers for a mass lapse: of fewer servers, more than half
+ * may well fail at once.
+ */
 const MASS_LAPSE_MIN_SERVERS = 4;
 
-/** Number of leases for which a mass lapse suspends expiry. */
+/**
+ * Longest time for which a mass lapse suspends the removal of servers, as a
+ * number of lease durations.
+ */
 const MASS_LAPSE_SUSPENSION_LEASES = 10;
 
 /** Fraction of a pool that must stay ready when a server is held back. */
@@ -90,7 +101,7 @@
 
   /**
    * @param settings lease duration and flap damping
-   * @param log the list that subscribers get their changes from
+   * @param log the versioned list from which subscribers get changes
    */
   constructor(settings: RegistrySettings, log: MembershipLog) {
     this.#settings = settings;
@@ -101,12 +112,13 @@
 
   /**
    * Initializes a new leader's registry from the list that it mirrored as a
-   * follower. Every server gets a full lease, as it renewed with the previous
-   * leader: otherwise each change of leader would empty the routers' lists.
+   * follower. Every server gets a full lease, as it renewed its lease with the
+   * previous leader only: otherwise each change of leader would empty the
+   * routers' lists.
    *
    * @param term the leader's term
    * @param now monotonic milliseconds
-   * @param known servers from the replicated state
+   * @param known servers without a sidecar, from the replicated state
    */
   takeOver(
     term: number,
@@ -164,7 +176,7 @@
   }
 
   /**
-   * @param name a server that has ended, in the list or not
+   * @param name a server that has ended; may be absent from the list
    * @param now monotonic milliseconds
    */
   remove(name: string, now: number): void {
@@ -187,7 +199,7 @@
       record => now - record.renewedAt > this.#settings.leaseMs,
     );
     const gone = this.#isExpirySuspended(lapsed, now)
-      ? lapsed.filter(isLeaving)
+      ? lapsed.filter(isDraining)
       : lapsed;
     for (const record of gone) this.#remove(record, now);
     return gone.map(record => record.server.name);
@@ -235,7 +247,7 @@
    * Updates a server in the list from the replicated state.
    *
    * @param name a server
-   * @param changed the server's place, and its state when that changed
+   * @param changed the fields to update
    */
   update(
     name: string,
@@ -277,12 +289,12 @@
   }
 
   /**
-   * Suspends expiry when most servers lapse at once: the likely cause is this
-   * leader's network. Removing the servers would empty every router's list
-   * although they are healthy, and routers detect failed servers by themselves.
+   * Suspends the removal of servers when most leases expire at once: the likely
+   * cause is this leader's network. Removing healthy servers would empty every
+   * router's list, and routers detect failed servers by themselves.
    */
   #isExpirySuspended(lapsed: readonly ServerRecord[], now: number): boolean {
-    const failed = lapsed.filter(record => !isLeaving(record)).length;
+    const failed = lapsed.filter(record => !isDraining(record)).length;
     const total = this.#records.size;
     const isMassLapse =
       failed > total * MASS_LAPSE_FRACTION && total >= MASS_LAPSE_MIN_SERVERS;
@@ -325,8 +337,8 @@
   }
 }
 
-/** A draining server is expected to stop renewing, so it may lapse any time. */
-function isLeaving(record: ServerRecord): boolean {
+/** A draining server's lease may expire at any time, as it is about to stop. */
+function isDraining(record: ServerRecord): boolean {
   return record.server.state === SERVER_STATE.DRAINING;
 }
 
