--- a/packages/lovagepond-scenarios/src/steps/engine_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/engine_steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of engines that join, leave and flap.
+ * Steps in which engines join, leave and flap.
  */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -7,18 +7,18 @@
 
 const MS_PER_SECOND = 1_000;
 const SETTLE_MS = 10_000;
-/** The first announcements count as flaps until this time has passed. */
+/** A join counts as a flap; its penalty has decayed after this time. */
 const FLAP_DECAY_MS = 120_000;
 
 Given<ScenarioWorld>(
   '{int} engines announce themselves each second',
   function (count) {
-    const list = this.createEngines();
+    const engines = this.createEngines();
     for (let number = 1; number <= count; number++) {
-      list.start(`engine-${number}`);
+      engines.start(`engine-${number}`);
     }
     this.timeline.advance(SETTLE_MS + FLAP_DECAY_MS);
-    assert.equal(list.count('ready'), count);
+    assert.equal(engines.count('ready'), count);
   },
 );
 
--- a/packages/lovagepond-scenarios/src/steps/gate_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/gate_steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of one backend server behind its sidecar's gate.
+ * Steps about the gate in front of one backend server.
  */
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
@@ -11,7 +11,7 @@
 
 const MS_PER_SECOND = 1_000;
 const SERVER = 'engine-1';
-/** Uses up the floor, so that later requests are held. */
+/** Equals the servers' `floorTokens`, so that the gate holds later requests. */
 const FILLING_TOKENS = 4_000;
 
 const revokeOutcomes = new WeakMap<ScenarioWorld, Map<string, string>>();
--- a/packages/lovagepond-scenarios/src/steps/process_steps.ts
+++ b/packages/lovagepond-scenarios/src/steps/process_steps.ts
@@ -1,6 +1,7 @@
 /**
- * Steps with real processes, which are started once for all of these scenarios
- * and stopped by their process ids.
+ * Steps against real processes. The processes start before the first scenario
+ * tagged `@processes`, serve all of these scenarios, and are stopped by process
+ * id at the end.
  */
 import assert from 'node:assert/strict';
 import {setTimeout as wait} from 'node:timers/promises';
@@ -12,25 +13,25 @@
   streamChat,
 } from '../../../../scripts/fleet_processes.mjs';
 
-const START_LIMIT_MS = 60_000;
-const STEP_LIMIT_MS = 30_000;
+const START_TIMEOUT_MS = 60_000;
+const STEP_TIMEOUT_MS = 30_000;
 const POLL_MS = 50;
 const SETTINGS_FOLDER = 'examples/loopback';
 const OPERATION_ID = 'pharmacy-weight';
 const QUESTION = 'Which voucher fits? ';
 const CONVERGENCE_LIMIT_SECONDS = '20';
 const LONG_ANSWER_TOKENS = 120;
-/** Id of the request whose answer `crossAnswers` makes fake engines send. */
-const CROSSED_ID = 'another-request';
-const CROSSED_TEXT = fakeAnswerText(CROSSED_ID, 4);
-const STEP_OPTIONS = {timeout: STEP_LIMIT_MS};
+/** Request id in the answers of a fake engine with the fault `crossAnswers`. */
+const CROSSED_REQUEST_ID = 'another-request';
+const CROSSED_TEXT_START = fakeAnswerText(CROSSED_REQUEST_ID, 4);
+const STEP_OPTIONS = {timeout: STEP_TIMEOUT_MS};
 
 let fleet: Fleet | undefined;
 let revisions: number[] = [];
 let answer: Promise<ChatAnswer> | undefined;
 let answers: ChatAnswer[] = [];
 let requestsBefore = 0;
-let exited: Promise<number | null> | undefined;
+let exitCode: Promise<number | null> | undefined;
 let chatCount = 0;
 
 function getFleet(): Fleet {
@@ -38,7 +39,7 @@
   return fleet;
 }
 
-Before({tags: '@processes', timeout: START_LIMIT_MS}, async () => {
+Before({tags: '@processes', timeout: START_TIMEOUT_MS}, async () => {
   if (fleet) return;
   fleet = new Fleet();
   await fleet.start(SETTINGS_FOLDER);
@@ -180,8 +181,8 @@
   async () => {
     const got = await answer;
     assert.ok(got, 'no chat was sent');
-    assert.ok(!got.body.includes(CROSSED_ID), got.body);
-    assert.ok(!got.text.startsWith(CROSSED_TEXT), got.text);
+    assert.ok(!got.body.includes(CROSSED_REQUEST_ID), got.body);
+    assert.ok(!got.text.startsWith(CROSSED_TEXT_START), got.text);
     if (got.whole) assert.equal(got.status, 200);
     else assert.match(got.body, /"error"/);
   },
@@ -249,12 +250,12 @@
       }
       return servingSidecar !== undefined;
     });
-    exited = all.get(servingSidecar ?? '').end('SIGTERM');
+    exitCode = all.get(servingSidecar ?? '').end('SIGTERM');
   },
 );
 
 Then('the stopped process exits with code 0', STEP_OPTIONS, async () => {
-  assert.equal(await exited, 0);
+  assert.equal(await exitCode, 0);
 });
 
 When('the process {word} is killed', STEP_OPTIONS, async (name: string) => {
