--- a/packages/lovagepond-consensus/src/__tests__/model/consensus_model_host.ts
+++ b/packages/lovagepond-consensus/src/__tests__/model/consensus_model_host.ts
@@ -11,22 +11,26 @@
 } from '../../consensus_types.js';
 import {ModelDisk} from './consensus_model_disk.js';
 
-/** State of a state machine: a digest of all applied entries. */
+/** The model's state machine: a digest of all entries up to an index. */
 export interface AppliedState {
   index: number;
   digest: number;
 }
 
-/** One host. Its disk survives a crash, its core does not. */
+/** One host. A crash loses its core, and maybe unsynced writes of its disk. */
 export class ModelHost {
   core: ConsensusCore | undefined;
   state: AppliedState = {index: 0, digest: 0};
   members: MemberList = [];
   /** Model time of its last crash, 0 before the first. */
   crashedAt = 0;
+  /** Rate of the host's clock, relative to the model's. */
   rate = 1;
+  /** What the host's clock shows at model time 0. */
   offset = 0;
+  /** Terms of the host's pending proposals, by index. */
   readonly proposals = new Map<number, number>();
+  /** Committed index at the start of each pending read, by token. */
   readonly reads = new Map<number, number>();
   disk: ModelDisk;
 
@@ -48,7 +52,7 @@
   return Buffer.from(JSON.stringify(state));
 }
 
-/** Committed entries and leaders, compared with the view of each host. */
+/** Records committed entries and leaders, and checks every host against them. */
 export class ModelOracle {
   /** Digest of the state after each committed index. */
   readonly #digests: number[] = [0];
@@ -59,10 +63,12 @@
     return this.#committed.length;
   }
 
+  /** Number of terms that had a leader. */
   get terms(): number {
     return this.#leaders.size;
   }
 
+  /** Restores a host's state from a snapshot and checks its digest. */
   restore(host: ModelHost, index: number, data: Uint8Array): void {
     host.state = JSON.parse(Buffer.from(data).toString()) as AppliedState;
     expect(host.state.index).toBe(index);
--- a/packages/lovagepond-consensus/src/__tests__/unit/consensus_losses.test.ts
+++ b/packages/lovagepond-consensus/src/__tests__/unit/consensus_losses.test.ts
@@ -46,9 +46,9 @@
   list: CommandList;
 }
 
-const SEED_HOSTS = 3;
+const SEED_COUNT = 3;
 
-/** Hosts that start and stop, and the commands acknowledged to clients. */
+/** The hosts of one group, and the commands acknowledged to clients. */
 class Fleet {
   hosts: Host[] = [];
   /** Seed addresses given to hosts that start; may be outdated. */
@@ -96,8 +96,8 @@
 
   /** @returns the stopped host, with its disk */
   async stop(host: Host): Promise<Host> {
-    if (this.hosts.length >= SEED_HOSTS) {
-      this.seedAddresses = this.addresses.slice(0, SEED_HOSTS);
+    if (this.hosts.length >= SEED_COUNT) {
+      this.seedAddresses = this.addresses.slice(0, SEED_COUNT);
     }
     this.hosts = this.hosts.filter(other => other !== host);
     await host.node.stop();
@@ -143,7 +143,7 @@
   Array.from({length: count}, (_, at) => `${String.fromCharCode(97 + at)}:1`);
 
 let fleet: Fleet;
-let nextAddress = 0;
+let newHostCount = 0;
 
 type FaultScenario = (random: Random) => Promise<void>;
 
@@ -177,8 +177,8 @@
 };
 
 async function startNewHost(): Promise<void> {
-  nextAddress += 1;
-  await fleet.start(`new${nextAddress}:1`, {mayForm: false});
+  newHostCount += 1;
+  await fleet.start(`new${newHostCount}:1`, {mayForm: false});
 }
 
 async function formFleet(
@@ -193,7 +193,10 @@
 }
 
 /** Restarts all hosts, `losses` of them with empty disks. */
-async function loseAtOnce(random: Random, losses: number): Promise<void> {
+async function restartAllWithLostDisks(
+  random: Random,
+  losses: number,
+): Promise<void> {
   const stopped: Host[] = [];
   for (const host of [...fleet.hosts]) stopped.push(await fleet.stop(host));
   await advance(700);
@@ -208,7 +211,7 @@
 
 beforeEach(() => {
   vi.useFakeTimers();
-  nextAddress = 0;
+  newHostCount = 0;
 });
 
 afterEach(async () => {
@@ -219,8 +222,8 @@
 describe('a group with repeated host losses', () => {
   // Two disks are lost one after the other. Then a host is replaced as planned:
   // the new host joins before the old one stops. Later another disk is lost. If
-  // the replaced host still counted, only two of four voters would be left, and
-  // from then on every caller would get 503.
+  // the replaced host were still a voter, only two of four voters would be left,
+  // and from then on every caller would get 503.
   it('survives a lost disk after a planned replacement', async () => {
     await formFleet(3, 1);
     const random = new Random(1);
@@ -229,7 +232,7 @@
     await FAULT_SCENARIOS['replacedAsPlanned']!(random);
     expect(fleet.votersOf(fleet.leader!)).toEqual(fleet.addresses);
     expect(await fleet.propose()).toBe(true);
-    await loseAtOnce(random, 1);
+    await restartAllWithLostDisks(random, 1);
     expect(await fleet.propose()).toBe(true);
   });
 
@@ -256,7 +259,7 @@
           expect(voters, `${seed}/${step} ${name}`).toEqual(fleet.addresses);
           expect(await fleet.propose()).toBe(true);
         }
-        await loseAtOnce(random, losses);
+        await restartAllWithLostDisks(random, losses);
         expect(await fleet.propose(), `${seed} at the end`).toBe(true);
         await advance(500);
         for (const {list} of fleet.hosts) {
@@ -330,8 +333,8 @@
 
   // All hosts restart. The configured seeds have no disk, start empty and know
   // only each other. Without announcements by the leader, gateways that know
-  // only these seeds would get no configuration until the leader removed their
-  // previous identities.
+  // only these seeds would get no configuration until the leader removed the
+  // previous identities of the seeds.
   it('rejoin quickly after a restart of all hosts', async () => {
     fleet = new Fleet(['a:1', 'b:1', 'c:1'], 1);
     for (const address of ['a:1', 'b:1', 'c:1']) await fleet.start(address);
--- a/packages/lovagepond-consensus/src/consensus_leadership.ts
+++ b/packages/lovagepond-consensus/src/consensus_leadership.ts
@@ -24,7 +24,7 @@
   type MemberId,
 } from './consensus_types.js';
 
-/** Interface of the member to its leadership. */
+/** What a leadership uses of its member. */
 export interface LeaderView {
   readonly id: MemberId;
   readonly address: string;
@@ -35,7 +35,7 @@
 }
 
 /**
- * One of this many heartbeat rounds includes the observers. With all heartbeats
+ * Observers receive one heartbeat in this many rounds. With all heartbeats
  * sent to four observers, an idle fleet of nine entry hosts needs 68 s of CPU
  * time in a minute instead of 42 s. At this rate observers still have leader
  * contact several times before they would ask to join again.
@@ -107,7 +107,8 @@
 
   /**
    * @param now monotonic milliseconds
-   * @returns true while no other member can be elected
+   * @returns true while no other member can be elected; false until an entry of
+   *     this term is committed
    */
   isLeaseValid(now: number): boolean {
     return this.hasCommittedInTerm && this.#rounds.isLeaseValid(now);
@@ -118,8 +119,9 @@
     const {replica, id} = this.#view;
     const {log} = replica;
     return majorityValue(log.members, member => {
-      // The leader counts itself only up to its synced index. A crash could
-      // lose an entry that counted earlier, after it was reported as committed.
+      // The leader counts itself only up to its synced index. If unsynced
+      // entries counted, a crash could lose one that was already reported as
+      // committed.
       if (member === id) return this.#view.replica.syncedIndex;
       return this.#progress.get(member)?.match ?? 0;
     });
@@ -230,6 +232,7 @@
     this.#rounds.start(now);
     const {replica, id} = this.#view;
     const {log} = replica;
+    // Confirms the round at once if this member is the only voter.
     const ownRound = majorityValue(log.members, member =>
       member === id ? this.#rounds.current : 0,
     );
@@ -239,7 +242,10 @@
     }
   }
 
-  /** Observers count towards no quorum. They only need to know the leader. */
+  /**
+   * Most rounds leave out the observers, which count towards no quorum and only
+   * need to know the leader.
+   */
   #isHeartbeatDueTo({observer}: Member): boolean {
     return (
       !observer || this.#rounds.current % ROUNDS_PER_OBSERVER_HEARTBEAT === 0
@@ -276,12 +282,15 @@
     this.#probe(member, progress, now);
   }
 
-  /** Asks by an empty append how far the log of the follower matches. */
+  /**
+   * The reply to an empty append tells how far the follower's log matches. If the
+   * entry to compare is compacted, a snapshot is sent instead.
+   */
   #probe(member: Member, progress: FollowerProgress, now: number): void {
     const prevIndex = progress.heartbeatIndex;
     const prevTerm = this.#view.replica.log.termAt(prevIndex);
     if (prevTerm === undefined) this.#startTransfer(member, progress, now);
-    else this.#append(member, prevIndex, prevTerm, []);
+    else this.#sendAppendMessage(member, prevIndex, prevTerm, []);
   }
 
   #sendAppend(member: Member, progress: FollowerProgress, now: number): void {
@@ -296,10 +305,10 @@
     const entries = log.sliceBytes(progress.next, maxAppendBytes);
     const lastIndex = prevIndex + entries.length;
     progress.sentEntries(lastIndex, sumBytes(entries), now);
-    this.#append(member, prevIndex, prevTerm, entries);
+    this.#sendAppendMessage(member, prevIndex, prevTerm, entries);
   }
 
-  #append(
+  #sendAppendMessage(
     member: Member,
     prevIndex: number,
     prevTerm: number,
