--- a/scripts/bundle_options.mjs
+++ b/scripts/bundle_options.mjs
@@ -1,5 +1,5 @@
-// Common esbuild options of the bundles that run from the source tree, without
-// the entry point and the output file.
+// Default esbuild options for the bundles of the scenarios, the measurements and
+// the platform's program. Each build adds its entry points and output file.
 
 export const BUNDLE_OPTIONS = Object.freeze({
   bundle: true,
--- a/scripts/run_scenarios.mjs
+++ b/scripts/run_scenarios.mjs
@@ -1,5 +1,6 @@
-// Bundles the steps and runs the scenarios, optionally with a JSON report:
-// run_scenarios.mjs [REPORT.json] [--name TEXT]
+// Bundles the steps and runs the scenarios. Cucumber writes a JSON report to the
+// first argument, if any, and receives the other arguments as options:
+// run_scenarios.mjs [REPORT.json [--name TEXT | --tags EXPRESSION]]
 import {spawnSync} from 'node:child_process';
 import {build} from 'esbuild';
 import {BUNDLE_OPTIONS} from './bundle_options.mjs';
@@ -7,7 +8,7 @@
 const STEPS = 'packages/lovagepond-scenarios/src/index.ts';
 const BUNDLE = 'dist/scenarios.cjs';
 
-const [report, ...rest] = process.argv.slice(2);
+const [report, ...cucumberOptions] = process.argv.slice(2);
 
 await build({
   ...BUNDLE_OPTIONS,
@@ -24,7 +25,7 @@
     '--enable-source-maps',
     'node_modules/@cucumber/cucumber/bin/cucumber.js',
     ...formats,
-    ...rest,
+    ...cucumberOptions,
   ],
   {stdio: 'inherit'},
 );
--- a/scripts/test_safeguards.mjs
+++ b/scripts/test_safeguards.mjs
@@ -1,7 +1,7 @@
-// Mutation check: applies the edits of each list entry, which remove one
-// safeguard, to a scratch copy, runs only the named scenario or unit test
-// there, and requires that it runs and fails. Arguments select entries whose
-// test name contains one of them.
+// Mutation check. Each entry of the lists has edits that remove one safeguard,
+// and names a scenario or unit test. In a scratch copy, this test must pass
+// without the edits; with them, only this test runs, and it must fail. Arguments
+// select entries whose test name contains one of them.
 import {spawnSync} from 'node:child_process';
 import {
   cpSync,
@@ -37,7 +37,7 @@
  *   testFile?: string}} Safeguard
  */
 
-/** Links the dependencies, and the project's packages to their copies. */
+/** Links the installed dependencies, and the copies of the packages. */
 function linkModules(copy) {
   const modules = join(copy, 'node_modules');
   mkdirSync(join(modules, SCOPE), {recursive: true});
@@ -160,9 +160,11 @@
 }
 
 /** @type {Safeguard[]} */
-const all = LISTS.flatMap(list => JSON.parse(readFileSync(list, 'utf8')));
+const safeguards = LISTS.flatMap(list =>
+  JSON.parse(readFileSync(list, 'utf8')),
+);
 const filters = process.argv.slice(2);
-const entries = all.filter(entry => {
+const entries = safeguards.filter(entry => {
   const name = entry.scenario ?? entry.test ?? '';
   return filters.length === 0 || filters.some(filter => name.includes(filter));
 });
